--- a/include/buckthornrail/gateway/exchange.hpp
+++ b/include/buckthornrail/gateway/exchange.hpp
@@ -184,16 +184,16 @@
         std::optional<selection> where; ///< nothing: `why` tells
         std::string why;
         std::set<registry::target_incarnation> ranAt;
-        choice_bounds bounds;
+        selection_constraints bounds;
     };
 
     /// @brief Finds a place for another attempt, and takes it out of the budget.
-    next_attempt findNext(const attempt_end& last, choice_bounds bounds, steady_time now);
+    next_attempt findNext(const attempt_end& last, selection_constraints bounds, steady_time now);
     /// @brief Goes on after an attempt that has ended, or gives up.
     void tryNext(const attempt_end& last, steady_time now);
     void goOn(const attempt_end& last, steady_time now);
     /// @brief Goes on elsewhere if it can; else the open attempt stays. @return true when it moved
-    bool move(const attempt_end& last, choice_bounds bounds, steady_time now);
+    bool move(const attempt_end& last, selection_constraints bounds, steady_time now);
     /// @brief Logs that a stalled attempt stays, once for each cause.
     void noteKept(const attempt_end& last, const std::string& why);
     void noteLoss(const attempt_end& last, steady_time now);
@@ -235,7 +235,7 @@
     repeat_budget& m_budget;
     exchange_options m_options;
     selection m_where;
-    choice_bounds m_bounds;
+    selection_constraints m_bounds;
     std::set<registry::target_incarnation>
         m_ranAt; ///< targets that count against the route's number: each took the request and lives
     std::optional<std::uint64_t> m_lastEventId;
--- a/include/buckthornrail/gateway/layer_path.hpp
+++ b/include/buckthornrail/gateway/layer_path.hpp
@@ -16,7 +16,7 @@
     registry::layer_range layers;
     std::size_t domain = 0; ///< number of its failure domain
     double msPerLayer = 0; ///< time that a token takes here for each layer, at the present load
-    double extraMs = 0; ///< for taking part at all: a target that failed lately is used only where no other is left
+    double fixedMs = 0; ///< for taking part at all: a target that failed lately is used only where no other is left
     bool mayStart = true; ///< may run the first part
 };
 
@@ -31,7 +31,7 @@
     /// Handing a token on: a delay on the wire and a place in the next target's queue.
     double perPartMs = 0.3;
     /// The first target is in another domain than the caller's gateway: only events cross.
-    double farStartMs = 4;
+    double remoteStartMs = 4;
     /// Activations cross between domains and fill a pipe that all share: a usual prompt takes 14 ms of it. The traffic
     /// of one domain may cross twice, so a path does it where the other domains' chains are crowded. For narrower pipes
     /// the pool raises it.
--- a/include/buckthornrail/gateway/send_limit.hpp
+++ b/include/buckthornrail/gateway/rate_limiter.hpp
@@ -20,34 +20,34 @@
 };
 
 /// @brief Paces requests to one target. Callers pass the time in.
-class send_limit {
+class rate_limiter {
 public:
     /// @param key of the target: decides which gateways may send where there are more than requests
     /// @param phase 0 to 1, drawn: when in its first interval a gateway sends first, so that not all do at once
-    send_limit(double perSecond, std::uint64_t key, double phase, const gateway_share& share, steady_time now);
+    rate_limiter(double perSecond, std::uint64_t key, double phase, const gateway_share& share, steady_time now);
 
     [[nodiscard]] double perSecond() const { return m_perSecond; }
     /// @brief The target names another limit.
-    void change(double perSecond, const gateway_share& share, steady_time now);
+    void setRate(double perSecond, const gateway_share& share, steady_time now);
     /// @brief The gateways have become more or fewer.
-    void shareChanged(const gateway_share& share, steady_time now);
+    void setShare(const gateway_share& share, steady_time now);
     /// @brief Whether a request may be sent now.
     [[nodiscard]] bool maySend(steady_time now) const;
     /// @brief A request is being sent.
-    void sent(steady_time now);
+    void noteSent(steady_time now);
     /// @brief When the next request may be sent. Of a gateway that may send none, when another one may.
-    [[nodiscard]] steady_time roomAt(steady_time now) const;
+    [[nodiscard]] steady_time nextSendAt(steady_time now) const;
     [[nodiscard]] steady_time::duration interval() const { return m_interval; }
 
 private:
-    void pace(const gateway_share& share);
+    void updatePace(const gateway_share& share);
 
     double m_perSecond;
     std::uint64_t m_key;
-    bool m_maySend = false; ///< is one of those that share the limit
+    bool m_isSharer = false; ///< is one of those that share the limit
     steady_time::duration m_interval {}; ///< between this gateway's requests, on average
     steady_time::duration m_burst {}; ///< so much sooner than its interval a request may follow, after a pause
-    steady_time m_nextAt {}; ///< by the interval alone
+    steady_time m_nextDueAt {}; ///< by the interval alone
 };
 
 } // namespace buckthornrail::gateway
--- a/include/buckthornrail/gateway/route_document.hpp
+++ b/include/buckthornrail/gateway/route_document.hpp
@@ -40,7 +40,7 @@
     std::string host;
     std::string pathPrefix; ///< begins and ends with a slash
     request_kind kind = request_kind::Safe;
-    milliseconds longestWait { 0 }; ///< the caller has its final answer by then
+    milliseconds timeout { 0 }; ///< the caller has its final answer by then
     milliseconds latencyTarget { 0 }; ///< an answer, or a stream's first event, is on time within it
     milliseconds eventGapTarget { 0 }; ///< longest pause between events of a stream on time; 0: none
     std::uint32_t priority = 5; ///< 0 is first
@@ -55,7 +55,7 @@
     std::string name;
     double memoryMb = 0;
     double stepFactor = 1; ///< times a step's time
-    double readFactor = 1; ///< times the time to read a prompt
+    double prefillFactor = 1; ///< times the time to read a prompt
 };
 
 /// How the engines of a service work that hold ranges of a model's layers.
@@ -67,7 +67,7 @@
     double stepMsPerSequence = 0;
     double stepMsPerContextToken = 0; ///< for each token that the sequences of the step hold in memory
     std::uint32_t stepsPerPass = 1; ///< tokens that an engine makes for its sequences before it takes new work
-    double readTokensPerSecond = 0;
+    double prefillTokensPerSecond = 0;
     double usualPromptTokens = 0;
     double usualAnswerTokens = 0;
     double loadSeconds = 0; ///< loading all layers
@@ -96,8 +96,8 @@
 struct caller_limits {
     std::uint32_t maxHeadBytes = 16U << 10U;
     std::uint32_t maxBodyBytes = 4U << 20U;
-    milliseconds headPatience { 3000 }; ///< a head must be whole by then
-    milliseconds idlePatience { 15000 }; ///< an idle connection is closed after it
+    milliseconds headerTimeout { 3000 }; ///< a head must be whole by then
+    milliseconds idleTimeout { 15000 }; ///< an idle connection is closed after it
 };
 
 /// Who may call, and with which keys.
--- a/include/buckthornrail/gateway/route_index.hpp
+++ b/include/buckthornrail/gateway/route_index.hpp
@@ -48,12 +48,12 @@
     void put(const decoded_change& part);
     /// @brief Ends what put() has made.
     /// @return MalformedMessage when the version holds other entries
-    tl::expected<void, failure> seal(std::uint64_t version, std::uint64_t digest);
+    tl::expected<void, failure> finalize(std::uint64_t version, std::uint64_t digest);
 
     /// @brief Route of a host and a path: the longest prefix wins. @param target path, perhaps with a query
     [[nodiscard]] route_pointer find(std::string_view host, std::string_view target) const;
     /// @brief Workspace that holds a key, if any.
-    [[nodiscard]] workspace_pointer holderOf(std::string_view key) const;
+    [[nodiscard]] workspace_pointer findWorkspace(std::string_view key) const;
 
     [[nodiscard]] std::uint64_t version() const { return m_version; }
     [[nodiscard]] const std::shared_ptr<const document_rest>& rest() const { return m_rest; }
--- a/src/app/gateway/gateway.cpp
+++ b/src/app/gateway/gateway.cpp
@@ -56,9 +56,9 @@
               [this](const registry::target_view& targets) { onTargets(targets); },
               [this] { return static_cast<std::uint32_t>(m_context.pool.openAttempts()); },
               [this] { return m_context.pool.loads(); },
-              [this](const registry::load_row& others) { m_context.pool.setOthersLoads(others, steadyNow()); },
+              [this](const registry::load_row& others) { m_context.pool.setOtherGatewayLoads(others, steadyNow()); },
               [this](const link::gateway_update& update) { onServed(update); },
-              [this] { return m_context.pool.takeDark(); },
+              [this] { return m_context.pool.takeUnreachable(); },
               [this](link::gateway_beat& beat) {
                   beat.repeats = m_context.budgets.spent(steadyNow());
                   beat.isRepeatsComplete = m_context.budgets.isComplete(steadyNow());
@@ -71,7 +71,7 @@
               },
               [this](bool all) { return m_context.pool.takeLimitNews(all, steadyNow()); },
               [this](const std::vector<registry::limit_news>& news) { onLimits(news); },
-              [this] { return m_context.pool.leavingUnknown(); },
+              [this] { return m_context.pool.unreportedLeaving(); },
           })
     , m_standstillCheck(loop, standstillPeriod, [this] { lookForStandstill(); })
 {
@@ -146,7 +146,7 @@
 void gateway_role::onServed(const link::gateway_update& update)
 {
     const auto now = steadyNow();
-    m_context.pool.setOthers(std::max<std::size_t>(update.gateways, 1), update.othersOpenAttempts);
+    m_context.pool.setOtherGateways(std::max<std::size_t>(update.gateways, 1), update.othersOpenAttempts);
     if (!update.earlierRepeats.empty() && !m_context.budgets.isComplete(now))
         m_context.budgets.resume(update.earlierRepeats.front(), now);
     if (update.budgetSharers == 0)
@@ -162,7 +162,7 @@
 
 void gateway_role::onLimits(const std::vector<registry::limit_news>& news)
 {
-    for (const auto& change : m_context.pool.toldLimits(news, steadyNow())) {
+    for (const auto& change : m_context.pool.mergeRemoteLimits(news, steadyNow())) {
         telemetry::logEvent(event_code::TargetPushback,
             { { "target", text(change.target) }, { "per_second", gateway::text(change.after) },
                 { "before", gateway::text(change.before) },
@@ -242,17 +242,17 @@
 {
     const auto target = m_context.pool.idAt(address);
     if (found == net::reachability::Refused) {
-        m_context.pool.endedAt(address);
+        m_context.pool.markEnded(address);
         blameEnd(address, {});
     } else {
-        m_context.pool.silentAt(address);
+        m_context.pool.markUnresponsive(address);
     }
     if (target.empty())
         return; // controllers have told of its end already
     telemetry::logEvent(event_code::TargetUnreachable,
         { { "target", text(target) }, { "address", address },
             { "how", found == net::reachability::Refused ? "refused" : "silent" } });
-    m_context.pool.wentDark(target, steadyNow());
+    m_context.pool.markUnreachable(target, steadyNow());
     for (const auto& call : openCalls())
         call->targetUnreachable(target);
 }
@@ -331,7 +331,7 @@
         return;
     }
     if (request.head.target == pushbackPath) {
-        respond(net::plainResponse(200, pushbackPage(m_context.pool.heldTargets(steadyNow()))));
+        respond(net::plainResponse(200, pushbackPage(m_context.pool.restrictedTargets(steadyNow()))));
         return;
     }
     respond(net::plainResponse(isReady() ? 200 : 503, isReady() ? "ready\n" : "not ready\n", "text/plain"));
--- a/src/app/gateway/gateway_call.cpp
+++ b/src/app/gateway/gateway_call.cpp
@@ -101,7 +101,7 @@
         refuse(result_code::NotFound, "no route for host and path");
         return;
     }
-    const auto holder = m_caller.key.empty() ? nullptr : index.holderOf(m_caller.key);
+    const auto holder = m_caller.key.empty() ? nullptr : index.findWorkspace(m_caller.key);
     if (index.rest()->needsKeys && !route->isPublic && holder == nullptr) {
         refuse(result_code::Unauthorized, "no workspace holds the key");
         return;
@@ -119,7 +119,7 @@
     std::uniform_real_distribution<double> draw(0, 1);
     request.service = gateway::pickService(*route, draw(m_context.random));
     request.arrived = m_arrived;
-    request.deadline = m_arrived + std::min(route->longestWait, m_caller.patience.value_or(route->longestWait));
+    request.deadline = m_arrived + std::min(route->timeout, m_caller.patience.value_or(route->timeout));
     request.lastEventId = m_caller.lastEventId;
     request.size = m_caller.size;
     auto& budget = m_context.budgets.of(request.service);
@@ -134,7 +134,7 @@
     // How long a stream takes can't be told before: the caller names its longest answer, which few come near.
     if (route.kind == gateway::request_kind::Stream)
         return now >= m_context.takesStreamsUntil;
-    return now + std::min(route.longestWait, m_caller.patience.value_or(route.longestWait)) > m_context.stopBy;
+    return now + std::min(route.timeout, m_caller.patience.value_or(route.timeout)) > m_context.stopBy;
 }
 
 void gateway_call::callerGone()
--- a/src/app/gateway/gateway_document.cpp
+++ b/src/app/gateway/gateway_document.cpp
@@ -59,7 +59,7 @@
             return m_index->apply(finished.change);
         return tl::make_unexpected(failure { result_code::MalformedMessage, "a change, and no document is held" });
     }
-    if (auto sealed = finished.whole->seal(finished.change.to, finished.change.digest); !sealed)
+    if (auto sealed = finished.whole->finalize(finished.change.to, finished.change.digest); !sealed)
         return sealed;
     m_index = std::move(finished.whole);
     m_needsWhole = false;
--- a/src/app/gateway/gateway_document_test.cpp
+++ b/src/app/gateway/gateway_document_test.cpp
@@ -90,7 +90,7 @@
     CHECK(held.version() == 3);
     CHECK(held.index()->routeCount() == 500);
     CHECK(held.index()->find("h", "/r499/x")->name == "r499");
-    CHECK(held.index()->holderOf("k")->workspace == "w");
+    CHECK(held.index()->findWorkspace("k")->workspace == "w");
     CHECK(held.index()->rest()->needsKeys);
     CHECK(held.index()->rest()->services.at(0).name == "s");
 
@@ -276,7 +276,7 @@
                 const std::string path = "/r" + std::to_string(name) + "/x";
                 RC_ASSERT((held.index()->find("h", path) != nullptr) == (expected.find("h", path) != nullptr));
             }
-            RC_ASSERT((held.index()->holderOf("k") != nullptr) == (expected.holderOf("k") != nullptr));
+            RC_ASSERT((held.index()->findWorkspace("k") != nullptr) == (expected.findWorkspace("k") != nullptr));
         }
         registry.tell(other);
         RC_ASSERT(other.index()->routeCount() == held.index()->routeCount());
--- a/src/app/registry/registry.cpp
+++ b/src/app/registry/registry.cpp
@@ -139,7 +139,7 @@
         return;
     }
     if (request.head.target == pushbackPath) {
-        respond(net::plainResponse(200, pushbackPage(heldTargets(steadyNow()))));
+        respond(net::plainResponse(200, pushbackPage(restrictedTargets(steadyNow()))));
         return;
     }
     if (request.head.target.starts_with(quarantinePath)) {
@@ -316,21 +316,21 @@
     return between(m_answeredAt, steadyNow());
 }
 
-std::vector<gateway::held_target> registry_role::heldTargets(steady_time now) const
+std::vector<gateway::restricted_target> registry_role::restrictedTargets(steady_time now) const
 {
-    std::map<registry::target_incarnation, gateway::held_target> held;
+    std::map<registry::target_incarnation, gateway::restricted_target> held;
     for (const auto& limit : m_limits.limits(now)) {
         held[limit.target].perSecond = limit.perSecond;
-        held[limit.target].heardAgo = milliseconds(limit.ageMs);
+        held[limit.target].limitAge = milliseconds(limit.ageMs);
     }
     for (const auto& [id, record] : m_state.targets().records()) {
         const auto target = record.incarnation();
         if (record.state == registry::target_state::Draining)
             held[target].isLeaving = true;
         if (m_rests.isResting(target, now))
-            held[target].restLeft = between(now, m_rests.until(target));
+            held[target].backoffLeft = between(now, m_rests.until(target));
     }
-    std::vector<gateway::held_target> rows;
+    std::vector<gateway::restricted_target> rows;
     for (auto& [target, row] : held) {
         row.target = target;
         rows.push_back(row);
--- a/src/app/registry/registry.hpp
+++ b/src/app/registry/registry.hpp
@@ -121,7 +121,7 @@
     /// @brief Where a target's next heartbeats go: to a controller of its own failure domain if there is one.
     [[nodiscard]] std::string nextHeartbeatAddress(const registry::target_record& record) const;
     /// @brief Targets that are limited or leaving, and those that asked this registry for rest.
-    [[nodiscard]] std::vector<gateway::held_target> heldTargets(steady_time now) const;
+    [[nodiscard]] std::vector<gateway::restricted_target> restrictedTargets(steady_time now) const;
     [[nodiscard]] net::whole_response statusPage() const;
 
     link::event_loop& m_loop;
--- a/src/app/shared/pushback_page.cpp
+++ b/src/app/shared/pushback_page.cpp
@@ -6,17 +6,17 @@
 
 namespace buckthornrail::app {
 
-std::string pushbackPage(const std::vector<gateway::held_target>& held)
+std::string pushbackPage(const std::vector<gateway::restricted_target>& held)
 {
     auto rows = nlohmann::json::array();
     for (const auto& one : held) {
         nlohmann::json row { { "target", text(one.target) } };
         if (one.perSecond) {
             row["per_second"] = *one.perSecond;
-            row["heard_ms_ago"] = one.heardAgo.count();
+            row["heard_ms_ago"] = one.limitAge.count();
         }
-        if (one.restLeft > milliseconds(0))
-            row["rest_left_ms"] = one.restLeft.count();
+        if (one.backoffLeft > milliseconds(0))
+            row["rest_left_ms"] = one.backoffLeft.count();
         if (one.isLeaving)
             row["leaving"] = true;
         rows.push_back(std::move(row));
--- a/src/buckthornrail/gateway/exchange.cpp
+++ b/src/buckthornrail/gateway/exchange.cpp
@@ -45,7 +45,7 @@
         finish(result_code::NoTarget, ran_state::No, "no usable target or path", now);
         return;
     }
-    if (!where->hasRoom) {
+    if (!where->hasCapacity) {
         finish(result_code::Busy, ran_state::No, "no path with room: " + where->summary, now);
         return;
     }
@@ -128,7 +128,7 @@
         registry::target_incarnation faulty = answer.faultyAddress.empty() ? first : m_pool.idAt(answer.faultyAddress);
         if (faulty.empty())
             faulty = first; // it names one that isn't known here any more
-        const bool asksForRest = answer.pushback && answer.pushback->rest;
+        const bool asksForRest = answer.pushback && answer.pushback->retryAfter;
         if (faulty != first || !asksForRest)
             m_pool.refused(faulty, now);
         m_bounds.excluded.insert(faulty);
@@ -201,12 +201,14 @@
     if (m_pacedEvents == 0) {
         m_pacedFrom = now;
         m_promptRead = true;
-        m_pool.promptRead(m_where, m_request.size);
-        m_pool.paced(m_where, pace_kind::FirstEvent, static_cast<double>(between(m_attemptStart, now).count()), now);
+        m_pool.prefillFinished(m_where, m_request.size);
+        m_pool.recordLatency(
+            m_where, latency_kind::FirstEvent, static_cast<double>(between(m_attemptStart, now).count()), now);
     }
     if (m_pacedEvents++ == m_options.paceEvents) {
         const std::chrono::duration<double, std::milli> took = now - m_pacedFrom;
-        m_pool.paced(m_where, pace_kind::NextEvent, took.count() / static_cast<double>(m_options.paceEvents), now);
+        m_pool.recordLatency(
+            m_where, latency_kind::NextEvent, took.count() / static_cast<double>(m_options.paceEvents), now);
         m_pacedEvents = 1;
         m_pacedFrom = now;
     }
@@ -289,7 +291,7 @@
             { "ms", inMs(between(m_request.arrived, now)) } });
 }
 
-exchange::next_attempt exchange::findNext(const attempt_end& last, choice_bounds bounds, steady_time now)
+exchange::next_attempt exchange::findNext(const attempt_end& last, selection_constraints bounds, steady_time now)
 {
     next_attempt next;
     next.why = whyNoRepeat(last, now);
@@ -301,9 +303,9 @@
     if (last.ran != ran_state::No && !last.targetEnded)
         next.ranAt.insert(m_where.parts.front().target);
     // The route's number bounds the targets, not the attempts: what ran before may run there again.
-    bounds.firstOnly.clear();
+    bounds.allowedFirst.clear();
     if (next.ranAt.size() >= m_request.chosen->maxAttempts)
-        bounds.firstOnly = next.ranAt;
+        bounds.allowedFirst = next.ranAt;
     next.where = m_pool.select(m_request.service, bounds, now);
     // A stream that has begun waits a little instead: what refused it just now would refuse it again.
     if (!next.where && !bounds.excluded.empty() && !m_streamBegun) {
@@ -353,7 +355,7 @@
     scheduleWake(now);
 }
 
-bool exchange::move(const attempt_end& last, choice_bounds bounds, steady_time now)
+bool exchange::move(const attempt_end& last, selection_constraints bounds, steady_time now)
 {
     const auto next = findNext(last, std::move(bounds), now);
     if (!next.where) {
@@ -418,7 +420,7 @@
     m_vainChecks = 0;
     m_promptRead = false;
     m_pool.noteSent(m_where.parts.front().target, now);
-    m_pool.began(m_where, m_request.size);
+    m_pool.attemptStarted(m_where, m_request.size);
     m_port.note(event_code::RouteChosen,
         { { "request", m_request.id }, { "route", m_request.chosen->name },
             { "version", std::to_string(m_request.documentVersion) }, { "attempt", std::to_string(m_tries) },
@@ -431,7 +433,7 @@
 void exchange::closeAttempt()
 {
     m_attemptOpen = false;
-    m_pool.ended(m_where, m_request.size, m_promptRead);
+    m_pool.attemptEnded(m_where, m_request.size, m_promptRead);
     m_port.cancelAttempt();
 }
 
@@ -448,7 +450,7 @@
     m_over = true;
     const bool mayComeBack = code == result_code::Busy || code == result_code::NoTarget;
     if (mayComeBack)
-        m_roomExpectedAt = m_pool.roomExpectedAt(m_request.service, now);
+        m_roomExpectedAt = m_pool.earliestSendAt(m_request.service, now);
     m_port.note(m_streamBegun || ran != ran_state::No ? event_code::RequestFinished : event_code::RouteRefused,
         { { "request", m_request.id }, { "route", m_request.chosen->name },
             { "outcome", m_streamBegun ? "broken_off" : "refused" }, { "code", std::to_string(static_cast<int>(code)) },
@@ -468,7 +470,7 @@
 {
     m_bounds.excluded.insert(target);
     if (dark)
-        m_pool.wentDark(target, now);
+        m_pool.markUnreachable(target, now);
     else
         m_pool.failed(target);
     m_port.note(event_code::TargetAvoided,
--- a/src/buckthornrail/gateway/exchange_stream_test.cpp
+++ b/src/buckthornrail/gateway/exchange_stream_test.cpp
@@ -62,7 +62,7 @@
     call.onReport(true, "a1:1", zero + milliseconds(260));
     CHECK(bench.port.attempts == 2);
     CHECK(bench.port.target != "a0");
-    CHECK(bench.pool.takeDark() == std::vector<registry::target_incarnation> { "a1" });
+    CHECK(bench.pool.takeUnreachable() == std::vector<registry::target_incarnation> { "a1" });
 }
 
 TEST_CASE("exchange: a slow stream that can't move stays where it is", "[exchange]")
@@ -190,7 +190,7 @@
         call.onSent(zero);
         for (const auto& id : ranAt) {
             bench.end(id, registry::target_state::Gone);
-            bench.pool.endedAt(id + ":1");
+            bench.pool.markEnded(id + ":1");
         }
         call.onHead(refusal(), zero);
         CHECK(bench.port.target == third);
@@ -213,7 +213,7 @@
         const std::string first = bench.port.target;
         ranAt.insert(first);
         now += milliseconds(100);
-        bench.pool.silentAt(first + ":1");
+        bench.pool.markUnresponsive(first + ":1");
         call.onUnreachable(first, now);
     };
     runAndFallSilent();
--- a/src/buckthornrail/gateway/exchange_watch.cpp
+++ b/src/buckthornrail/gateway/exchange_watch.cpp
@@ -54,7 +54,7 @@
     }
     for (const auto& part : m_where.parts) {
         const bool wasReplaced = m_pool.wasReplaced(part.target);
-        if (!wasReplaced && !m_pool.gaveUp(part.target, part.layers))
+        if (!wasReplaced && !m_pool.hasReleased(part.target, part.layers))
             continue;
         const std::string how = wasReplaced ? " has started anew" : " gave its layers up";
         move({ ran_state::Unknown, firstHasEnded(), "cut off: " + text(part.target) + how }, m_bounds, now);
--- a/src/buckthornrail/gateway/heavy_load_test.cpp
+++ b/src/buckthornrail/gateway/heavy_load_test.cpp
@@ -54,7 +54,7 @@
         table[record.id] = record;
     pool.update(table);
     pool.setEngine("s", engine);
-    pool.setOthers(1, 0);
+    pool.setOtherGateways(1, 0);
     return pool;
 }
 
@@ -66,9 +66,9 @@
 }
 
 /// A choice for a stream whose pauses are on time up to a target.
-choice_bounds boundsOf(milliseconds eventGapTarget)
+selection_constraints boundsOf(milliseconds eventGapTarget)
 {
-    choice_bounds bounds;
+    selection_constraints bounds;
     bounds.eventGapTarget = eventGapTarget;
     return bounds;
 }
@@ -86,7 +86,7 @@
     auto pool = fastAndSlowChain();
     milliseconds gapTarget { 200 };
     const auto firstAt = [&](double requests) {
-        pool.setOthersLoads({ workOf(requests), workOf(requests), 0, 0 }, zero);
+        pool.setOtherGatewayLoads({ workOf(requests), workOf(requests), 0, 0 }, zero);
         return pool.select("s", boundsOf(gapTarget), zero)->parts.front().target;
     };
     CHECK(firstAt(0) == "f0");
@@ -103,9 +103,9 @@
 TEST_CASE("heavy load: work is spread over slow chains before their memory is short", "[heavy]")
 {
     auto pool = poolOf({ holder("s0", "a", "slow", { 0, 80 }), holder("s1", "a", "slow", { 0, 80 }) }, mixedEngine());
-    pool.setOthersLoads({ workOf(60), 0 }, zero);
+    pool.setOtherGatewayLoads({ workOf(60), 0 }, zero);
     CHECK(pool.select("s", boundsOf(milliseconds(200)), zero)->parts.front().target == "s1");
-    pool.setOthersLoads({ 0, workOf(60) }, zero);
+    pool.setOtherGatewayLoads({ 0, workOf(60) }, zero);
     CHECK(pool.select("s", boundsOf(milliseconds(200)), zero)->parts.front().target == "s0");
 }
 
@@ -119,7 +119,7 @@
     engine.kinds = { { "", 5 + 5 * 8.0, 1, 1 } }; // beside the weights of five layers, room for eight thousand tokens
     engine.tokenBytes = 10 * 1000.0;
     bench.pool.setEngine("s", engine);
-    bench.pool.setOthers(30, 40); // ten a domain: 3 in 100 over what a target has is too much
+    bench.pool.setOtherGateways(30, 40); // ten a domain: 3 in 100 over what a target has is too much
     const std::uint32_t whole = 41; // thousands of tokens times layers
     const auto begin = [&bench] {
         auto call = bench.make();
@@ -128,7 +128,7 @@
     };
     SECTION("all full")
     {
-        bench.pool.setOthersLoads({ whole + 1, whole + 1, whole + 1, whole + 1, whole + 1, whole + 1 }, zero);
+        bench.pool.setOtherGatewayLoads({ whole + 1, whole + 1, whole + 1, whole + 1, whole + 1, whole + 1 }, zero);
         const auto call = begin();
         CHECK(call.isOver());
         CHECK(bench.port.attempts == 0);
@@ -137,19 +137,19 @@
     }
     SECTION("as full, but with one gateway a domain: what is over comes free within half a second")
     {
-        bench.pool.setOthers(3, 40);
-        bench.pool.setOthersLoads({ whole + 1, whole + 1, whole + 1, whole + 1, whole + 1, whole + 1 }, zero);
+        bench.pool.setOtherGateways(3, 40);
+        bench.pool.setOtherGatewayLoads({ whole + 1, whole + 1, whole + 1, whole + 1, whole + 1, whole + 1 }, zero);
         CHECK_FALSE(begin().isOver());
     }
     SECTION("full a second ago, and nothing heard since")
     {
-        bench.pool.setOthersLoads(
+        bench.pool.setOtherGatewayLoads(
             { whole + 1, whole + 1, whole + 1, whole + 1, whole + 1, whole + 1 }, zero - milliseconds(1001));
         CHECK_FALSE(begin().isOver());
     }
     SECTION("one chain with room, in another domain")
     {
-        bench.pool.setOthersLoads({ whole + 1, whole + 1, whole + 1, whole + 1, 0, 0 }, zero);
+        bench.pool.setOtherGatewayLoads({ whole + 1, whole + 1, whole + 1, whole + 1, 0, 0 }, zero);
         const auto call = begin();
         CHECK_FALSE(call.isOver());
         CHECK(bench.port.target == "c0");
@@ -166,8 +166,8 @@
     auto pool = poolOf({ holder("head", "a", "fast", { 0, 40 }), holder("near", "a", "slow", { 40, 80 }),
                            holder("out", "b", "fast", { 40, 80 }) },
         engine);
-    pool.setOthers(10, 0);
-    pool.setOthersLoads({ 0, workOf(95), 0 }, zero); // in the order of ids: head, near, out
+    pool.setOtherGateways(10, 0);
+    pool.setOtherGatewayLoads({ 0, workOf(95), 0 }, zero); // in the order of ids: head, near, out
     steady_time now {};
     CHECK(pool.select("s", {}, now)->parts.back().target == "out");
     const auto keepChoosing = [&](milliseconds period) {
--- a/src/buckthornrail/gateway/layer_path.cpp
+++ b/src/buckthornrail/gateway/layer_path.cpp
@@ -52,7 +52,7 @@
     {
         const auto& candidate = m_candidates[index];
         const std::uint32_t end = std::min(candidate.layers.end, m_layerCount);
-        const double own = m_costs.perPartMs + candidate.extraMs + candidate.msPerLayer * (end - layer);
+        const double own = m_costs.perPartMs + candidate.fixedMs + candidate.msPerLayer * (end - layer);
         waypoint& goal = at(end, candidate.domain);
         for (std::size_t domain = 0; domain < m_domainCount; ++domain) {
             const double before = at(layer, domain).cost;
@@ -60,7 +60,7 @@
                 continue;
             double cost = before + own;
             if (domain != candidate.domain)
-                cost += layer == 0 ? m_costs.farStartMs : crossingMs(domain, candidate.domain);
+                cost += layer == 0 ? m_costs.remoteStartMs : crossingMs(domain, candidate.domain);
             if (cost < goal.cost)
                 goal = { cost, index, layer, domain };
         }
--- /dev/null
+++ b/src/buckthornrail/gateway/rate_limiter.cpp
@@ -0,0 +1,73 @@
+/// @file
+/// @brief Pacing by deadlines: each request moves the next one's by an interval.
+#include "buckthornrail/gateway/rate_limiter.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+namespace buckthornrail::gateway {
+namespace {
+
+/// Under any limit, also 0, all gateways together try one request in so many seconds: only an answer tells that the
+/// limit is over.
+constexpr double maxIntervalSeconds = 10;
+/// Each gateway that shares a limit may have one request saved up; so many seconds' requests, and a few more, are saved
+/// up by all at the maxSharers.
+constexpr double creditSeconds = 2;
+constexpr double extraCredit = 3;
+/// Of these, a gateway saves up more than one as far as all together save up no more than so many seconds' requests.
+constexpr double burstSeconds = 1;
+
+steady_time::duration seconds(double amount)
+{
+    return std::chrono::duration_cast<steady_time::duration>(std::chrono::duration<double>(amount));
+}
+
+} // namespace
+
+rate_limiter::rate_limiter(
+    double perSecond, std::uint64_t key, double phase, const gateway_share& share, steady_time now)
+    : m_perSecond(perSecond)
+    , m_key(key)
+{
+    updatePace(share);
+    m_nextDueAt = now + m_burst + std::chrono::duration_cast<steady_time::duration>(m_interval * phase);
+}
+
+void rate_limiter::updatePace(const gateway_share& share)
+{
+    const double limit = std::max(m_perSecond, 1 / maxIntervalSeconds);
+    const auto maxSharers = static_cast<std::size_t>(creditSeconds * limit + extraCredit);
+    const std::size_t sharers = std::min(share.gateways, maxSharers);
+    m_isSharer = share.gateways > 0 && (share.ordinal + m_key) % share.gateways < sharers;
+    const double intervalSeconds = static_cast<double>(std::max<std::size_t>(sharers, 1)) / limit;
+    const double saved = (burstSeconds * limit + extraCredit) / static_cast<double>(std::max<std::size_t>(sharers, 1));
+    m_interval = seconds(intervalSeconds);
+    m_burst = seconds(intervalSeconds * std::max(0.0, saved - 1));
+}
+
+void rate_limiter::setRate(double perSecond, const gateway_share& share, steady_time now)
+{
+    m_perSecond = perSecond;
+    setShare(share, now);
+}
+
+void rate_limiter::setShare(const gateway_share& share, steady_time now)
+{
+    const bool wasSharer = m_isSharer;
+    updatePace(share);
+    // One that begins to share has saved nothing up; one whose interval was longer doesn't wait for its end.
+    const auto whole = now + m_burst + m_interval;
+    m_nextDueAt = wasSharer ? std::min(m_nextDueAt, whole) : whole;
+}
+
+bool rate_limiter::maySend(steady_time now) const { return m_isSharer && now + m_burst >= m_nextDueAt; }
+
+void rate_limiter::noteSent(steady_time now) { m_nextDueAt = std::max(m_nextDueAt, now) + m_interval; }
+
+steady_time rate_limiter::nextSendAt(steady_time now) const
+{
+    return m_isSharer ? std::max(now, m_nextDueAt - m_burst) : now + m_interval;
+}
+
+} // namespace buckthornrail::gateway
--- a/src/buckthornrail/gateway/route_document.cpp
+++ b/src/buckthornrail/gateway/route_document.cpp
@@ -23,7 +23,7 @@
 
 tl::expected<void, failure> checkRoute(const route& one, const std::set<std::string_view>& services)
 {
-    if (one.longestWait.count() <= 0)
+    if (one.timeout.count() <= 0)
         return invalid("route " + one.name + " leaves no time to answer");
     if (totalWeight(one) == 0)
         return invalid("route " + one.name + ": the weights add up to 0");
--- a/src/buckthornrail/gateway/route_index.cpp
+++ b/src/buckthornrail/gateway/route_index.cpp
@@ -12,7 +12,7 @@
 
 std::string_view withoutPort(std::string_view host) { return host.substr(0, host.find(':')); }
 
-tl::unexpected<failure> unfitting(const std::string& reason)
+tl::unexpected<failure> mismatch(const std::string& reason)
 {
     return tl::make_unexpected(failure { result_code::MalformedMessage, "document change: " + reason });
 }
@@ -43,11 +43,11 @@
 tl::expected<void, failure> route_index::check(const decoded_change& change) const
 {
     if (change.from != m_version) {
-        return unfitting(
+        return mismatch(
             "it follows from version " + std::to_string(change.from) + ", held is " + std::to_string(m_version));
     }
     if (!holdsAll(m_routes, change.removedRoutes) || !holdsAll(m_workspaces, change.removedWorkspaces))
-        return unfitting("it removes what isn't held");
+        return mismatch("it removes what isn't held");
     document::content_digest digest = m_digest;
     for (const auto hash : change.removedRoutes)
         digest.remove(hash);
@@ -62,7 +62,7 @@
         digest.add(change.restHash);
     }
     if (digest.sum() != change.digest)
-        return unfitting("version " + std::to_string(change.to) + " would hold other entries than it does");
+        return mismatch("version " + std::to_string(change.to) + " would hold other entries than it does");
     return {};
 }
 
@@ -93,10 +93,10 @@
     m_restHash = part.restHash;
 }
 
-tl::expected<void, failure> route_index::seal(std::uint64_t version, std::uint64_t digest)
+tl::expected<void, failure> route_index::finalize(std::uint64_t version, std::uint64_t digest)
 {
     if (m_digest.sum() != digest)
-        return unfitting("version " + std::to_string(version) + " holds other entries than came");
+        return mismatch("version " + std::to_string(version) + " holds other entries than came");
     m_version = version;
     return {};
 }
@@ -169,7 +169,7 @@
     return nullptr;
 }
 
-workspace_pointer route_index::holderOf(std::string_view key) const
+workspace_pointer route_index::findWorkspace(std::string_view key) const
 {
     const auto known = m_byKey.find(key);
     return known == m_byKey.end() ? nullptr : known->second;
--- a/src/buckthornrail/gateway/route_index_test.cpp
+++ b/src/buckthornrail/gateway/route_index_test.cpp
@@ -96,8 +96,8 @@
     REQUIRE(index.apply(maker.end(second)));
     CHECK(index.version() == 9);
     CHECK(index.find("h", "/a/b/x")->name == "new");
-    CHECK(index.holderOf("k1") == nullptr);
-    CHECK(index.holderOf("k2")->workspace == "w");
+    CHECK(index.findWorkspace("k1") == nullptr);
+    CHECK(index.findWorkspace("k2")->workspace == "w");
     CHECK(index.routeCount() == 1);
     CHECK(kept->name == "old");
 }
--- a/src/buckthornrail/gateway/routing_test.cpp
+++ b/src/buckthornrail/gateway/routing_test.cpp
@@ -22,7 +22,7 @@
         one.name = name;
         one.host = "h.example";
         one.pathPrefix = prefix;
-        one.longestWait = milliseconds(100);
+        one.timeout = milliseconds(100);
         one.services = { { "s", 1 } };
         document.routes.push_back(one);
     };
@@ -102,7 +102,7 @@
         d.routes[0].services = { { "s", 0 }, { "t", 0 } };
     }).find("add up to 0")
         != std::string::npos);
-    CHECK(reasonOf([](auto& d) { d.routes[0].longestWait = milliseconds(0); }).find("no time") != std::string::npos);
+    CHECK(reasonOf([](auto& d) { d.routes[0].timeout = milliseconds(0); }).find("no time") != std::string::npos);
     CHECK(reasonOf([](auto& d) { d.workspaces[1].keys = { "k1" }; }).find("share a key") != std::string::npos);
 }
 
@@ -114,8 +114,8 @@
     CHECK(index.find("h.example", "/a/b")->name == "short");
     CHECK(index.find("h.example", "/") == nullptr);
     CHECK(index.find("other", "/a/x") == nullptr);
-    CHECK(index.holderOf("k2")->workspace == "w");
-    CHECK(index.holderOf("k") == nullptr);
+    CHECK(index.findWorkspace("k2")->workspace == "w");
+    CHECK(index.findWorkspace("k") == nullptr);
 }
 
 TEST_CASE("document: weights part the requests", "[gateway]")
@@ -160,7 +160,7 @@
     };
     CHECK(findPath(candidates, 20, 2, 0) == std::vector<path_part> { { 0, { 0, 10 } }, { 1, { 10, 20 } } });
     auto doubtful = candidates;
-    doubtful[1].extraMs = 1000;
+    doubtful[1].fixedMs = 1000;
     CHECK(findPath(doubtful, 20, 2, 0) == std::vector<path_part> { { 3, { 0, 20 } } });
     doubtful[3].mayStart = false;
     CHECK(findPath(doubtful, 20, 2, 0) == std::vector<path_part> { { 0, { 0, 10 } }, { 2, { 10, 20 } } });
@@ -196,10 +196,10 @@
     for (int at = 0; at < 100; ++at)
         near += pool.select("s", {}, now + milliseconds(150))->parts.front().target == "near" ? 1 : 0;
     CHECK(near > 80);
-    CHECK(pool.takeDark().empty());
+    CHECK(pool.takeUnreachable().empty());
     pool.refused("near", now);
     pool.refused("near", now);
-    CHECK(pool.takeDark()
+    CHECK(pool.takeUnreachable()
         == std::vector<registry::target_incarnation> { "near" }); // three in a row: controllers should look
 }
 
@@ -213,9 +213,9 @@
     CHECK(first->parts.front().target == "x");
     // 1,900 MB for requests at 10 kB a token and layer: 19,000 tokens in ten layers, of which a request takes 1,000.
     for (int at = 0; at < 5; ++at)
-        pool.began(*first, { 900, 100 });
+        pool.attemptStarted(*first, { 900, 100 });
     CHECK(pool.select("s", {}, now)->parts.front().target == "x");
-    pool.setOthers(4, 15);
+    pool.setOtherGateways(4, 15);
     CHECK(pool.select("s", {}, now)->parts.front().target == "y");
 }
 
@@ -224,23 +224,23 @@
     // Room for 190,000 tokens times layers at each target; close to it a target costs more.
     auto pool = poolOf({ readyTarget("x", "a", { 0, 10 }), readyTarget("y", "b", { 0, 10 }) });
     pool.setEngine("s", engineOf(10));
-    pool.setOthers(20, 400);
+    pool.setOtherGateways(20, 400);
     const steady_time now {};
-    pool.setOthersLoads({ 90, 190 }, now);
+    pool.setOtherGatewayLoads({ 90, 190 }, now);
     const auto near = pool.select("s", {}, now);
     REQUIRE(near);
     CHECK(near->parts.front().target == "x");
-    pool.setOthersLoads({ 190, 90 }, now);
+    pool.setOtherGatewayLoads({ 190, 90 }, now);
     CHECK(pool.select("s", {}, now)->parts.front().target == "y");
-    pool.setOthersLoads({ 90 }, now); // a row of other targets: only the count of attempts is known
+    pool.setOtherGatewayLoads({ 90 }, now); // a row of other targets: only the count of attempts is known
     CHECK(pool.select("s", {}, now)->parts.front().target == "x");
-    pool.setOthersLoads({ 90, 90 }, now);
-    pool.began(*near, { 900, 100 }); // 10,000, at ten gateways of the domain
+    pool.setOtherGatewayLoads({ 90, 90 }, now);
+    pool.attemptStarted(*near, { 900, 100 }); // 10,000, at ten gateways of the domain
     CHECK(pool.select("s", {}, now)->parts.front().target == "y");
     CHECK(pool.loads() == registry::load_row { 10, 0 });
-    pool.setOthersLoads({ 90, 90 }, now); // the others have told since
+    pool.setOtherGatewayLoads({ 90, 90 }, now); // the others have told since
     CHECK(pool.select("s", {}, now)->parts.front().target == "x");
-    pool.ended(*near, { 900, 100 }, false);
+    pool.attemptEnded(*near, { 900, 100 }, false);
     CHECK(pool.loads() == registry::load_row { 0, 0 });
 }
 
@@ -248,19 +248,19 @@
 {
     auto pool = poolOf({ readyTarget("x", "a", { 0, 10 }), readyTarget("y", "b", { 0, 10 }) });
     auto engine = engineOf(10);
-    engine.readTokensPerSecond = 10000;
+    engine.prefillTokensPerSecond = 10000;
     engine.tokenBytes = 1; // memory doesn't count here
     pool.setEngine("s", engine);
     const steady_time now {};
     const auto near = pool.select("s", {}, now);
     REQUIRE(near->parts.front().target == "x");
-    pool.began(*near, { 1000, 1 }); // 100 ms
+    pool.attemptStarted(*near, { 1000, 1 }); // 100 ms
     CHECK(pool.select("s", {}, now)->parts.front().target == "y");
-    pool.promptRead(*near, { 1000, 1 });
+    pool.prefillFinished(*near, { 1000, 1 });
     CHECK(pool.select("s", {}, now)->parts.front().target == "x");
-    pool.ended(*near, { 1000, 1 }, true);
-    pool.began(*near, { 1000, 1 });
-    pool.ended(*near, { 1000, 1 }, false);
+    pool.attemptEnded(*near, { 1000, 1 }, true);
+    pool.attemptStarted(*near, { 1000, 1 });
+    pool.attemptEnded(*near, { 1000, 1 }, false);
     CHECK(pool.select("s", {}, now)->parts.front().target == "x");
 }
 
@@ -274,15 +274,15 @@
     engine.activationBytes = 10000;
     engine.pipeMbps = 10000; // 8 ms for a prompt
     pool.setEngine("s", engine);
-    pool.setOthers(2, 10);
+    pool.setOtherGateways(2, 10);
     const steady_time now {};
-    pool.setOthersLoads({ 0, 195, 0 }, now); // in the order of ids: far, near, x
+    pool.setOtherGatewayLoads({ 0, 195, 0 }, now); // in the order of ids: far, near, x
     const auto crossing = pool.select("s", {}, now);
     REQUIRE(crossing);
     CHECK(crossing->parts.back().target == "far");
-    pool.began(*crossing, { 20000, 1 }); // 160 ms of the pipe
+    pool.attemptStarted(*crossing, { 20000, 1 }); // 160 ms of the pipe
     CHECK(pool.select("s", {}, now)->parts.back().target == "near");
-    pool.promptRead(*crossing, { 20000, 1 });
+    pool.prefillFinished(*crossing, { 20000, 1 });
     CHECK(pool.select("s", {}, now)->parts.back().target == "far");
     engine.pipeMbps = 1000; // 80 ms for a prompt, at two gateways
     pool.setEngine("s", engine);
@@ -301,14 +301,14 @@
     REQUIRE(near->parts.front().target == "x");
     REQUIRE(far->parts.front().target == "y");
     for (int at = 0; at < 20; ++at)
-        pool.paced(*far, pace_kind::NextEvent, 2.6, now);
+        pool.recordLatency(*far, latency_kind::NextEvent, 2.6, now);
     for (int at = 0; at < 20; ++at)
-        pool.paced(*near, pace_kind::NextEvent, 2.6, now);
+        pool.recordLatency(*near, latency_kind::NextEvent, 2.6, now);
     CHECK(pool.select("s", {}, now)->parts.front().target == "x"); // both are as fast as usual
-    const auto kind = GENERATE(pace_kind::FirstEvent, pace_kind::NextEvent);
-    pool.paced(*far, kind, 2.6, now);
+    const auto kind = GENERATE(latency_kind::FirstEvent, latency_kind::NextEvent);
+    pool.recordLatency(*far, kind, 2.6, now);
     for (int at = 0; at < 5; ++at)
-        pool.paced(*near, kind, 26, now);
+        pool.recordLatency(*near, kind, 26, now);
     CHECK(pool.select("s", {}, now)->parts.front().target == "y");
     CHECK(pool.select("s", {}, now + std::chrono::seconds(30))->parts.front().target == "x");
 }
--- a/src/buckthornrail/gateway/target_life_test.cpp
+++ b/src/buckthornrail/gateway/target_life_test.cpp
@@ -98,9 +98,9 @@
     const auto target = chosen->parts.front().target;
     const request_size size { 4000, 100 };
     for (int at = 0; at < 5; ++at)
-        bench.pool.began(*chosen, size);
-    bench.pool.wentDark(target, zero);
-    bench.pool.endedAt(target.id + ":1");
+        bench.pool.attemptStarted(*chosen, size);
+    bench.pool.markUnreachable(target, zero);
+    bench.pool.markEnded(target.id + ":1");
     for (int at = 0; at < 20; ++at)
         bench.pool.failed(target);
     CHECK(bench.pool.select("s", {}, zero)->parts.front().target != target);
@@ -115,14 +115,14 @@
     CHECK(bench.pool.select("s", {}, zero)->parts.front().target == later); // the nearest again
     // What ran at the life before ends now: the later one's work is its own.
     const auto again = bench.pool.select("s", {}, zero);
-    bench.pool.began(*again, size);
+    bench.pool.attemptStarted(*again, size);
     const auto before = bench.pool.loads();
     for (int at = 0; at < 5; ++at)
-        bench.pool.ended(*chosen, size, false);
+        bench.pool.attemptEnded(*chosen, size, false);
     CHECK(bench.pool.loads() == before);
-    bench.pool.ended(*again, size, false);
+    bench.pool.attemptEnded(*again, size, false);
     // A late suspicion of the life before.
-    bench.pool.wentDark(target, zero);
+    bench.pool.markUnreachable(target, zero);
     bench.pool.failed(target);
     CHECK(bench.pool.select("s", {}, zero)->parts.front().target == later);
 }
--- a/src/buckthornrail/gateway/target_limit_test.cpp
+++ b/src/buckthornrail/gateway/target_limit_test.cpp
@@ -20,7 +20,7 @@
 /// Takes a target's limit over as another gateway heard it.
 void tell(target_pool& pool, const std::string& target, std::optional<double> perSecond, int ms)
 {
-    (void)pool.toldLimits(std::vector<registry::limit_news> { { target, perSecond, 0 } }, at(ms));
+    (void)pool.mergeRemoteLimits(std::vector<registry::limit_news> { { target, perSecond, 0 } }, at(ms));
 }
 
 /// @return how many of so many selections, one each 100 ms, begin at a target; each is sent
@@ -98,9 +98,9 @@
 {
     exchange_bench bench(request_kind::Stream, true, true);
     for (const std::string target : { "a0", "b0" })
-        (void)bench.pool.heard(target, { {}, {}, milliseconds(3000) }, false, zero, zero);
+        (void)bench.pool.recordPushback(target, { {}, {}, milliseconds(3000) }, false, zero, zero);
     bench.place("c0", {});
-    const auto room = bench.pool.roomExpectedAt("s", zero);
+    const auto room = bench.pool.earliestSendAt("s", zero);
     REQUIRE(room);
     CHECK(*room >= at(3000));
 }
@@ -123,15 +123,16 @@
     exchange_bench bench(request_kind::Safe, false, false);
     bench.pool.setShare({ 1, 0 }, zero);
     const registry::target_incarnation a0 = "a0";
-    CHECK(bench.pool.heard(a0, { 1, {} }, true, at(0), at(100)));
-    CHECK_FALSE(bench.pool.heard(a0, { 1, {} }, true, at(0), at(150)));
-    CHECK_FALSE(bench.pool.heard(a0, { {}, {} }, true, at(50), at(200)));
+    CHECK(bench.pool.recordPushback(a0, { 1, {} }, true, at(0), at(100)));
+    CHECK_FALSE(bench.pool.recordPushback(a0, { 1, {} }, true, at(0), at(150)));
+    CHECK_FALSE(bench.pool.recordPushback(a0, { {}, {} }, true, at(50), at(200)));
     CHECK(bench.pool.limitedCount(at(200)) == 1);
-    CHECK_FALSE(bench.pool.heard(a0, { {}, {} }, false, at(160), at(200))); // of one that isn't the target's answer
-    CHECK_FALSE(bench.pool.heard(a0, { {}, {} }, true, at(160), at(200))); // one alone may lack it
-    CHECK_FALSE(bench.pool.heard(a0, { 1, {} }, true, at(160), at(210)));
-    CHECK_FALSE(bench.pool.heard(a0, { {}, {} }, true, at(220), at(230)));
-    const auto over = bench.pool.heard(a0, { {}, {} }, true, at(220), at(230));
+    CHECK_FALSE(
+        bench.pool.recordPushback(a0, { {}, {} }, false, at(160), at(200))); // of one that isn't the target's answer
+    CHECK_FALSE(bench.pool.recordPushback(a0, { {}, {} }, true, at(160), at(200))); // one alone may lack it
+    CHECK_FALSE(bench.pool.recordPushback(a0, { 1, {} }, true, at(160), at(210)));
+    CHECK_FALSE(bench.pool.recordPushback(a0, { {}, {} }, true, at(220), at(230)));
+    const auto over = bench.pool.recordPushback(a0, { {}, {} }, true, at(220), at(230));
     REQUIRE(over);
     CHECK(over->before == 1.0);
     CHECK_FALSE(over->after);
@@ -145,16 +146,16 @@
     const registry::target_incarnation a0 = "a0";
     tell(bench.pool, "b0", 3, 0);
     CHECK(bench.pool.takeLimitNews(false, at(0)).empty()); // it is the others' own
-    (void)bench.pool.heard(a0, { 1, {} }, true, at(0), at(100));
+    (void)bench.pool.recordPushback(a0, { 1, {} }, true, at(0), at(100));
     const auto news = bench.pool.takeLimitNews(false, at(150));
     REQUIRE(news.size() == 1);
     CHECK(news.front() == registry::limit_news { a0, 1, 50 });
-    (void)bench.pool.heard(a0, { 1, {} }, true, at(200), at(300));
+    (void)bench.pool.recordPushback(a0, { 1, {} }, true, at(200), at(300));
     CHECK(bench.pool.takeLimitNews(false, at(300)).empty());
-    (void)bench.pool.heard(a0, { 1, {} }, true, at(1200), at(1300));
+    (void)bench.pool.recordPushback(a0, { 1, {} }, true, at(1200), at(1300));
     CHECK(bench.pool.takeLimitNews(false, at(1300)).size() == 1); // that it holds on, once a second
-    (void)bench.pool.heard(a0, { {}, {} }, true, at(1400), at(1500));
-    (void)bench.pool.heard(a0, { {}, {} }, true, at(1400), at(1500));
+    (void)bench.pool.recordPushback(a0, { {}, {} }, true, at(1400), at(1500));
+    (void)bench.pool.recordPushback(a0, { {}, {} }, true, at(1400), at(1500));
     CHECK(bench.pool.takeLimitNews(false, at(1500)).size() == 1);
     CHECK(bench.pool.takeLimitNews(true, at(1500)).size() == 2); // a new session: everything
 }
@@ -173,8 +174,8 @@
 TEST_CASE("target limit: what can't be read changes nothing", "[target_limit]")
 {
     exchange_bench bench(request_kind::Safe, false, false);
-    (void)bench.pool.heard("a0", { 1, {} }, true, at(0), at(100));
-    CHECK_FALSE(bench.pool.heard("a0", { {}, "field: nan" }, true, at(200), at(300)));
+    (void)bench.pool.recordPushback("a0", { 1, {} }, true, at(0), at(100));
+    CHECK_FALSE(bench.pool.recordPushback("a0", { {}, "field: nan" }, true, at(200), at(300)));
     CHECK(bench.pool.limitedCount(at(300)) == 1);
 }
 
@@ -237,7 +238,7 @@
         CHECK_FALSE(bench.pool.maySend(target, at(ms)));
     }
     CHECK(bench.pool.maySend(target, at(3000)));
-    CHECK(bench.pool.takeDark().empty()); // it lives
+    CHECK(bench.pool.takeUnreachable().empty()); // it lives
 }
 
 // Guards against a shorter rest that cuts a longer one off, which was asked for earlier.
@@ -245,8 +246,8 @@
 {
     exchange_bench bench(request_kind::Safe, false, false);
     const registry::target_incarnation a0 = "a0";
-    (void)bench.pool.heard(a0, { {}, {}, milliseconds(3000) }, false, at(0), at(0));
-    (void)bench.pool.heard(a0, { {}, {}, milliseconds(200) }, false, at(1000), at(1000));
+    (void)bench.pool.recordPushback(a0, { {}, {}, milliseconds(3000) }, false, at(0), at(0));
+    (void)bench.pool.recordPushback(a0, { {}, {}, milliseconds(200) }, false, at(1000), at(1000));
     CHECK_FALSE(bench.pool.maySend(a0, at(2999)));
     CHECK(bench.pool.maySend(a0, at(3000)));
     bench.startAnew("a0", 500);
@@ -257,7 +258,8 @@
 {
     exchange_bench bench(request_kind::Safe, false, false);
     for (const std::string target : { "a0", "b0", "c0" })
-        (void)bench.pool.heard(target, { {}, {}, milliseconds(target == "b0" ? 2000 : 3000) }, false, zero, zero);
+        (void)bench.pool.recordPushback(
+            target, { {}, {}, milliseconds(target == "b0" ? 2000 : 3000) }, false, zero, zero);
     auto call = bench.make();
     call.start(zero);
     CHECK(bench.port.outcome == "answered");
@@ -271,7 +273,7 @@
 TEST_CASE("target rest: a member that rests is passed through only where no other has its layers", "[target_limit]")
 {
     exchange_bench bench(request_kind::Stream, true, true);
-    (void)bench.pool.heard("a1", { {}, {}, milliseconds(3000) }, false, zero, zero);
+    (void)bench.pool.recordPushback("a1", { {}, {}, milliseconds(3000) }, false, zero, zero);
     const auto chosen = bench.pool.select("s", {}, zero);
     REQUIRE(chosen);
     CHECK(chosen->parts.back().target != registry::target_incarnation("a1"));
@@ -290,8 +292,8 @@
     target_pushback leaves;
     leaves.isLeaving = true;
     const registry::target_incarnation a0 = "a0";
-    (void)bench.pool.heard(a0, leaves, true, zero, zero);
-    (void)bench.pool.heard(a0, {}, true, at(50), at(100)); // it doesn't come back
+    (void)bench.pool.recordPushback(a0, leaves, true, zero, zero);
+    (void)bench.pool.recordPushback(a0, {}, true, at(50), at(100)); // it doesn't come back
     CHECK_FALSE(bench.pool.maySend(a0, at(100)));
     CHECK(bench.pool.isLeaving(a0));
     for (int ms = 0; ms < 2000; ms += 50) {
@@ -300,9 +302,9 @@
         for (const auto& part : chosen->parts)
             CHECK(part.target != a0);
     }
-    CHECK(bench.pool.leavingUnknown() == std::vector<registry::target_incarnation> { a0 });
+    CHECK(bench.pool.unreportedLeaving() == std::vector<registry::target_incarnation> { a0 });
     bench.end("a0", registry::target_state::Draining);
-    CHECK(bench.pool.leavingUnknown().empty());
+    CHECK(bench.pool.unreportedLeaving().empty());
     bench.startAnew("a0", 500);
     CHECK(bench.pool.maySend({ "a0", 500 }, at(3000)));
 }
@@ -312,15 +314,15 @@
 {
     exchange_bench bench(request_kind::Safe, false, false);
     tell(bench.pool, "a0", 1.5, 0);
-    (void)bench.pool.heard("b0", { {}, {}, milliseconds(3000) }, false, zero, zero);
+    (void)bench.pool.recordPushback("b0", { {}, {}, milliseconds(3000) }, false, zero, zero);
     target_pushback leaves;
     leaves.isLeaving = true;
-    (void)bench.pool.heard("c0", leaves, false, zero, zero);
-    const auto held = bench.pool.heldTargets(at(1000));
+    (void)bench.pool.recordPushback("c0", leaves, false, zero, zero);
+    const auto held = bench.pool.restrictedTargets(at(1000));
     REQUIRE(held.size() == 3);
     CHECK(held[0].perSecond == 1.5);
-    CHECK(held[0].heardAgo == milliseconds(1000));
-    CHECK(held[1].restLeft == milliseconds(2000));
+    CHECK(held[0].limitAge == milliseconds(1000));
+    CHECK(held[1].backoffLeft == milliseconds(2000));
     CHECK(held[2].isLeaving);
-    CHECK(bench.pool.heldTargets(at(3000)).size() == 2);
+    CHECK(bench.pool.restrictedTargets(at(3000)).size() == 2);
 }
--- a/src/buckthornrail/gateway/target_pool.cpp
+++ b/src/buckthornrail/gateway/target_pool.cpp
@@ -12,20 +12,20 @@
 /// Weight of the newest answer in a target's moving average: about the last ten count.
 constexpr double newestWeight = 0.2;
 /// Taken for a target that hasn't answered yet, so that it is tried beside known ones.
-constexpr double unknownAnswerMs = 10;
+constexpr double defaultAnswerMs = 10;
 /// What was seen of a path's pace counts for this part of what is known of its members.
-constexpr double paceWeight = 0.3;
+constexpr double slowdownWeight = 0.3;
 /// The usual pace follows sound paths: down at once, up slowly.
-constexpr double usualPaceDown = 0.2;
-constexpr double usualPaceUp = 0.005;
+constexpr double typicalRatioDown = 0.2;
+constexpr double typicalRatioUp = 0.005;
 /// Below these a path counts as sound: engines' steps vary by so much with the prompts that they read meanwhile, and
 /// the first event with the length of its own prompt and of those before it.
-constexpr std::array<double, paceKinds> soundSlowness { 4, 1.5 };
-constexpr double mostSlowness = 20;
-/// A slow target is tried again as its slowness fades: to a third after this time.
-constexpr double slownessFadeMs = 6000;
+constexpr std::array<double, latencyKindCount> normalSlowdown { 4, 1.5 };
+constexpr double maxSlowdown = 20;
+/// A slow target is tried again as its slowdown fades: to a third after this time.
+constexpr double slowdownDecayMs = 6000;
 /// A target in another domain must be so much sooner to be chosen: bytes between domains are paid for.
-constexpr double farFactor = 1.3;
+constexpr double crossDomainFactor = 1.3;
 /// A share of choices is drawn at random, so that a target that was slow once is measured again.
 constexpr double exploreShare = 0.02;
 constexpr double percent = 100;
@@ -33,18 +33,18 @@
 constexpr double jitterShare = 0.1;
 /// Cost of using a target that failed lately, or whose heartbeats stopped: several times a whole chain of the slowest
 /// accelerators, so it happens only where no other way is left.
-constexpr double failureMs = 300; ///< what a failed attempt costs a caller, times the share of them
-constexpr double avoidedMs = 1000;
-constexpr double lostMs = 2000;
+constexpr double failedAttemptMs = 300; ///< what a failed attempt costs a caller, times the share of them
+constexpr double backoffPenaltyMs = 1000;
+constexpr double lostPenaltyMs = 2000;
 
 /// A path whose events are expected within this part of the gap target is safe: prompts that are read between two
 /// passes, and a lost packet, take about as much again.
-constexpr double safePartOfGap = 0.35;
+constexpr double safeGapShare = 0.35;
 /// Share of its memory from which on a target costs more. Where all paths are soon enough, work is spread early: a full
 /// target refuses, or preempts what it has begun. Where slow accelerators would make a stream late, fast ones are
 /// filled.
-constexpr double comfortableForRoom = 0.75;
-constexpr double comfortableForPace = 0.95;
+constexpr double spreadMemoryThreshold = 0.75;
+constexpr double latencyMemoryThreshold = 0.95;
 
 } // namespace
 
@@ -60,7 +60,7 @@
     const bool isSameSet = m_targets.size() == records.size()
         && std::equal(m_targets.begin(), m_targets.end(), records.begin(),
             [](const auto& held, const auto& told) { return held.first == told.second.incarnation(); });
-    m_loadsAreTold = m_loadsAreTold && isSameSet;
+    m_hasOtherGatewayLoads = m_hasOtherGatewayLoads && isSameSet;
     std::erase_if(m_targets, [&records](const auto& item) {
         const auto told = records.find(item.first.id);
         return told == records.end() || told->second.incarnation() != item.first;
@@ -74,10 +74,10 @@
         const bool cameBack
             = target.record.state == registry::target_state::Lost && record.state == registry::target_state::Ready;
         target.record = record;
-        target.domain = domainNumber(record.failureDomain);
+        target.domain = domainIndex(record.failureDomain);
         if (cameBack) {
             target.avoidUntil = {};
-            target.isSilent = false;
+            target.isUnresponsive = false;
         }
         describeAccelerator(target);
     }
@@ -106,13 +106,13 @@
         const double weightsMb = engine->second.layerMb * target.record.layers.size();
         const double tokenLayerMb = engine->second.tokenBytes / bytesPerMb / std::max(engine->second.layers, 1U);
         target.memoryTokenLayers = tokenLayerMb > 0 ? std::max(0.0, kind.memoryMb - weightsMb) / tokenLayerMb : 0;
-        const double readPerMs = engine->second.readTokensPerSecond / 1000;
-        target.readMsPerTokenLayer
-            = readPerMs > 0 ? kind.readFactor / readPerMs / std::max(engine->second.layers, 1U) : 0;
+        const double prefillPerMs = engine->second.prefillTokensPerSecond / 1000;
+        target.prefillMsPerTokenLayer
+            = prefillPerMs > 0 ? kind.prefillFactor / prefillPerMs / std::max(engine->second.layers, 1U) : 0;
     }
 }
 
-std::size_t target_pool::domainNumber(const std::string& name)
+std::size_t target_pool::domainIndex(const std::string& name)
 {
     const auto known = std::find(m_domains.begin(), m_domains.end(), name);
     if (known != m_domains.end())
@@ -121,7 +121,8 @@
     return m_domains.size() - 1;
 }
 
-std::optional<selection> target_pool::select(const std::string& service, const choice_bounds& bounds, steady_time now)
+std::optional<selection> target_pool::select(
+    const std::string& service, const selection_constraints& bounds, steady_time now)
 {
     const auto engine = m_engines.find(service);
     if (engine != m_engines.end() && engine->second.layers > 0)
@@ -129,63 +130,65 @@
     return selectOne(service, bounds, now);
 }
 
-bool target_pool::isOpen(const registry::target_record& record)
+bool target_pool::acceptsWork(const registry::target_record& record)
 {
     return record.state == registry::target_state::Ready || record.state == registry::target_state::Lost;
 }
 
-std::vector<target_pool::pool_target*> target_pool::usable(
+std::vector<target_pool::pool_target*> target_pool::usableTargets(
     const std::string& service, const std::set<registry::target_incarnation>& excluded)
 {
     std::vector<pool_target*> found;
     for (auto& [id, target] : m_targets) {
-        if (isOpen(target.record) && !target.saysLeaving && target.record.service == service && !excluded.contains(id))
+        if (acceptsWork(target.record) && !target.announcedLeaving && target.record.service == service
+            && !excluded.contains(id))
             found.push_back(&target);
     }
     return found;
 }
 
-double target_pool::doubtMs(const pool_target& target, steady_time now)
+double target_pool::failurePenaltyMs(const pool_target& target, steady_time now)
 {
-    double doubt = failureMs * target.failureShare;
+    double doubt = failedAttemptMs * target.failureShare;
     if (target.record.state == registry::target_state::Lost)
-        doubt += lostMs;
-    if (now < std::max(target.avoidUntil, target.restUntil))
-        doubt += avoidedMs;
+        doubt += lostPenaltyMs;
+    if (now < std::max(target.avoidUntil, target.backoffUntil))
+        doubt += backoffPenaltyMs;
     return doubt;
 }
 
 std::optional<selection> target_pool::selectPath(
-    const std::string& service, const layered_engine& engine, const choice_bounds& bounds, steady_time now)
+    const std::string& service, const layered_engine& engine, const selection_constraints& bounds, steady_time now)
 {
-    countChoice(now);
-    const auto targets = usable(service, bounds.excluded);
-    const path_weights roomFirst { 1.0 / engine.stepsPerPass, comfortableForRoom };
-    auto chosen = findSelection(targets, engine, bounds, roomFirst, now);
-    const double safeMs = safePartOfGap * static_cast<double>(bounds.eventGapTarget.count());
+    recordSelection(now);
+    const auto targets = usableTargets(service, bounds.excluded);
+    const path_weights spreadLoad { 1.0 / engine.stepsPerPass, spreadMemoryThreshold };
+    auto chosen = findSelection(targets, engine, bounds, spreadLoad, now);
+    const double safeMs = safeGapShare * static_cast<double>(bounds.eventGapTarget.count());
     if (!chosen || safeMs <= 0 || chosen->expectedPassMs <= safeMs)
         return chosen;
-    return findSelection(targets, engine, bounds, { 1, comfortableForPace }, now);
+    return findSelection(targets, engine, bounds, { 1, latencyMemoryThreshold }, now);
 }
 
 std::optional<selection> target_pool::findSelection(std::span<pool_target* const> targets, const layered_engine& engine,
-    const choice_bounds& bounds, const path_weights& weights, steady_time now)
+    const selection_constraints& bounds, const path_weights& weights, steady_time now)
 {
     std::uniform_real_distribution<double> jitter(1, 1 + jitterShare);
     std::vector<path_candidate> candidates;
     candidates.reserve(targets.size());
     for (const auto* target : targets) {
         const auto pass = passTime(*target, engine);
-        const double pace = weights.pace * slownessOf(*target, now) * jitter(m_random);
-        const double extraMs = doubtMs(*target, now) + limitCostMs(*target, now)
-            + crowdingMs(*target, weights.comfortableMemory) + pass.sharedMs * pace;
-        const bool isAllowed = bounds.firstOnly.empty() || bounds.firstOnly.contains(target->record.incarnation());
-        candidates.push_back({ target->record.layers, target->domain, pass.perLayerMs * pace, extraMs,
-            isAllowed && takesNow(*target, now) });
+        const double pace = weights.passFactor * slowdownOf(*target, now) * jitter(m_random);
+        const double fixedMs = failurePenaltyMs(*target, now) + limitPenaltyMs(*target, now)
+            + congestionMs(*target, weights.memoryThreshold) + pass.sharedMs * pace;
+        const bool isAllowed
+            = bounds.allowedFirst.empty() || bounds.allowedFirst.contains(target->record.incarnation());
+        candidates.push_back({ target->record.layers, target->domain, pass.perLayerMs * pace, fixedMs,
+            isAllowed && acceptsNow(*target, now) });
     }
     path_costs costs;
     costs.crossingMs = crossingMs(engine);
-    costs.pipeWaitMs = pipeWaits(engine);
+    costs.pipeWaitMs = linkWaits(engine);
     const auto path = findPath(candidates, engine.layers, m_domains.size(), 0, costs);
     if (path.empty())
         return std::nullopt;
@@ -198,40 +201,41 @@
         chosen.parts.push_back({ record.incarnation(), record.address, part.layers, target.domain });
         const auto pass = passTime(target, engine);
         chosen.expectedPassMs += path_costs().perPartMs + pass.sharedMs + pass.perLayerMs * part.layers.size();
-        doubtful += doubtMs(target, now) + crowdingMs(target, weights.comfortableMemory) > 0 ? 1 : 0;
-        chosen.hasRoom = chosen.hasRoom && hasRoom(target, now);
-        fullest = std::max(fullest, fullnessOf(target));
+        doubtful += failurePenaltyMs(target, now) + congestionMs(target, weights.memoryThreshold) > 0 ? 1 : 0;
+        chosen.hasCapacity = chosen.hasCapacity && hasCapacity(target, now);
+        fullest = std::max(fullest, memoryUse(target));
     }
-    chosen.summary = std::to_string(targets.size()) + " usable, " + std::to_string(path.size()) + " parts, "
+    chosen.summary = std::to_string(targets.size()) + " usableTargets, " + std::to_string(path.size()) + " parts, "
         + std::to_string(doubtful) + " doubtful, fullest " + std::to_string(std::lround(fullest * percent))
         + "%, loads "
-        + (m_loadsAreTold
-                ? std::to_string(std::chrono::duration_cast<milliseconds>(now - m_loadsToldAt).count()) + " ms old"
+        + (m_hasOtherGatewayLoads
+                ? std::to_string(std::chrono::duration_cast<milliseconds>(now - m_otherGatewayLoadsAt).count())
+                    + " ms old"
                 : "not told")
         + describeLimit(*targets[path.front().candidate], now);
     return chosen;
 }
 
 std::optional<selection> target_pool::selectOne(
-    const std::string& service, const choice_bounds& bounds, steady_time now)
+    const std::string& service, const selection_constraints& bounds, steady_time now)
 {
-    auto targets = usable(service, bounds.excluded);
-    if (!bounds.firstOnly.empty())
+    auto targets = usableTargets(service, bounds.excluded);
+    if (!bounds.allowedFirst.empty())
         std::erase_if(
-            targets, [&bounds](const auto* one) { return !bounds.firstOnly.contains(one->record.incarnation()); });
-    std::erase_if(targets, [now](const auto* one) { return !takesNow(*one, now); });
+            targets, [&bounds](const auto* one) { return !bounds.allowedFirst.contains(one->record.incarnation()); });
+    std::erase_if(targets, [now](const auto* one) { return !acceptsNow(*one, now); });
     std::uniform_real_distribution<double> draw(0, 1);
     const bool explores = draw(m_random) < exploreShare;
     const pool_target* best = nullptr;
     double bestCost = 0;
     for (const auto* target : targets) {
         const double waiting = target->sequences * loadScale() / std::max(target->record.slots, 1U);
-        const double answerMs = target->answerMs > 0 ? target->answerMs : unknownAnswerMs;
-        double cost
-            = answerMs * (1 + waiting) * (target->domain == 0 ? 1 : farFactor) * (1 + jitterShare * draw(m_random));
+        const double answerMs = target->answerMs > 0 ? target->answerMs : defaultAnswerMs;
+        double cost = answerMs * (1 + waiting) * (target->domain == 0 ? 1 : crossDomainFactor)
+            * (1 + jitterShare * draw(m_random));
         if (explores)
             cost = draw(m_random);
-        cost += doubtMs(*target, now) + limitCostMs(*target, now);
+        cost += failurePenaltyMs(*target, now) + limitPenaltyMs(*target, now);
         if (best == nullptr || cost < bestCost) {
             best = target;
             bestCost = cost;
@@ -241,46 +245,46 @@
         return std::nullopt;
     selection chosen;
     chosen.parts.push_back({ best->record.incarnation(), best->record.address, {}, best->domain });
-    chosen.summary = std::to_string(targets.size()) + " usable, expected "
+    chosen.summary = std::to_string(targets.size()) + " usableTargets, expected "
         + std::to_string(static_cast<int>(std::lround(bestCost))) + " ms" + describeLimit(*best, now);
     return chosen;
 }
 
-double target_pool::slownessOf(const pool_target& target, std::size_t kind, steady_time now)
+double target_pool::slowdownOf(const pool_target& target, std::size_t kind, steady_time now)
 {
-    if (target.slowness[kind] <= 1)
+    if (target.slowdown[kind] <= 1)
         return 1;
-    const auto since = std::chrono::duration_cast<milliseconds>(now - target.slownessFrom[kind]).count();
-    return 1 + (target.slowness[kind] - 1) * std::exp(-static_cast<double>(since) / slownessFadeMs);
+    const auto since = std::chrono::duration_cast<milliseconds>(now - target.slowdownSince[kind]).count();
+    return 1 + (target.slowdown[kind] - 1) * std::exp(-static_cast<double>(since) / slowdownDecayMs);
 }
 
-double target_pool::slownessOf(const pool_target& target, steady_time now)
+double target_pool::slowdownOf(const pool_target& target, steady_time now)
 {
     double most = 1;
-    for (std::size_t kind = 0; kind < paceKinds; ++kind)
-        most = std::max(most, slownessOf(target, kind, now));
+    for (std::size_t kind = 0; kind < latencyKindCount; ++kind)
+        most = std::max(most, slowdownOf(target, kind, now));
     return most;
 }
 
-void target_pool::paced(const selection& chosen, pace_kind kind, double ms, steady_time now)
+void target_pool::recordLatency(const selection& chosen, latency_kind kind, double ms, steady_time now)
 {
     if (chosen.expectedPassMs <= 0)
         return;
     const double pace = ms / chosen.expectedPassMs;
     const auto at = static_cast<std::size_t>(kind);
-    double& usual = m_usualPace[at];
+    double& usual = m_typicalLatencyRatio[at];
     if (usual == 0)
         usual = pace;
-    usual += (pace < usual ? usualPaceDown : usualPaceUp) * (pace - usual);
+    usual += (pace < usual ? typicalRatioDown : typicalRatioUp) * (pace - usual);
     const double against = pace / usual;
-    const double seen = against < soundSlowness[at] ? 1 : std::min(against, mostSlowness);
+    const double seen = against < normalSlowdown[at] ? 1 : std::min(against, maxSlowdown);
     for (const auto& part : chosen.parts) {
         const auto found = m_targets.find(part.target);
         if (found == m_targets.end())
             continue;
         auto& target = found->second;
-        target.slowness[at] = (1 - paceWeight) * slownessOf(target, at, now) + paceWeight * seen;
-        target.slownessFrom[at] = now;
+        target.slowdown[at] = (1 - slowdownWeight) * slowdownOf(target, at, now) + slowdownWeight * seen;
+        target.slowdownSince[at] = now;
     }
 }
 
@@ -308,21 +312,20 @@
     if (found == m_targets.end())
         return;
     auto& target = found->second;
-    const auto doubled = m_options.firstRefusalPause * (1U << std::min<std::size_t>(target.refusalsInRow, 8));
+    const auto doubled = m_options.initialRefusalBackoff * (1U << std::min<std::size_t>(target.refusalsInRow, 8));
     ++target.refusalsInRow;
-    target.avoidUntil
-        = std::max(target.avoidUntil, now + std::min<milliseconds>(doubled, m_options.longestRefusalPause));
-    if (target.refusalsInRow % m_options.suspiciousRefusals == 0)
-        m_newlyDark.push_back(id);
+    target.avoidUntil = std::max(target.avoidUntil, now + std::min<milliseconds>(doubled, m_options.maxRefusalBackoff));
+    if (target.refusalsInRow % m_options.refusalsUntilUnreachable == 0)
+        m_newlyUnreachable.push_back(id);
 }
 
-void target_pool::wentDark(const registry::target_incarnation& id, steady_time now)
+void target_pool::markUnreachable(const registry::target_incarnation& id, steady_time now)
 {
     const auto found = m_targets.find(id);
     if (found == m_targets.end())
         return;
-    found->second.avoidUntil = std::max(found->second.avoidUntil, now + m_options.darkPause);
-    m_newlyDark.push_back(id);
+    found->second.avoidUntil = std::max(found->second.avoidUntil, now + m_options.unreachableBackoff);
+    m_newlyUnreachable.push_back(id);
 }
 
 registry::target_incarnation target_pool::idAt(const std::string& address) const
@@ -335,16 +338,16 @@
     return {};
 }
 
-void target_pool::endedAt(const std::string& address)
+void target_pool::markEnded(const std::string& address)
 {
     for (auto& [id, target] : m_targets)
         target.hasEnded = target.hasEnded || target.record.address == address;
 }
 
-void target_pool::silentAt(const std::string& address)
+void target_pool::markUnresponsive(const std::string& address)
 {
     for (auto& [id, target] : m_targets)
-        target.isSilent = target.isSilent || target.record.address == address;
+        target.isUnresponsive = target.isUnresponsive || target.record.address == address;
 }
 
 bool target_pool::hasEnded(const registry::target_incarnation& id) const
@@ -353,7 +356,7 @@
     if (found == m_targets.end())
         return true;
     const auto& target = found->second;
-    return target.hasEnded || (target.isSilent && target.record.state == registry::target_state::Lost);
+    return target.hasEnded || (target.isUnresponsive && target.record.state == registry::target_state::Lost);
 }
 
 bool target_pool::isGone(const registry::target_incarnation& id) const
@@ -367,7 +370,7 @@
     const auto found = m_targets.find(id);
     if (found == m_targets.end())
         return false;
-    return found->second.saysLeaving || !isOpen(found->second.record);
+    return found->second.announcedLeaving || !acceptsWork(found->second.record);
 }
 
 bool target_pool::wasReplaced(const registry::target_incarnation& id) const
@@ -378,7 +381,7 @@
     return later != m_targets.end() && later->first.id == id.id;
 }
 
-bool target_pool::gaveUp(const registry::target_incarnation& id, const registry::layer_range& layers) const
+bool target_pool::hasReleased(const registry::target_incarnation& id, const registry::layer_range& layers) const
 {
     if (layers.isEmpty() || isGone(id))
         return false;
--- a/src/buckthornrail/gateway/target_pool_limits.cpp
+++ b/src/buckthornrail/gateway/target_pool_limits.cpp
@@ -9,18 +9,18 @@
 namespace {
 
 /// What nobody has heard again for so long holds no more.
-constexpr milliseconds limitsKeep { 60000 };
+constexpr milliseconds limitLifetime { 60000 };
 /// Other gateways are told of a limit that is heard again at most so often.
-constexpr milliseconds renewal { 1000 };
+constexpr milliseconds announcementInterval { 1000 };
 /// So many answers in a row without a limit tell that it is over: a target in need isn't flooded for one that lacks it.
-constexpr std::uint32_t answersToEnd = 2;
+constexpr std::uint32_t answersToClear = 2;
 /// A limit that wasn't heard again for so long makes its target no dearer: it is tried again, at the pace that it
 /// named, as only an answer tells that the limit is over.
-constexpr milliseconds freshTime { 5000 };
+constexpr milliseconds limitFreshness { 5000 };
 /// A target with a limit costs as much as one whose memory is full: it is in need, and is used where others cost more.
-constexpr double limitedMs = 160;
+constexpr double limitedPenaltyMs = 160;
 /// Callers that were refused while all targets rest come back over so long a time after the first rest is over.
-constexpr milliseconds restSpread { 500 };
+constexpr milliseconds retrySpread { 500 };
 
 std::uint64_t keyOf(const registry::target_incarnation& id) { return XXH3_64bits(id.id.data(), id.id.size()); }
 
@@ -28,9 +28,9 @@
 
 std::string text(const std::optional<double>& perSecond) { return perSecond ? std::to_string(*perSecond) : "none"; }
 
-std::optional<double> target_pool::perSecondOf(const named_limit& limit)
+std::optional<double> target_pool::perSecondOf(const advertised_limit& limit)
 {
-    return limit.pacing ? std::optional(limit.pacing->perSecond()) : std::nullopt;
+    return limit.limiter ? std::optional(limit.limiter->perSecond()) : std::nullopt;
 }
 
 limit_change target_pool::setLimit(const registry::target_incarnation& id, pool_target& target,
@@ -42,44 +42,45 @@
         change.before = perSecondOf(*limit);
         change.beforeAge = between(limit->heardAt, now);
     } else {
-        limit.emplace(named_limit { std::nullopt, heardAt, false, {}, 0 });
+        limit.emplace(advertised_limit { std::nullopt, heardAt, false, {}, 0 });
     }
     limit->heardAt = heardAt;
-    limit->answersWithout = 0;
+    limit->answersWithoutLimit = 0;
     if (!perSecond) {
-        limit->pacing.reset();
-    } else if (!limit->pacing) {
+        limit->limiter.reset();
+    } else if (!limit->limiter) {
         std::uniform_real_distribution<double> phase(0, 1);
-        limit->pacing.emplace(*perSecond, keyOf(id), phase(m_random), m_share, now);
-    } else if (change.isOne()) {
-        limit->pacing->change(*perSecond, m_share, now);
+        limit->limiter.emplace(*perSecond, keyOf(id), phase(m_random), m_share, now);
+    } else if (change.hasChanged()) {
+        limit->limiter->setRate(*perSecond, m_share, now);
     }
     return change;
 }
 
-std::optional<limit_change> target_pool::heard(const registry::target_incarnation& id, const target_pushback& said,
-    bool namesNone, steady_time sentAt, steady_time now)
+std::optional<limit_change> target_pool::recordPushback(const registry::target_incarnation& id,
+    const target_pushback& said, bool namesNone, steady_time sentAt, steady_time now)
 {
     const auto found = m_targets.find(id);
     if (found == m_targets.end())
         return std::nullopt;
-    if (said.rest)
-        found->second.restUntil = std::max(found->second.restUntil, now + *said.rest);
-    found->second.saysLeaving = found->second.saysLeaving || said.isLeaving;
+    if (said.retryAfter)
+        found->second.backoffUntil = std::max(found->second.backoffUntil, now + *said.retryAfter);
+    found->second.announcedLeaving = found->second.announcedLeaving || said.isLeaving;
     auto& limit = found->second.limit;
     if (!said.requestsPerSecond) {
         const bool saysNone = namesNone && said.unreadable.empty() && isLimited(found->second, now);
         // What was sent before it was heard may have been answered before it was named.
-        if (!saysNone || sentAt <= limit->heardAt || ++limit->answersWithout < answersToEnd)
+        if (!saysNone || sentAt <= limit->heardAt || ++limit->answersWithoutLimit < answersToClear)
             return std::nullopt;
     }
     const auto change = setLimit(id, found->second, said.requestsPerSecond, now, now);
     auto& known = *found->second.limit;
-    known.isNews = known.isNews || change.isOne() || (said.requestsPerSecond && now >= known.tellAt);
-    return change.isOne() ? std::optional(change) : std::nullopt;
+    known.isUnannounced
+        = known.isUnannounced || change.hasChanged() || (said.requestsPerSecond && now >= known.nextAnnouncementAt);
+    return change.hasChanged() ? std::optional(change) : std::nullopt;
 }
 
-std::vector<limit_change> target_pool::toldLimits(std::span<const registry::limit_news> news, steady_time now)
+std::vector<limit_change> target_pool::mergeRemoteLimits(std::span<const registry::limit_news> news, steady_time now)
 {
     std::vector<limit_change> changes;
     for (const auto& one : news) {
@@ -88,7 +89,7 @@
         if (found == m_targets.end() || (found->second.limit && heardAt <= found->second.limit->heardAt))
             continue;
         const auto change = setLimit(one.target, found->second, one.perSecond, heardAt, now);
-        if (change.isOne())
+        if (change.hasChanged())
             changes.push_back(change);
     }
     return changes;
@@ -99,11 +100,11 @@
     std::vector<registry::limit_news> news;
     for (auto& [id, target] : m_targets) {
         auto& limit = target.limit;
-        if (!limit || (!limit->isNews && !all) || now >= limit->heardAt + limitsKeep)
+        if (!limit || (!limit->isUnannounced && !all) || now >= limit->heardAt + limitLifetime)
             continue;
         news.push_back({ id, perSecondOf(*limit), static_cast<std::uint32_t>(between(limit->heardAt, now).count()) });
-        limit->isNews = false;
-        limit->tellAt = now + renewal;
+        limit->isUnannounced = false;
+        limit->nextAnnouncementAt = now + announcementInterval;
     }
     return news;
 }
@@ -113,33 +114,33 @@
     if (std::exchange(m_share, share) == share)
         return;
     for (auto& [id, target] : m_targets) {
-        if (target.limit && target.limit->pacing)
-            target.limit->pacing->shareChanged(share, now);
+        if (target.limit && target.limit->limiter)
+            target.limit->limiter->setShare(share, now);
     }
 }
 
-std::vector<registry::target_incarnation> target_pool::leavingUnknown() const
+std::vector<registry::target_incarnation> target_pool::unreportedLeaving() const
 {
     std::vector<registry::target_incarnation> found;
     for (const auto& [id, target] : m_targets) {
-        if (target.saysLeaving && isOpen(target.record))
+        if (target.announcedLeaving && acceptsWork(target.record))
             found.push_back(id);
     }
     return found;
 }
 
-std::vector<held_target> target_pool::heldTargets(steady_time now) const
+std::vector<restricted_target> target_pool::restrictedTargets(steady_time now) const
 {
-    std::vector<held_target> found;
+    std::vector<restricted_target> found;
     for (const auto& [id, target] : m_targets) {
-        held_target held { id, std::nullopt, milliseconds(0), milliseconds(0), false };
+        restricted_target held { id, std::nullopt, milliseconds(0), milliseconds(0), false };
         if (isLimited(target, now)) {
-            held.perSecond = target.limit->pacing->perSecond();
-            held.heardAgo = between(target.limit->heardAt, now);
+            held.perSecond = target.limit->limiter->perSecond();
+            held.limitAge = between(target.limit->heardAt, now);
         }
-        held.restLeft = std::max(milliseconds(0), between(now, target.restUntil));
-        held.isLeaving = target.saysLeaving || target.record.state == registry::target_state::Draining;
-        if (held.perSecond || held.isLeaving || held.restLeft > milliseconds(0))
+        held.backoffLeft = std::max(milliseconds(0), between(now, target.backoffUntil));
+        held.isLeaving = target.announcedLeaving || target.record.state == registry::target_state::Draining;
+        if (held.perSecond || held.isLeaving || held.backoffLeft > milliseconds(0))
             found.push_back(held);
     }
     return found;
@@ -153,50 +154,50 @@
 
 bool target_pool::isLimited(const pool_target& target, steady_time now)
 {
-    return target.limit && target.limit->pacing && now < target.limit->heardAt + limitsKeep;
+    return target.limit && target.limit->limiter && now < target.limit->heardAt + limitLifetime;
 }
 
-bool target_pool::takesNow(const pool_target& target, steady_time now)
+bool target_pool::acceptsNow(const pool_target& target, steady_time now)
 {
-    return !target.saysLeaving && now >= target.restUntil
-        && (!isLimited(target, now) || target.limit->pacing->maySend(now));
+    return !target.announcedLeaving && now >= target.backoffUntil
+        && (!isLimited(target, now) || target.limit->limiter->maySend(now));
 }
 
 bool target_pool::maySend(const registry::target_incarnation& id, steady_time now) const
 {
     const auto found = m_targets.find(id);
-    return found == m_targets.end() || takesNow(found->second, now);
+    return found == m_targets.end() || acceptsNow(found->second, now);
 }
 
 void target_pool::noteSent(const registry::target_incarnation& id, steady_time now)
 {
     const auto found = m_targets.find(id);
     if (found != m_targets.end() && isLimited(found->second, now))
-        found->second.limit->pacing->sent(now);
+        found->second.limit->limiter->noteSent(now);
 }
 
-double target_pool::limitCostMs(const pool_target& target, steady_time now)
+double target_pool::limitPenaltyMs(const pool_target& target, steady_time now)
 {
-    return isLimited(target, now) && now < target.limit->heardAt + freshTime ? limitedMs : 0;
+    return isLimited(target, now) && now < target.limit->heardAt + limitFreshness ? limitedPenaltyMs : 0;
 }
 
-std::optional<steady_time> target_pool::roomExpectedAt(const std::string& service, steady_time now)
+std::optional<steady_time> target_pool::earliestSendAt(const std::string& service, steady_time now)
 {
     const auto engine = m_engines.find(service);
     const bool isLayered = engine != m_engines.end() && engine->second.layers > 0;
     std::optional<steady_time> soonest;
     steady_time::duration spread {};
-    for (const auto* target : usable(service, {})) {
+    for (const auto* target : usableTargets(service, {})) {
         const auto& layers = target->record.layers;
         if (isLayered && (layers.isEmpty() || layers.first > 0))
             continue; // no path begins there
-        if (takesNow(*target, now))
+        if (acceptsNow(*target, now))
             return std::nullopt;
         const bool limited = isLimited(*target, now);
-        const auto at = std::max(target->restUntil, limited ? target->limit->pacing->roomAt(now) : now);
+        const auto at = std::max(target->backoffUntil, limited ? target->limit->limiter->nextSendAt(now) : now);
         if (!soonest || at < *soonest) {
             soonest = at;
-            spread = limited ? target->limit->pacing->interval() : restSpread;
+            spread = limited ? target->limit->limiter->interval() : retrySpread;
         }
     }
     if (!soonest)
@@ -209,7 +210,7 @@
 {
     if (!isLimited(first, now))
         return {};
-    return ", first takes " + std::to_string(first.limit->pacing->perSecond()) + " a second, heard "
+    return ", first takes " + std::to_string(first.limit->limiter->perSecond()) + " a second, heard "
         + std::to_string(between(first.limit->heardAt, now).count()) + " ms ago";
 }
 
--- a/tests/support/exchange_bench.hpp
+++ b/tests/support/exchange_bench.hpp
@@ -90,7 +90,7 @@
         one.name = "r";
         one.kind = kind;
         one.resumable = resumable;
-        one.longestWait = milliseconds(1000);
+        one.timeout = milliseconds(1000);
         one.latencyTarget = milliseconds(100);
         one.maxAttempts = 2;
         one.services = { { "s", 1 } };
