--- a/src/buckthornrail/gateway/target_pool.cpp
+++ b/src/buckthornrail/gateway/target_pool.cpp
@@ -205,7 +205,7 @@
         chosen.hasCapacity = chosen.hasCapacity && hasCapacity(target, now);
         fullest = std::max(fullest, memoryUse(target));
     }
-    chosen.summary = std::to_string(targets.size()) + " usableTargets, " + std::to_string(path.size()) + " parts, "
+    chosen.summary = std::to_string(targets.size()) + " usable, " + std::to_string(path.size()) + " parts, "
         + std::to_string(doubtful) + " doubtful, fullest " + std::to_string(std::lround(fullest * percent))
         + "%, loads "
         + (m_hasOtherGatewayLoads
@@ -245,7 +245,7 @@
         return std::nullopt;
     selection chosen;
     chosen.parts.push_back({ best->record.incarnation(), best->record.address, {}, best->domain });
-    chosen.summary = std::to_string(targets.size()) + " usableTargets, expected "
+    chosen.summary = std::to_string(targets.size()) + " usable, expected "
         + std::to_string(static_cast<int>(std::lround(bestCost))) + " ms" + describeLimit(*best, now);
     return chosen;
 }
