--- a/include/buckthornrail/gateway/target_pool.hpp
+++ b/include/buckthornrail/gateway/target_pool.hpp
@@ -142,9 +142,9 @@
     std::optional<limit_change> recordPushback(const registry::target_incarnation& id, const target_pushback& said,
         bool namesNone, steady_time sentAt, steady_time now);
     /// @brief Other gateways heard of limits. @return what changes by it
-    std::vector<limit_change> mergeRemoteLimits(std::span<const registry::limit_news> news, steady_time now);
+    std::vector<limit_change> mergeRemoteLimits(std::span<const registry::limit_news> reports, steady_time now);
     /// @brief Limits heard here since the last call, for the other gateways. @param all also those told before
-    std::vector<registry::limit_news> takeLimitNews(bool all, steady_time now);
+    std::vector<registry::limit_news> takeLimitReports(bool all, steady_time now);
     /// @brief Limits are shared among all gateways.
     void setShare(const gateway_share& share, steady_time now);
     /// @brief Whether a target may be sent something now, by what it has said: a request as the first of a path, or a
--- a/src/app/gateway/gateway.cpp
+++ b/src/app/gateway/gateway.cpp
@@ -69,7 +69,7 @@
                   m_context.confirmBy = {};
                   resumeWaiting();
               },
-              [this](bool all) { return m_context.pool.takeLimitNews(all, steadyNow()); },
+              [this](bool all) { return m_context.pool.takeLimitReports(all, steadyNow()); },
               [this](const std::vector<registry::limit_news>& news) { onLimits(news); },
               [this] { return m_context.pool.unreportedLeaving(); },
           })
--- a/src/buckthornrail/gateway/target_limit_test.cpp
+++ b/src/buckthornrail/gateway/target_limit_test.cpp
@@ -145,19 +145,19 @@
     exchange_bench bench(request_kind::Safe, false, false);
     const registry::target_incarnation a0 = "a0";
     tell(bench.pool, "b0", 3, 0);
-    CHECK(bench.pool.takeLimitNews(false, at(0)).empty()); // it is the others' own
+    CHECK(bench.pool.takeLimitReports(false, at(0)).empty()); // it is the others' own
     (void)bench.pool.recordPushback(a0, { 1, {} }, true, at(0), at(100));
-    const auto news = bench.pool.takeLimitNews(false, at(150));
-    REQUIRE(news.size() == 1);
-    CHECK(news.front() == registry::limit_news { a0, 1, 50 });
+    const auto reports = bench.pool.takeLimitReports(false, at(150));
+    REQUIRE(reports.size() == 1);
+    CHECK(reports.front() == registry::limit_news { a0, 1, 50 });
     (void)bench.pool.recordPushback(a0, { 1, {} }, true, at(200), at(300));
-    CHECK(bench.pool.takeLimitNews(false, at(300)).empty());
+    CHECK(bench.pool.takeLimitReports(false, at(300)).empty());
     (void)bench.pool.recordPushback(a0, { 1, {} }, true, at(1200), at(1300));
-    CHECK(bench.pool.takeLimitNews(false, at(1300)).size() == 1); // that it holds on, once a second
+    CHECK(bench.pool.takeLimitReports(false, at(1300)).size() == 1); // that it holds on, once a second
     (void)bench.pool.recordPushback(a0, { {}, {} }, true, at(1400), at(1500));
     (void)bench.pool.recordPushback(a0, { {}, {} }, true, at(1400), at(1500));
-    CHECK(bench.pool.takeLimitNews(false, at(1500)).size() == 1);
-    CHECK(bench.pool.takeLimitNews(true, at(1500)).size() == 2); // a new session: everything
+    CHECK(bench.pool.takeLimitReports(false, at(1500)).size() == 1);
+    CHECK(bench.pool.takeLimitReports(true, at(1500)).size() == 2); // a new session: everything
 }
 
 // Guards against limits that an earlier life of a target named.
--- a/src/buckthornrail/gateway/target_pool_limits.cpp
+++ b/src/buckthornrail/gateway/target_pool_limits.cpp
@@ -80,10 +80,10 @@
     return change.hasChanged() ? std::optional(change) : std::nullopt;
 }
 
-std::vector<limit_change> target_pool::mergeRemoteLimits(std::span<const registry::limit_news> news, steady_time now)
+std::vector<limit_change> target_pool::mergeRemoteLimits(std::span<const registry::limit_news> reports, steady_time now)
 {
     std::vector<limit_change> changes;
-    for (const auto& one : news) {
+    for (const auto& one : reports) {
         const auto found = m_targets.find(one.target);
         const steady_time heardAt = now - milliseconds(one.ageMs);
         if (found == m_targets.end() || (found->second.limit && heardAt <= found->second.limit->heardAt))
@@ -95,18 +95,18 @@
     return changes;
 }
 
-std::vector<registry::limit_news> target_pool::takeLimitNews(bool all, steady_time now)
+std::vector<registry::limit_news> target_pool::takeLimitReports(bool all, steady_time now)
 {
-    std::vector<registry::limit_news> news;
+    std::vector<registry::limit_news> reports;
     for (auto& [id, target] : m_targets) {
         auto& limit = target.limit;
         if (!limit || (!limit->isUnannounced && !all) || now >= limit->heardAt + limitLifetime)
             continue;
-        news.push_back({ id, perSecondOf(*limit), static_cast<std::uint32_t>(between(limit->heardAt, now).count()) });
+        reports.push_back({ id, perSecondOf(*limit), static_cast<std::uint32_t>(between(limit->heardAt, now).count()) });
         limit->isUnannounced = false;
         limit->nextAnnouncementAt = now + announcementInterval;
     }
-    return news;
+    return reports;
 }
 
 void target_pool::setShare(const gateway_share& share, steady_time now)
