--- a/include/buckthornrail/gateway/target_pool.hpp
+++ b/include/buckthornrail/gateway/target_pool.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The targets that a gateway may send to: what the controllers say of them, and what it has seen itself.
+/// @brief Selects the targets of each attempt from the controllers' table and from this gateway's own observations.
 #pragma once
 
 #include "buckthornrail/gateway/layer_path.hpp"
@@ -16,221 +16,233 @@
 
 namespace buckthornrail::gateway {
 
-/// A target that was picked, with the layers that it is to run.
+/// A selected target and the layers that it runs for the attempt.
 struct selected_part {
     registry::target_incarnation target;
     std::string address;
     registry::layer_range layers; ///< empty for a service without layers
-    std::size_t domain = 0; ///< number of its failure domain in the pool, also once the pool doesn't know it any more
+    std::size_t domain = 0; ///< index of its failure domain in the pool; stays valid after the pool drops the target
     bool operator==(const selected_part&) const = default;
 };
 
-/// Where one attempt goes: the first part takes the request.
+/// The targets of one attempt. The request is sent to the first part.
 struct selection {
     std::vector<selected_part> parts;
-    double expectedPassMs = 0; ///< from one event to the next over all parts at the present load; 0: not a path
-    bool hasCapacity = true; ///< each part has memory for what is open there, or will have within a first event's time
-    std::string summary; ///< for logs: how many were to be had, and what the choice is expected to cost
+    double expectedPassMs = 0; ///< expected time between two events at the present load; 0: not a path over layers
+    bool hasCapacity
+        = true; ///< every part has memory for its open attempts, or will have before the first event is due
+    std::string summary; ///< for logs: number of usable targets and expected cost
 };
 
-/// What a choice may not do.
+/// Restrictions on a selection.
 struct selection_constraints {
-    std::set<registry::target_incarnation> excluded; ///< not to use
-    std::set<registry::target_incarnation> allowedFirst; ///< that may take the request; empty: any
-    milliseconds eventGapTarget { 0 }; ///< pauses between a stream's events are on time up to it; 0: none
+    std::set<registry::target_incarnation> excluded; ///< targets not to use
+    std::set<registry::target_incarnation> allowedFirst; ///< targets that may be the first part; empty: any
+    milliseconds eventGapTarget { 0 }; ///< longest pause between two events of a stream that is still on time; 0: none
 };
 
-/// What a target says in a response on how it wants to be treated.
+/// Flow control signals of a target, read from one of its responses.
 struct target_pushback {
-    std::optional<double> requestsPerSecond; ///< that it takes from all gateways together; nothing: it names no limit
-    std::string unreadable; ///< name and value of a field that can't be read, for logs; empty: none
-    std::optional<milliseconds>
-        retryAfter {}; ///< it wants nothing from this gateway for so long; nothing: it doesn't say
-    bool isLeaving = false; ///< it takes no new work, and ends soon
+    std::optional<double> requestsPerSecond; ///< rate limit for all gateways together; empty: the response names none
+    std::string unreadable; ///< for logs: name and value of a field that can't be parsed; empty: none
+    std::optional<milliseconds> retryAfter {}; ///< this gateway is to send nothing for this time; empty: not requested
+    bool isLeaving = false; ///< it takes no new work and will exit soon
     bool operator==(const target_pushback&) const = default;
 };
 
-/// A rate limit of a target that holds in place of another one.
+/// A target's rate limit before and after an update.
 struct limit_change {
     registry::target_incarnation target;
-    std::optional<double> before; ///< requests a second; nothing: no limit
-    std::optional<double> after;
-    milliseconds beforeAge { 0 }; ///< since the one before was heard last
-    /// @brief Whether anything is another than before.
+    std::optional<double> before; ///< in requests per second; empty: no limit
+    std::optional<double> after; ///< in requests per second; empty: no limit
+    milliseconds beforeAge { 0 }; ///< time since the previous limit was last confirmed
+    /// @brief Whether the limit differs from the previous one.
     [[nodiscard]] bool hasChanged() const { return before != after; }
 };
 
-/// What a target has said of how it wants to be treated, for operators.
+/// A target that is rate limited, in backoff or leaving, for the operators' list.
 struct restricted_target {
     registry::target_incarnation target;
-    std::optional<double> perSecond; ///< that it takes from all gateways; nothing: no limit
-    milliseconds limitAge { 0 }; ///< of the limit
+    std::optional<double> perSecond; ///< rate limit for all gateways together; empty: no limit
+    milliseconds limitAge { 0 }; ///< time since the limit was last confirmed
     milliseconds backoffLeft { 0 };
     bool isLeaving = false;
 };
 
-/// @brief For logs: a limit in requests a second, or that there is none.
+/// @brief Formats a limit for logs. @param perSecond in requests per second @return the number, or "none"
 std::string text(const std::optional<double>& perSecond);
 
-/// What of a stream is timed.
+/// Latencies of a stream that are measured separately.
 enum class latency_kind : std::uint8_t {
-    FirstEvent, ///< reading the prompt, with all that waits before it
+    FirstEvent, ///< prefill, including the time in queues
     NextEvent,
 };
 inline constexpr std::size_t latencyKindCount = 2;
 
-/// Tokens that a request brings, as far as it says.
+/// Tokens of a request, as far as it states them.
 struct request_size {
     double promptTokens = 0;
-    double answerTokens = 0;
+    double answerTokens = 0; ///< upper bound that the caller names
 };
 
 struct pool_options {
-    std::string ownDomain; ///< of the gateway
-    /// A target that was named as dark is left alone until controllers have surely noticed.
+    std::string ownDomain; ///< failure domain of this gateway
+    /// How long a target that was reported as unreachable is avoided. Covers the time that controllers need to notice.
     milliseconds unreachableBackoff { 5000 };
-    /// A target that is full, or doesn't hold what it was thought to, is left alone for so long: a few steps of an
-    /// engine. The pause doubles with each refusal in a row, up to the time within which controllers tell of a change.
+    /// Backoff after a target refuses a request because it is full or doesn't hold the expected layers: a few steps of
+    /// an engine. Doubles with each consecutive refusal, up to the maximum, which is the time within which controllers
+    /// report a change.
     milliseconds initialRefusalBackoff { 100 };
     milliseconds maxRefusalBackoff { 2000 };
-    /// After so many refusals in a row a target is told of as dark; controllers then look for themselves.
+    /// Consecutive refusals after which a target is reported as unreachable, so that the controllers probe it.
     std::size_t refusalsUntilUnreachable = 3;
 };
 
-/// @brief Picks targets by what a request would take there. Callers pass the time in.
+/// @brief Selects targets by estimated cost and keeps the state that the estimate needs. Callers pass the time in.
 class target_pool {
 public:
+    /// @param options own domain and backoff times
+    /// @param seed of the random numbers for jitter, exploration and spreading
     target_pool(pool_options options, std::uint64_t seed);
 
-    /// @brief Takes the controllers' table over. A later life of a target begins with nothing of what was seen of the
-    /// one before: neither work nor doubt.
-    /// @return addresses of lives that weren't known before
+    /// @brief Replaces the table of targets. A new incarnation of a target starts without the load and the failure
+    /// history of the previous one.
+    /// @param records the controllers' table by target id
+    /// @return addresses of incarnations that were not known before
     std::vector<std::string> update(const std::map<std::string, registry::target_record>& records);
-    /// @brief How the engines of a service work.
+    /// @brief Sets the performance model of a service's engines. @param engine empty: a service without layers
     void setEngine(const std::string& service, const std::optional<layered_engine>& engine);
-    /// @brief How many gateways there are, and how many attempts the others have under way. As long as their loads
-    /// aren't told by target, they are taken to be spread like this one's.
+    /// @brief Sets the number of gateways and the number of open attempts at the other ones. While the other gateways'
+    /// loads by target are unknown, they are assumed to be distributed like the loads of this gateway.
     void setOtherGateways(std::size_t gateways, std::size_t openAttempts);
-    /// @brief Work of the others' attempts at the targets told of last; a row of another length says nothing.
+    /// @brief Sets the load of the other gateways by target.
+    /// @param row in the order of the target ids of the last update(); ignored if its length differs from the table's
     void setOtherGatewayLoads(const registry::load_row& row, steady_time now);
-    /// @brief Work of this gateway's attempts, for the others.
+    /// @brief Load of this gateway by target, to be reported to the others.
     [[nodiscard]] registry::load_row loads() const;
     [[nodiscard]] std::size_t openAttempts() const { return m_openAttempts; }
 
-    /// @brief Picks a target, or a path over several.
-    /// @return nothing when no ready target, or no path over all layers, is left
+    /// @brief Selects a target, or a path over several targets for a service with layers.
+    /// @return empty when no usable target, or no path that covers all layers, is left
     std::optional<selection> select(const std::string& service, const selection_constraints& bounds, steady_time now);
 
-    /// @brief Counts an attempt at its targets, and out again.
+    /// @brief Adds an attempt to the load of its targets, until attemptEnded().
     void attemptStarted(const selection& chosen, const request_size& size);
-    /// @brief The first event has come: no target of the path reads the prompt any more.
+    /// @brief The first event has arrived: no target of the path is in prefill for this attempt any more.
     void prefillFinished(const selection& chosen, const request_size& size);
-    /// @param isPrefillFinished prefillFinished() was told of
+    /// @param isPrefillFinished whether prefillFinished() was called for the attempt
     void attemptEnded(const selection& chosen, const request_size& size, bool isPrefillFinished);
 
-    /// @brief A stream over a path took so long for something. Members of paths that are slower than expected, against
-    /// all others, cost more for a while.
+    /// @brief Records a latency of a stream over a path. Targets on paths that are slower than expected, relative to
+    /// all other paths, cost more for a while.
     void recordLatency(const selection& chosen, latency_kind kind, double ms, steady_time now);
-    /// @brief The target answered. @param answerMs how long that took, for targets without layers
+    /// @brief The target answered. @param answerMs time to the answer, used for targets without layers
     void succeeded(const registry::target_incarnation& id, double answerMs);
     /// @brief The target failed an attempt.
     void failed(const registry::target_incarnation& id);
-    /// @brief The target named a limit, or none any more, asked for rest, or leaves. @param sentAt when the request
-    /// that it answers was sent
-    /// @param namesNone whether a response without a limit says that there is none
-    /// @return how its limit changes by it, if it does
+    /// @brief Records the flow control signals of a response.
+    /// @param namesNone whether a response without a limit means that there is none
+    /// @param sentAt when the request that it answers was sent
+    /// @return the change of the target's limit, if it changed
     std::optional<limit_change> recordPushback(const registry::target_incarnation& id, const target_pushback& said,
         bool namesNone, steady_time sentAt, steady_time now);
-    /// @brief Other gateways heard of limits. @return what changes by it
+    /// @brief Merges limits that other gateways received; the most recently confirmed one wins.
+    /// @return the limits that changed
     std::vector<limit_change> mergeRemoteLimits(std::span<const registry::limit_news> reports, steady_time now);
-    /// @brief Limits heard here since the last call, for the other gateways. @param all also those told before
+    /// @brief Limits received here since the last call, to be sent to the other gateways.
+    /// @param all also those that were already sent
     std::vector<registry::limit_news> takeLimitReports(bool all, steady_time now);
-    /// @brief Limits are shared among all gateways.
+    /// @brief Sets this gateway's share of the rate limits.
     void setShare(const gateway_share& share, steady_time now);
-    /// @brief Whether a target may be sent something now, by what it has said: a request as the first of a path, or a
-    /// question. All that is sent to a target asks here, or was selected here.
+    /// @brief Whether the target's limit, backoff and leaving state allow sending now. Must be checked before sending
+    /// anything that wasn't selected here, such as probes.
     [[nodiscard]] bool maySend(const registry::target_incarnation& id, steady_time now) const;
-    /// @brief Something is being sent to a target.
+    /// @brief Counts a request or a probe against the target's rate limit.
     void noteSent(const registry::target_incarnation& id, steady_time now);
-    /// @brief When a service that may be sent nothing now may be sent something, later for some callers than for
-    /// others so that they don't come back together. @return nothing while limits aren't what is in the way
+    /// @brief Earliest time at which a target of the service may be sent a request, plus random jitter so that refused
+    /// callers don't return at the same moment.
+    /// @return empty unless limits or backoffs block all targets
     std::optional<steady_time> earliestSendAt(const std::string& service, steady_time now);
-    /// @brief Targets that said in a response that they leave, and that the controllers' table doesn't show so.
+    /// @brief Targets that announced in a response that they are leaving while the controllers' table shows them open.
     [[nodiscard]] std::vector<registry::target_incarnation> unreportedLeaving() const;
-    /// @brief Targets that are limited, resting or leaving.
+    /// @brief Targets that are rate limited, in backoff or leaving.
     [[nodiscard]] std::vector<restricted_target> restrictedTargets(steady_time now) const;
-    /// @brief Targets under a limit.
+    /// @brief Number of rate-limited targets.
     [[nodiscard]] std::size_t limitedCount(steady_time now) const;
-    /// @brief The target takes nothing just now, or another one says so of it.
+    /// @brief The target, or another target on its behalf, refused a request. It is avoided for the refusal backoff.
     void refused(const registry::target_incarnation& id, steady_time now);
-    /// @brief The target is dead or cut off.
+    /// @brief The target is dead or cut off. It is avoided and will be reported to the controllers.
     void markUnreachable(const registry::target_incarnation& id, steady_time now);
-    /// @brief Targets that went dark since the last call.
+    /// @brief Targets that became unreachable since the last call.
     std::vector<registry::target_incarnation> takeUnreachable() { return std::exchange(m_newlyUnreachable, {}); }
-    /// @brief The target at an address; empty when there is none.
+    /// @brief The target at an address; a default-constructed id when there is none.
     [[nodiscard]] registry::target_incarnation idAt(const std::string& address) const;
-    /// @brief Nothing listens at an address any more: whoever was there has ended.
+    /// @brief The address refuses connections: the process that listened there has ended.
     void markEnded(const std::string& address);
-    /// @brief An address gives no answer: its machine is gone, cut off, or the question was lost twice.
+    /// @brief The address doesn't respond: its machine is down or cut off, or the probe was lost twice.
     void markUnresponsive(const std::string& address);
-    /// @brief Whether a target has surely ended: its address refuses connections, or is silent here and its heartbeats
-    /// have stopped too. One that leaves has not, nor one that has said its last word: it may serve on for seconds.
+    /// @brief Whether a target has certainly ended: its address refuses connections, or it doesn't respond here and its
+    /// heartbeats have stopped too. A leaving target, or one that has signed off, may still serve for seconds and
+    /// doesn't count.
     [[nodiscard]] bool hasEnded(const registry::target_incarnation& id) const;
-    /// @brief Whether a target has said its last word, or isn't known any more.
+    /// @brief Whether a target has signed off with the controllers, or is unknown.
     [[nodiscard]] bool isGone(const registry::target_incarnation& id) const;
-    /// @brief Whether a target has said that it leaves, or its last word.
+    /// @brief Whether a target has announced that it leaves, or has signed off.
     [[nodiscard]] bool isLeaving(const registry::target_incarnation& id) const;
-    /// @brief Whether a later life of the same target is known: what ran there has ended.
+    /// @brief Whether a later incarnation of the target is known, so that the given one has ended.
     [[nodiscard]] bool wasReplaced(const registry::target_incarnation& id) const;
-    /// @brief Whether a target has given layers up that it held: it holds others now, and has not ended.
+    /// @brief Whether a target that is still running no longer holds some of the given layers.
     [[nodiscard]] bool hasReleased(const registry::target_incarnation& id, const registry::layer_range& layers) const;
-    /// @brief Targets of a service that take new work.
+    /// @brief Number of targets of a service in the state Ready.
     [[nodiscard]] std::size_t readyCount(const std::string& service) const;
 
 private:
-    /// What a target has named last.
+    /// The rate limit that a target named last.
     struct advertised_limit {
-        std::optional<rate_limiter> limiter; ///< nothing: it takes any number
-        steady_time heardAt {}; ///< last, by any gateway
-        bool isUnannounced = false; ///< heard here, and not told to the other gateways
-        steady_time nextAnnouncementAt {}; ///< they are told no sooner that it holds on
-        std::uint32_t answersWithoutLimit = 0; ///< in a row, to requests that were sent since it was heard
+        std::optional<rate_limiter> limiter; ///< empty: no limit
+        steady_time heardAt {}; ///< last confirmation by any gateway
+        bool isUnannounced = false; ///< received here and not yet sent to the other gateways
+        steady_time nextAnnouncementAt {}; ///< an unchanged limit isn't announced again before
+        /// Consecutive responses without a limit to requests that were sent after the last confirmation.
+        std::uint32_t answersWithoutLimit = 0;
     };
 
     struct pool_target {
         registry::target_record record;
         std::optional<advertised_limit> limit;
-        steady_time backoffUntil {}; ///< it wants nothing from this gateway before
-        bool announcedLeaving = false; ///< in its responses; the controllers may not know it yet
+        steady_time backoffUntil {}; ///< from the target's Retry-After
+        bool announcedLeaving = false; ///< in a response; the controllers may not know it yet
         std::size_t domain = 0;
         double sequences = 0; ///< attempts of this gateway in flight
         double tokenLayers = 0; ///< key-value memory that they need, in tokens times layers
-        double prefillTokenLayers = 0; ///< prompts that no event has followed yet, in the same unit
-        double otherGatewaysTokenLayers = 0; ///< of other gateways' attempts, as told last
-        double tokenLayersAtReport = 0; ///< own ones at that moment
+        double prefillTokenLayers = 0; ///< prompts of attempts without a first event yet, in the same unit
+        double otherGatewaysTokenLayers = 0; ///< of the other gateways' attempts, from their last report
+        double tokenLayersAtReport = 0; ///< value of tokenLayers at the time of that report
         double answerMs = 0; ///< moving average; 0: not known
-        double failureShare = 0; ///< moving average of attempts that failed
+        double failureShare = 0; ///< moving average of the share of failed attempts
         std::size_t refusalsInRow = 0;
-        std::array<double, latencyKindCount> slowdown { 1, 1 }; ///< of paths over it, times what was expected
-        std::array<steady_time, latencyKindCount> slowdownSince {}; ///< it fades from then on
-        steady_time avoidUntil {};
+        /// Latency of paths over the target, relative to the typical one.
+        std::array<double, latencyKindCount> slowdown { 1, 1 };
+        std::array<steady_time, latencyKindCount> slowdownSince {}; ///< start of its decay
+        steady_time avoidUntil {}; ///< backoff of this gateway after refusals or a loss of contact
         double stepFactor = 1;
-        double memoryTokenLayers = 0; ///< room for requests, at the layers held now
+        double memoryTokenLayers = 0; ///< memory for requests beside the weights of the layers held now
         double prefillMsPerTokenLayer = 0;
         bool hasEnded = false; ///< its address refused a connection
-        bool isUnresponsive = false; ///< its address gave no answer, and its heartbeats have not come back since
+        bool isUnresponsive = false; ///< its address didn't respond, and its heartbeats haven't resumed since
     };
 
-    /// A pass of an engine as a stream sees it.
+    /// Time of one engine pass for a stream.
     struct pass_time {
-        double sharedMs = 0; ///< however many layers it runs: the other sequences' part, and half a pass of waiting
+        /// Independent of the number of layers run: the other sequences' part and the mean wait of half a pass.
+        double sharedMs = 0;
         double perLayerMs = 0;
     };
 
-    /// What counts for a path, beside doubt and crossings.
+    /// Weights of a path search, besides penalties and domain crossings.
     struct path_weights {
-        double passFactor = 1; ///< times what the passes of engines take, of which each makes several tokens
-        double memoryThreshold = 0; ///< share of its memory from which on a target costs more
+        double passFactor = 1; ///< multiplies the time of an engine pass, which generates several tokens
+        double memoryThreshold = 0; ///< memory use above which a target costs more, as a share of its memory
     };
 
     std::optional<selection> selectPath(
@@ -239,19 +251,20 @@
         const std::string& service, const selection_constraints& bounds, steady_time now);
     std::optional<selection> findSelection(std::span<pool_target* const> targets, const layered_engine& engine,
         const selection_constraints& bounds, const path_weights& weights, steady_time now);
-    /// @brief Whether a target takes new work, as the controllers know.
+    /// @brief Whether a target takes new work according to the controllers.
     [[nodiscard]] static bool acceptsWork(const registry::target_record& record);
     [[nodiscard]] std::vector<pool_target*> usableTargets(
         const std::string& service, const std::set<registry::target_incarnation>& excluded);
-    /// @brief Load of all gateways over that of this one.
+    /// @brief Ratio of the load of all gateways to the load of this one.
     [[nodiscard]] double loadScale() const;
-    /// @brief Work of all gateways at a target, as far as it is known.
+    /// @brief Estimated load of all gateways at a target, in tokens times layers.
     [[nodiscard]] double totalTokenLayers(const pool_target& target) const;
-    /// @brief Gateways of one domain: what makes one of them send much elsewhere meets the others as well.
+    /// @brief Mean number of gateways in a domain. Gateways of one domain see the same conditions and tend to make the
+    /// same choices, so this gateway's recent changes are multiplied by it.
     [[nodiscard]] double gatewaysPerDomain() const;
-    /// @brief Memory that all open attempts need at a target, over what it has.
+    /// @brief Memory that all open attempts need at a target, as a share of what it has.
     [[nodiscard]] double memoryUse(const pool_target& target) const;
-    /// @brief Whether a target has room, as far as the others told of their work lately.
+    /// @brief Whether a target has memory for its open attempts; true while the others' loads are unknown or outdated.
     [[nodiscard]] bool hasCapacity(const pool_target& target, steady_time now) const;
     [[nodiscard]] double congestionMs(const pool_target& target, double memoryThreshold) const;
     limit_change setLimit(const registry::target_incarnation& id, pool_target& target, std::optional<double> perSecond,
@@ -260,15 +273,17 @@
     [[nodiscard]] static bool isLimited(const pool_target& target, steady_time now);
     [[nodiscard]] static bool acceptsNow(const pool_target& target, steady_time now);
     [[nodiscard]] static double limitPenaltyMs(const pool_target& target, steady_time now);
-    /// @brief For logs: what a first target has named, and how long ago; empty for one that names no limit.
+    /// @brief For logs: limit and age of the limit of a path's first target; empty without a limit.
     [[nodiscard]] static std::string describeLimit(const pool_target& first, steady_time now);
     void recordSelection(steady_time now);
-    /// @brief What a path costs more for each crossing between domains.
+    /// @brief Cost of each crossing between domains on a path.
     [[nodiscard]] double crossingMs(const layered_engine& engine) const;
+    /// @brief Time until the queued prompts have crossed, at [from * domains + to].
     [[nodiscard]] std::vector<double> linkWaits(const layered_engine& engine) const;
     void addPrefill(const selection& chosen, double promptTokens);
+    /// @brief Cost of a target's failures, lost heartbeats and backoff.
     [[nodiscard]] static double failurePenaltyMs(const pool_target& target, steady_time now);
-    /// @brief What a stream's tokens take at a target for each pass of its engine.
+    /// @brief Time of a stream at a target for each pass of its engine.
     [[nodiscard]] pass_time passTime(const pool_target& target, const layered_engine& engine) const;
     [[nodiscard]] static double slowdownOf(const pool_target& target, steady_time now);
     [[nodiscard]] static double slowdownOf(const pool_target& target, std::size_t kind, steady_time now);
@@ -285,15 +300,15 @@
     steady_time m_lastSelectionAt {};
     bool m_hasOtherGatewayLoads = false;
     steady_time m_otherGatewayLoadsAt {};
-    std::map<std::pair<std::size_t, std::size_t>, double>
-        m_prefillCrossings; ///< tokens of prompts, by domains from and to
+    /// Prompt tokens of attempts in prefill that cross between domains, by source and destination domain.
+    std::map<std::pair<std::size_t, std::size_t>, double> m_prefillCrossings;
     std::map<registry::target_incarnation, pool_target> m_targets;
     std::map<std::string, layered_engine> m_engines;
     gateway_share m_share;
-    /// Times over the expected time of a token, on sound paths; 0: not known.
+    /// Typical ratio of measured to expected latency on paths without trouble; 0: not known.
     std::array<double, latencyKindCount> m_typicalLatencyRatio {};
     std::vector<registry::target_incarnation> m_newlyUnreachable;
-    std::vector<std::string> m_domains; ///< the own one first
+    std::vector<std::string> m_domains; ///< the gateway's own domain is the first
 };
 
 } // namespace buckthornrail::gateway
--- a/src/buckthornrail/gateway/target_pool.cpp
+++ b/src/buckthornrail/gateway/target_pool.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Choosing among targets.
+/// @brief Selection of targets, and the failure and latency history behind it.
 #include "buckthornrail/gateway/target_pool.hpp"
 
 #include <algorithm>
@@ -9,40 +9,40 @@
 namespace {
 
 constexpr double bytesPerMb = 1e6;
-/// Weight of the newest answer in a target's moving average: about the last ten count.
+/// Weight of a new sample in a target's moving averages: about the last ten samples count.
 constexpr double newestWeight = 0.2;
-/// Taken for a target that hasn't answered yet, so that it is tried beside known ones.
+/// Assumed for a target that hasn't answered yet, so that it is tried alongside known ones.
 constexpr double defaultAnswerMs = 10;
-/// What was seen of a path's pace counts for this part of what is known of its members.
+/// Weight of a new latency sample of a path in the slowdown of its targets.
 constexpr double slowdownWeight = 0.3;
-/// The usual pace follows sound paths: down at once, up slowly.
+/// The typical latency ratio follows the paths without trouble: it falls fast and rises slowly.
 constexpr double typicalRatioDown = 0.2;
 constexpr double typicalRatioUp = 0.005;
-/// Below these a path counts as sound: engines' steps vary by so much with the prompts that they read meanwhile, and
-/// the first event with the length of its own prompt and of those before it.
+/// Slowdowns below these are normal variation. The time to the first event depends on the lengths of its own prompt and
+/// of those queued before it, the time between events on the prefills that run in between.
 constexpr std::array<double, latencyKindCount> normalSlowdown { 4, 1.5 };
 constexpr double maxSlowdown = 20;
-/// A slow target is tried again as its slowdown fades: to a third after this time.
+/// A slow target is tried again as its slowdown decays: to about a third after this time.
 constexpr double slowdownDecayMs = 6000;
-/// A target in another domain must be so much sooner to be chosen: bytes between domains are paid for.
+/// Cost factor of a target in another domain, as traffic between domains is billed.
 constexpr double crossDomainFactor = 1.3;
-/// A share of choices is drawn at random, so that a target that was slow once is measured again.
+/// Share of selections that are made at random, so that a target that was slow once is measured again.
 constexpr double exploreShare = 0.02;
 constexpr double percent = 100;
-/// Costs are varied by so much, so that gateways don't all pick the same of two equal targets.
+/// Random variation of costs, so that gateways don't all select the same one of two equal targets.
 constexpr double jitterShare = 0.1;
-/// Cost of using a target that failed lately, or whose heartbeats stopped: several times a whole chain of the slowest
-/// accelerators, so it happens only where no other way is left.
-constexpr double failedAttemptMs = 300; ///< what a failed attempt costs a caller, times the share of them
+/// Penalties of a target that failed recently, is in backoff or has lost its heartbeats. They are several times the
+/// cost of a whole chain of the slowest accelerators, so such a target is used only where no other path is left.
+constexpr double failedAttemptMs = 300; ///< cost of a failed attempt, multiplied by the share of failures
 constexpr double backoffPenaltyMs = 1000;
 constexpr double lostPenaltyMs = 2000;
 
-/// A path whose events are expected within this part of the gap target is safe: prompts that are read between two
-/// passes, and a lost packet, take about as much again.
+/// A path is safe if its events are expected within this share of the gap target: prefills between two passes, or a
+/// lost packet, can double the time.
 constexpr double safeGapShare = 0.35;
-/// Share of its memory from which on a target costs more. Where all paths are soon enough, work is spread early: a full
-/// target refuses, or preempts what it has begun. Where slow accelerators would make a stream late, fast ones are
-/// filled.
+/// Share of memory use above which a target costs more. While all paths are fast enough, load is spread early, because
+/// a full target refuses requests or preempts running ones. Where slow accelerators would miss the gap target, fast
+/// ones are filled further.
 constexpr double spreadMemoryThreshold = 0.75;
 constexpr double latencyMemoryThreshold = 0.95;
 
@@ -57,13 +57,13 @@
 
 std::vector<std::string> target_pool::update(const std::map<std::string, registry::target_record>& records)
 {
-    const bool isSameSet = m_targets.size() == records.size()
+    const bool isUnchanged = m_targets.size() == records.size()
         && std::equal(m_targets.begin(), m_targets.end(), records.begin(),
-            [](const auto& held, const auto& told) { return held.first == told.second.incarnation(); });
-    m_hasOtherGatewayLoads = m_hasOtherGatewayLoads && isSameSet;
+            [](const auto& held, const auto& reported) { return held.first == reported.second.incarnation(); });
+    m_hasOtherGatewayLoads = m_hasOtherGatewayLoads && isUnchanged;
     std::erase_if(m_targets, [&records](const auto& item) {
-        const auto told = records.find(item.first.id);
-        return told == records.end() || told->second.incarnation() != item.first;
+        const auto reported = records.find(item.first.id);
+        return reported == records.end() || reported->second.incarnation() != item.first;
     });
     std::vector<std::string> newAddresses;
     for (const auto& [id, record] : records) {
@@ -149,12 +149,12 @@
 
 double target_pool::failurePenaltyMs(const pool_target& target, steady_time now)
 {
-    double doubt = failedAttemptMs * target.failureShare;
+    double penalty = failedAttemptMs * target.failureShare;
     if (target.record.state == registry::target_state::Lost)
-        doubt += lostPenaltyMs;
+        penalty += lostPenaltyMs;
     if (now < std::max(target.avoidUntil, target.backoffUntil))
-        doubt += backoffPenaltyMs;
-    return doubt;
+        penalty += backoffPenaltyMs;
+    return penalty;
 }
 
 std::optional<selection> target_pool::selectPath(
@@ -178,12 +178,12 @@
     candidates.reserve(targets.size());
     for (const auto* target : targets) {
         const auto pass = passTime(*target, engine);
-        const double pace = weights.passFactor * slowdownOf(*target, now) * jitter(m_random);
+        const double passFactor = weights.passFactor * slowdownOf(*target, now) * jitter(m_random);
         const double fixedMs = failurePenaltyMs(*target, now) + limitPenaltyMs(*target, now)
-            + congestionMs(*target, weights.memoryThreshold) + pass.sharedMs * pace;
+            + congestionMs(*target, weights.memoryThreshold) + pass.sharedMs * passFactor;
         const bool isAllowed
             = bounds.allowedFirst.empty() || bounds.allowedFirst.contains(target->record.incarnation());
-        candidates.push_back({ target->record.layers, target->domain, pass.perLayerMs * pace, fixedMs,
+        candidates.push_back({ target->record.layers, target->domain, pass.perLayerMs * passFactor, fixedMs,
             isAllowed && acceptsNow(*target, now) });
     }
     path_costs costs;
@@ -193,7 +193,7 @@
     if (path.empty())
         return std::nullopt;
     selection chosen;
-    std::size_t doubtful = 0;
+    std::size_t penalized = 0;
     double fullest = 0;
     for (const auto& part : path) {
         const auto& record = targets[part.candidate]->record;
@@ -201,17 +201,17 @@
         chosen.parts.push_back({ record.incarnation(), record.address, part.layers, target.domain });
         const auto pass = passTime(target, engine);
         chosen.expectedPassMs += path_costs().perPartMs + pass.sharedMs + pass.perLayerMs * part.layers.size();
-        doubtful += failurePenaltyMs(target, now) + congestionMs(target, weights.memoryThreshold) > 0 ? 1 : 0;
+        penalized += failurePenaltyMs(target, now) + congestionMs(target, weights.memoryThreshold) > 0 ? 1 : 0;
         chosen.hasCapacity = chosen.hasCapacity && hasCapacity(target, now);
         fullest = std::max(fullest, memoryUse(target));
     }
     chosen.summary = std::to_string(targets.size()) + " usable, " + std::to_string(path.size()) + " parts, "
-        + std::to_string(doubtful) + " doubtful, fullest " + std::to_string(std::lround(fullest * percent))
+        + std::to_string(penalized) + " penalized, highest memory use " + std::to_string(std::lround(fullest * percent))
         + "%, loads "
         + (m_hasOtherGatewayLoads
                 ? std::to_string(std::chrono::duration_cast<milliseconds>(now - m_otherGatewayLoadsAt).count())
                     + " ms old"
-                : "not told")
+                : "unknown")
         + describeLimit(*targets[path.front().candidate], now);
     return chosen;
 }
@@ -270,20 +270,20 @@
 {
     if (chosen.expectedPassMs <= 0)
         return;
-    const double pace = ms / chosen.expectedPassMs;
+    const double ratio = ms / chosen.expectedPassMs;
     const auto at = static_cast<std::size_t>(kind);
-    double& usual = m_typicalLatencyRatio[at];
-    if (usual == 0)
-        usual = pace;
-    usual += (pace < usual ? typicalRatioDown : typicalRatioUp) * (pace - usual);
-    const double against = pace / usual;
-    const double seen = against < normalSlowdown[at] ? 1 : std::min(against, maxSlowdown);
+    double& typical = m_typicalLatencyRatio[at];
+    if (typical == 0)
+        typical = ratio;
+    typical += (ratio < typical ? typicalRatioDown : typicalRatioUp) * (ratio - typical);
+    const double relative = ratio / typical;
+    const double measured = relative < normalSlowdown[at] ? 1 : std::min(relative, maxSlowdown);
     for (const auto& part : chosen.parts) {
         const auto found = m_targets.find(part.target);
         if (found == m_targets.end())
             continue;
         auto& target = found->second;
-        target.slowdown[at] = (1 - slowdownWeight) * slowdownOf(target, at, now) + slowdownWeight * seen;
+        target.slowdown[at] = (1 - slowdownWeight) * slowdownOf(target, at, now) + slowdownWeight * measured;
         target.slowdownSince[at] = now;
     }
 }
@@ -312,9 +312,9 @@
     if (found == m_targets.end())
         return;
     auto& target = found->second;
-    const auto doubled = m_options.initialRefusalBackoff * (1U << std::min<std::size_t>(target.refusalsInRow, 8));
+    const auto backoff = m_options.initialRefusalBackoff * (1U << std::min<std::size_t>(target.refusalsInRow, 8));
     ++target.refusalsInRow;
-    target.avoidUntil = std::max(target.avoidUntil, now + std::min<milliseconds>(doubled, m_options.maxRefusalBackoff));
+    target.avoidUntil = std::max(target.avoidUntil, now + std::min<milliseconds>(backoff, m_options.maxRefusalBackoff));
     if (target.refusalsInRow % m_options.refusalsUntilUnreachable == 0)
         m_newlyUnreachable.push_back(id);
 }
@@ -331,8 +331,8 @@
 registry::target_incarnation target_pool::idAt(const std::string& address) const
 {
     for (const auto& [id, target] : m_targets) {
-        const bool isOver = target.record.state == registry::target_state::Gone;
-        if (!isOver && target.record.address == address)
+        const bool hasSignedOff = target.record.state == registry::target_state::Gone;
+        if (!hasSignedOff && target.record.address == address)
             return id;
     }
     return {};
--- a/src/buckthornrail/gateway/target_pool_limits.cpp
+++ b/src/buckthornrail/gateway/target_pool_limits.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What targets name of how they want to be treated, and whether something may be sent to them now.
+/// @brief Rate limits, backoff and leaving of targets, and whether a target may be sent something now.
 #include "buckthornrail/gateway/target_pool.hpp"
 
 #include <algorithm>
@@ -8,18 +8,19 @@
 namespace buckthornrail::gateway {
 namespace {
 
-/// What nobody has heard again for so long holds no more.
+/// A limit that no gateway has seen confirmed for this time expires.
 constexpr milliseconds limitLifetime { 60000 };
-/// Other gateways are told of a limit that is heard again at most so often.
+/// Minimum time between two announcements of an unchanged limit to the other gateways.
 constexpr milliseconds announcementInterval { 1000 };
-/// So many answers in a row without a limit tell that it is over: a target in need isn't flooded for one that lacks it.
+/// Consecutive responses without a limit that clear it: a single response that lacks it must not flood an overloaded
+/// target.
 constexpr std::uint32_t answersToClear = 2;
-/// A limit that wasn't heard again for so long makes its target no dearer: it is tried again, at the pace that it
-/// named, as only an answer tells that the limit is over.
+/// A limit that wasn't confirmed for this time no longer makes its target cost more. The target is then tried again
+/// within its limit, as only a response can show that the limit has been lifted.
 constexpr milliseconds limitFreshness { 5000 };
-/// A target with a limit costs as much as one whose memory is full: it is in need, and is used where others cost more.
+/// Penalty of a rate-limited target, the same as for full memory: it is overloaded, and used where others cost more.
 constexpr double limitedPenaltyMs = 160;
-/// Callers that were refused while all targets rest come back over so long a time after the first rest is over.
+/// Callers that were refused while all targets were in backoff retry over this time after the first backoff ends.
 constexpr milliseconds retrySpread { 500 };
 
 std::uint64_t keyOf(const registry::target_incarnation& id) { return XXH3_64bits(id.id.data(), id.id.size()); }
@@ -68,9 +69,9 @@
     found->second.announcedLeaving = found->second.announcedLeaving || said.isLeaving;
     auto& limit = found->second.limit;
     if (!said.requestsPerSecond) {
-        const bool saysNone = namesNone && said.unreadable.empty() && isLimited(found->second, now);
-        // What was sent before it was heard may have been answered before it was named.
-        if (!saysNone || sentAt <= limit->heardAt || ++limit->answersWithoutLimit < answersToClear)
+        const bool reportsNoLimit = namesNone && said.unreadable.empty() && isLimited(found->second, now);
+        // A request sent before the limit was received may have been answered before the target set the limit.
+        if (!reportsNoLimit || sentAt <= limit->heardAt || ++limit->answersWithoutLimit < answersToClear)
             return std::nullopt;
     }
     const auto change = setLimit(id, found->second, said.requestsPerSecond, now, now);
@@ -102,7 +103,8 @@
         auto& limit = target.limit;
         if (!limit || (!limit->isUnannounced && !all) || now >= limit->heardAt + limitLifetime)
             continue;
-        reports.push_back({ id, perSecondOf(*limit), static_cast<std::uint32_t>(between(limit->heardAt, now).count()) });
+        reports.push_back(
+            { id, perSecondOf(*limit), static_cast<std::uint32_t>(between(limit->heardAt, now).count()) });
         limit->isUnannounced = false;
         limit->nextAnnouncementAt = now + announcementInterval;
     }
@@ -190,7 +192,7 @@
     for (const auto* target : usableTargets(service, {})) {
         const auto& layers = target->record.layers;
         if (isLayered && (layers.isEmpty() || layers.first > 0))
-            continue; // no path begins there
+            continue; // can't be the first part of a path
         if (acceptsNow(*target, now))
             return std::nullopt;
         const bool limited = isLimited(*target, now);
@@ -202,15 +204,15 @@
     }
     if (!soonest)
         return std::nullopt;
-    std::uniform_real_distribution<double> part(0, 1);
-    return *soonest + std::chrono::duration_cast<steady_time::duration>(spread * part(m_random));
+    std::uniform_real_distribution<double> jitter(0, 1);
+    return *soonest + std::chrono::duration_cast<steady_time::duration>(spread * jitter(m_random));
 }
 
 std::string target_pool::describeLimit(const pool_target& first, steady_time now)
 {
     if (!isLimited(first, now))
         return {};
-    return ", first takes " + std::to_string(first.limit->limiter->perSecond()) + " a second, heard "
+    return ", first target limited to " + std::to_string(first.limit->limiter->perSecond()) + " requests/s, confirmed "
         + std::to_string(between(first.limit->heardAt, now).count()) + " ms ago";
 }
 
--- a/src/buckthornrail/gateway/target_pool_load.cpp
+++ b/src/buckthornrail/gateway/target_pool_load.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Work at targets, of this gateway and of all, and what it makes them cost.
+/// @brief Load of targets by this gateway and by all, and the cost that follows from it.
 #include "buckthornrail/gateway/target_pool.hpp"
 
 #include <algorithm>
@@ -8,22 +8,22 @@
 namespace buckthornrail::gateway {
 namespace {
 
-/// A target without room costs as much as two crossings between domains: a full engine preempts requests, and refuses
-/// new ones.
+/// Cost of a target whose memory is full, equal to two crossings between domains: a full engine preempts requests and
+/// refuses new ones.
 constexpr double fullMemoryMs = 160;
-/// Part of a target's memory that may be asked for beyond what it has: streams last about two seconds, so as much comes
-/// free again within half a second, a usual latency target of first events. Gateways that decide at the same moment
-/// don't see each other's requests yet, so each takes its part of it.
+/// Share of a target's memory that may be requested beyond what it has. Streams last about two seconds, so this much is
+/// released within half a second, a common latency target of first events. Gateways that decide at the same time don't
+/// see each other's requests yet, so each uses only its part of it.
 constexpr double memoryOvercommit = 0.3;
-constexpr double maxCongestionMs = 600; ///< less than a target that refused just now
-/// Prompts that take so long to read at a target may wait there; what is beyond it counts as much as it takes. Latency
-/// targets of first events are 500 ms and more.
+constexpr double maxCongestionMs = 600; ///< less than the penalty of a target that has just refused
+/// Prefill time that may be queued at a target at no cost, as latency targets of first events are 500 ms and more. Any
+/// time beyond it is added to the cost.
 constexpr double freePrefillMs = 60;
-constexpr double loadUnit = 1000; ///< of load_row
-/// Nobody is refused by loads that were told longer ago: gateways tell them every 100 ms, and without a leader for a
-/// second nobody does; half of what was open then has ended.
+constexpr double loadUnit = 1000; ///< unit of load_row, in tokens times layers
+/// Loads older than this refuse no requests. Gateways report them every 100 ms, but not while there is no leader; after
+/// a second half of the attempts of that time have ended.
 constexpr milliseconds loadLifetime { 1000 };
-/// The rate of choices is an average over about so long: a few residence times of a stream.
+/// Time constant of the average rate of selections: a few durations of a stream.
 constexpr double selectionRateSeconds = 5;
 
 } // namespace
@@ -37,9 +37,10 @@
 {
     if (!m_hasOtherGatewayLoads)
         return target.tokenLayers * loadScale();
-    // What came on here since the others told came on at other gateways too: they leave a dead member together.
-    const double grown = std::max(0.0, target.tokenLayers - target.tokenLayersAtReport);
-    return target.tokenLayers + target.otherGatewaysTokenLayers + grown * (gatewaysPerDomain() - 1);
+    // Load added here since the last report was likely added at the other gateways of the domain as well: they all move
+    // away from a failed target at the same time.
+    const double added = std::max(0.0, target.tokenLayers - target.tokenLayersAtReport);
+    return target.tokenLayers + target.otherGatewaysTokenLayers + added * (gatewaysPerDomain() - 1);
 }
 
 target_pool::pass_time target_pool::passTime(const pool_target& target, const layered_engine& engine) const
@@ -71,9 +72,9 @@
 
 double target_pool::congestionMs(const pool_target& target, double memoryThreshold) const
 {
-    const double full = std::max(0.0, memoryUse(target) - memoryThreshold) / (1 - memoryThreshold);
-    const double readMs = target.prefillTokenLayers * target.prefillMsPerTokenLayer * gatewaysPerDomain();
-    return std::min(maxCongestionMs, full * fullMemoryMs) + std::max(0.0, readMs - freePrefillMs);
+    const double excess = std::max(0.0, memoryUse(target) - memoryThreshold) / (1 - memoryThreshold);
+    const double prefillMs = target.prefillTokenLayers * target.prefillMsPerTokenLayer * gatewaysPerDomain();
+    return std::min(maxCongestionMs, excess * fullMemoryMs) + std::max(0.0, prefillMs - freePrefillMs);
 }
 
 void target_pool::recordSelection(steady_time now)
@@ -85,7 +86,8 @@
 
 double target_pool::crossingMs(const layered_engine& engine) const
 {
-    // Gateways see the same crowded members and cross together: what counts is the pipe's use if all traffic did.
+    // All gateways see the same congested targets and start to cross at the same time, so the link's utilization is
+    // estimated as if all traffic crossed.
     constexpr double msPerSecond = 1000;
     const double promptMs = engine.usualPromptTokens * engine.pipeMsPerToken();
     const double pipeUse = m_selectionsPerSecond * m_gateways * promptMs / msPerSecond;
@@ -97,8 +99,8 @@
     const std::size_t count = m_domains.size();
     std::vector<double> waits(count * count, 0);
     const double msPerToken = engine.pipeMsPerToken();
-    for (const auto& [between, tokens] : m_prefillCrossings)
-        waits[between.first * count + between.second] = tokens * msPerToken * gatewaysPerDomain();
+    for (const auto& [crossing, tokens] : m_prefillCrossings)
+        waits[crossing.first * count + crossing.second] = tokens * msPerToken * gatewaysPerDomain();
     return waits;
 }
 
@@ -107,7 +109,7 @@
     return 1 + m_othersOpenAttempts / std::max(static_cast<double>(m_openAttempts), 1.0);
 }
 
-/// Callers name the longest answer that they would take, which is the same for all and which few come near.
+/// The caller names an upper bound that few answers come near, so the service's typical answer length caps it.
 double target_pool::expectedTokens(const pool_target& target, const request_size& size) const
 {
     const auto engine = m_engines.find(target.record.service);
@@ -152,14 +154,14 @@
     for (const auto& part : chosen.parts) {
         const auto found = m_targets.find(part.target);
         if (found != m_targets.end()) {
-            auto& unread = found->second.prefillTokenLayers;
-            unread = std::max(0.0, unread + promptTokens * part.layers.size());
+            auto& prefill = found->second.prefillTokenLayers;
+            prefill = std::max(0.0, prefill + promptTokens * part.layers.size());
         }
-        const auto between
+        const auto crossing
             = before == nullptr ? std::pair<std::size_t, std::size_t>() : std::pair(before->domain, part.domain);
-        if (between.first != between.second) {
-            auto& waiting = m_prefillCrossings[between];
-            waiting = std::max(0.0, waiting + promptTokens);
+        if (crossing.first != crossing.second) {
+            auto& tokens = m_prefillCrossings[crossing];
+            tokens = std::max(0.0, tokens + promptTokens);
         }
         before = &part;
     }
