--- a/include/buckthornrail/gateway/layer_path.hpp
+++ b/include/buckthornrail/gateway/layer_path.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A way through targets that hold ranges of layers: every layer once, in order, at the least cost.
+/// @brief Cheapest path through targets that hold ranges of layers: runs every layer once, in order.
 #pragma once
 
 #include "buckthornrail/registry/target_record.hpp"
@@ -11,38 +11,42 @@
 
 namespace buckthornrail::gateway {
 
-/// A target as the search sees it.
+/// Input of the search: a target with its layers and costs.
 struct path_candidate {
     registry::layer_range layers;
-    std::size_t domain = 0; ///< number of its failure domain
-    double msPerLayer = 0; ///< time that a token takes here for each layer, at the present load
-    double fixedMs = 0; ///< for taking part at all: a target that failed lately is used only where no other is left
+    std::size_t domain = 0; ///< index of its failure domain
+    double msPerLayer = 0; ///< time of a token for each layer, at the present load
+    double fixedMs = 0; ///< cost of using the target at all, such as penalties for recent failures
     bool mayStart = true; ///< may run the first part
 };
 
-/// A part of a path: the candidate runs these layers, a piece of what it holds.
+/// A part of a path: the candidate runs these layers, a subrange of those it holds.
 struct path_part {
-    std::size_t candidate = 0; ///< position in the search's input
+    std::size_t candidate = 0; ///< index into the candidates
     registry::layer_range layers;
     bool operator==(const path_part&) const = default;
 };
 
 struct path_costs {
-    /// Handing a token on: a delay on the wire and a place in the next target's queue.
+    /// Cost of each hop: network latency and a place in the next target's queue.
     double perPartMs = 0.3;
-    /// The first target is in another domain than the caller's gateway: only events cross.
+    /// Cost of a first target outside the gateway's domain. Only events cross there.
     double remoteStartMs = 4;
-    /// Activations cross between domains and fill a pipe that all share: a usual prompt takes 14 ms of it. The traffic
-    /// of one domain may cross twice, so a path does it where the other domains' chains are crowded. For narrower pipes
-    /// the pool raises it.
+    /// Cost of a hop between domains, where activations share a link of limited bandwidth: a typical prompt occupies it
+    /// for 14 ms. The cost is higher than that, as the traffic of a domain may cross twice, so paths cross only where
+    /// the local chains are congested. For slower links the pool raises it.
     double crossingMs = 80;
-    /// Besides, what waits for the pipe from one domain to another: at [from * domains + to]; empty: nothing.
+    /// Added to crossingMs: time until the link from one domain to another is free, at [from * domains + to]; empty: 0.
     std::vector<double> pipeWaitMs;
 };
 
 /// @brief Finds the cheapest path over layers [0, layerCount).
-/// @param domainCount candidates' domains are below it; so is `startDomain`
-/// @return the parts in order, or nothing when the candidates leave a gap
+/// @param candidates targets; their domains are below `domainCount`
+/// @param layerCount layers of the model
+/// @param domainCount number of domains
+/// @param startDomain domain of the gateway, below `domainCount`
+/// @param costs costs of hops
+/// @return the parts in order; empty when the candidates don't cover all layers
 std::vector<path_part> findPath(std::span<const path_candidate> candidates, std::uint32_t layerCount,
     std::size_t domainCount, std::size_t startDomain, const path_costs& costs = {});
 
--- a/src/buckthornrail/gateway/layer_path.cpp
+++ b/src/buckthornrail/gateway/layer_path.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Shortest path over (layer, domain).
+/// @brief Shortest path by dynamic programming over (layer, domain).
 #include "buckthornrail/gateway/layer_path.hpp"
 
 #include <algorithm>
@@ -11,10 +11,10 @@
 constexpr double unreached = std::numeric_limits<double>::infinity();
 constexpr std::size_t noCandidate = std::numeric_limits<std::size_t>::max();
 
-/// Cheapest way to have run all layers below a point, with the last of them in a domain.
+/// Cheapest partial path that ends before a layer, with its last part in a given domain.
 struct waypoint {
     double cost = unreached;
-    std::size_t candidate = noCandidate; ///< that ran the last part
+    std::size_t candidate = noCandidate; ///< that runs the last part
     std::uint32_t fromLayer = 0;
     std::size_t fromDomain = 0;
 };
