--- a/src/buckthornrail/gateway/rate_limiter.cpp
+++ b/src/buckthornrail/gateway/rate_limiter.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Pacing by deadlines: each request moves the next one's by an interval.
+/// @brief Pacing by due times: each request moves the next one's due time by an interval.
 #include "buckthornrail/gateway/rate_limiter.hpp"
 
 #include <algorithm>
@@ -8,14 +8,15 @@
 namespace buckthornrail::gateway {
 namespace {
 
-/// Under any limit, also 0, all gateways together try one request in so many seconds: only an answer tells that the
-/// limit is over.
+/// Under any limit, even 0, all gateways together send one request in this time, as only a response can show that the
+/// limit has been lifted.
 constexpr double maxIntervalSeconds = 10;
-/// Each gateway that shares a limit may have one request saved up; so many seconds' requests, and a few more, are saved
-/// up by all at the maxSharers.
+/// Every gateway that shares a limit may accumulate credit for one request. The number of sharers, and with it the
+/// total of these credits, is at most this many seconds' worth of requests plus the extra credit.
 constexpr double creditSeconds = 2;
 constexpr double extraCredit = 3;
-/// Of these, a gateway saves up more than one as far as all together save up no more than so many seconds' requests.
+/// A gateway may accumulate credit for more than one request as long as the total stays below this many seconds' worth
+/// of requests plus the extra credit.
 constexpr double burstSeconds = 1;
 
 steady_time::duration seconds(double amount)
@@ -41,9 +42,9 @@
     const std::size_t sharers = std::min(share.gateways, maxSharers);
     m_isSharer = share.gateways > 0 && (share.ordinal + m_key) % share.gateways < sharers;
     const double intervalSeconds = static_cast<double>(std::max<std::size_t>(sharers, 1)) / limit;
-    const double saved = (burstSeconds * limit + extraCredit) / static_cast<double>(std::max<std::size_t>(sharers, 1));
+    const double credit = (burstSeconds * limit + extraCredit) / static_cast<double>(std::max<std::size_t>(sharers, 1));
     m_interval = seconds(intervalSeconds);
-    m_burst = seconds(intervalSeconds * std::max(0.0, saved - 1));
+    m_burst = seconds(intervalSeconds * std::max(0.0, credit - 1));
 }
 
 void rate_limiter::setRate(double perSecond, const gateway_share& share, steady_time now)
@@ -56,9 +57,9 @@
 {
     const bool wasSharer = m_isSharer;
     updatePace(share);
-    // One that begins to share has saved nothing up; one whose interval was longer doesn't wait for its end.
-    const auto whole = now + m_burst + m_interval;
-    m_nextDueAt = wasSharer ? std::min(m_nextDueAt, whole) : whole;
+    // A new sharer starts without credit; one whose interval was longer doesn't wait for its end.
+    const auto withoutCredit = now + m_burst + m_interval;
+    m_nextDueAt = wasSharer ? std::min(m_nextDueAt, withoutCredit) : withoutCredit;
 }
 
 bool rate_limiter::maySend(steady_time now) const { return m_isSharer && now + m_burst >= m_nextDueAt; }
--- a/src/buckthornrail/gateway/rate_limiter_test.cpp
+++ b/src/buckthornrail/gateway/rate_limiter_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Load pattern: one target in need, and many gateways that would each send it more than it takes from all.
+/// @brief An overloaded target and many gateways that each have more requests than its limit for all of them.
 #include "buckthornrail/gateway/rate_limiter.hpp"
 
 #include <algorithm>
@@ -14,10 +14,10 @@
 namespace {
 
 constexpr milliseconds window { 4000 };
-/// What a target may get in any window, under a limit: half as much again as it takes, and five.
+/// Maximum number of requests in any window: 1.5 times the limit, plus five.
 double allowed(double perSecond) { return 1.5 * perSecond * 4 + 5; }
 
-/// Gateways that share a limit and each have callers enough.
+/// Gateways that share a limit and each have enough callers to use it up.
 struct gateways {
     std::vector<rate_limiter> limits;
     std::vector<steady_time> sent;
@@ -31,7 +31,7 @@
             limits.emplace_back(perSecond, seed, phase(random), gateway_share { count, at }, now);
     }
 
-    /// Callers come as they do, on average every so many milliseconds at each gateway.
+    /// Poisson arrivals at each gateway. @param callMs mean time between two callers
     void run(steady_time from, milliseconds time, double callMs)
     {
         std::exponential_distribution<double> pause(1 / callMs);
@@ -46,8 +46,8 @@
         }
     }
 
-    /// @return the most requests in one window
-    std::size_t most()
+    /// @return the highest number of requests in one window
+    std::size_t maxPerWindow()
     {
         std::sort(sent.begin(), sent.end());
         std::size_t found = 0;
@@ -63,8 +63,8 @@
 
 } // namespace
 
-// Guards against shares that sum up to more than the limit: the first incident's bound, for any number of gateways.
-TEST_CASE("send limit: gateways with callers enough never exceed what a target takes", "[rate_limiter]")
+// Guards against shares whose sum exceeds the limit, for any number of gateways.
+TEST_CASE("rate limiter: gateways with enough callers never exceed the limit", "[rate_limiter]")
 {
     rc::prop("any limit, any number of gateways, pauses before a burst", [] {
         const auto count = *rc::gen::inRange<std::size_t>(1, 80);
@@ -72,12 +72,12 @@
         const auto idle = milliseconds(*rc::gen::inRange(0, 20000));
         gateways all(count, limit, *rc::gen::arbitrary<std::uint64_t>(), start);
         all.run(start + idle, milliseconds(12000), 20);
-        RC_ASSERT(static_cast<double>(all.most()) <= allowed(std::max(limit, 0.1)));
+        RC_ASSERT(static_cast<double>(all.maxPerWindow()) <= allowed(std::max(limit, 0.1)));
     });
 }
 
-// Guards against a fraction of a request that nobody sends, as no gateway's share is a whole one.
-TEST_CASE("send limit: a limit far under a request a second for each gateway is used all the same", "[rate_limiter]")
+// Guards against a limit that stays unused because no gateway's share amounts to a whole request.
+TEST_CASE("rate limiter: a limit far below one request per second and gateway is used", "[rate_limiter]")
 {
     gateways all(20, 0.3, 5, start);
     all.run(start, milliseconds(100000), 50);
@@ -85,7 +85,7 @@
     CHECK(all.sent.size() <= 33);
 }
 
-TEST_CASE("send limit: what a target takes is used where all gateways have callers", "[rate_limiter]")
+TEST_CASE("rate limiter: the limit is used up when all gateways have callers", "[rate_limiter]")
 {
     gateways all(5, 12, 5, start);
     all.run(start, milliseconds(60000), 100);
@@ -93,8 +93,8 @@
     CHECK(all.sent.size() <= 730);
 }
 
-// Guards against requests that were saved up under a higher limit, or waits that were set under a lower one.
-TEST_CASE("send limit: it falls and rises at once", "[rate_limiter]")
+// Guards against credit that was accumulated under a higher limit, and against waits that were set under a lower one.
+TEST_CASE("rate limiter: a lower or higher limit takes effect at once", "[rate_limiter]")
 {
     gateways all(10, 20, 5, start);
     all.run(start, milliseconds(10000), 20);
@@ -103,7 +103,7 @@
     for (std::size_t at = 0; at < all.limits.size(); ++at)
         all.limits[at].setRate(0.5, { 10, at }, fell);
     all.run(fell, milliseconds(20000), 20);
-    CHECK(static_cast<double>(all.most()) <= allowed(0.5));
+    CHECK(static_cast<double>(all.maxPerWindow()) <= allowed(0.5));
     all.sent.clear();
     const auto rose = fell + milliseconds(20000);
     for (std::size_t at = 0; at < all.limits.size(); ++at)
@@ -112,8 +112,8 @@
     CHECK(all.sent.size() >= 65); // of 80
 }
 
-// Guards against gateways that send as if they were alone until they know how many they are.
-TEST_CASE("send limit: a gateway that doesn't know how many they are sends nothing", "[rate_limiter]")
+// Guards against gateways that use the whole limit until they know how many gateways there are.
+TEST_CASE("rate limiter: a gateway that doesn't know the number of gateways sends nothing", "[rate_limiter]")
 {
     rate_limiter limit(100, 5, 0, gateway_share {}, start);
     CHECK_FALSE(limit.maySend(start + std::chrono::hours(1)));
@@ -122,8 +122,8 @@
     CHECK(limit.maySend(start + milliseconds(40)));
 }
 
-// Guards against a burst after the machine was suspended, or after nobody called for long.
-TEST_CASE("send limit: a long pause saves up no more than a second's requests", "[rate_limiter]")
+// Guards against a burst after the machine was suspended or had no callers for long.
+TEST_CASE("rate limiter: an idle time accumulates credit for at most a second", "[rate_limiter]")
 {
     gateways all(5, 10, 5, start);
     all.run(start + std::chrono::hours(24), milliseconds(100), 0.2);
