--- a/src/buckthornrail/gateway/routing_test.cpp
+++ b/src/buckthornrail/gateway/routing_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Documents, routes, paths over layers, the pool's choices and the budget of repeats.
+/// @brief Route documents, paths over layers, selections of the target pool and the retry budget.
 #include "buckthornrail/gateway/repeat_budget.hpp"
 #include "buckthornrail/gateway/target_pool.hpp"
 
@@ -84,12 +84,12 @@
 
 } // namespace
 
-TEST_CASE("document: each fault is refused with its reason", "[gateway]")
+TEST_CASE("document: each fault is rejected with its reason", "[gateway]")
 {
     REQUIRE(checkDocument(goodDocument()));
-    const auto reasonOf = [](auto&& spoil) {
+    const auto reasonOf = [](auto&& corrupt) {
         auto document = goodDocument();
-        spoil(document);
+        corrupt(document);
         const auto checked = checkDocument(document);
         return checked ? std::string() : checked.error().reason;
     };
@@ -106,7 +106,7 @@
     CHECK(reasonOf([](auto& d) { d.workspaces[1].keys = { "k1" }; }).find("share a key") != std::string::npos);
 }
 
-TEST_CASE("document: the longest prefix wins, and only whole hosts match", "[gateway]")
+TEST_CASE("document: the longest prefix wins, and hosts match exactly", "[gateway]")
 {
     const route_index index(goodDocument());
     CHECK(index.find("h.example", "/a/x")->name == "short");
@@ -118,7 +118,7 @@
     CHECK(index.findWorkspace("k") == nullptr);
 }
 
-TEST_CASE("document: weights part the requests", "[gateway]")
+TEST_CASE("document: requests are distributed by weight", "[gateway]")
 {
     route one;
     one.services = { { "s", 90 }, { "t", 10 }, { "u", 0 } };
@@ -128,7 +128,7 @@
     CHECK(pickService(one, 0.999) == "t");
 }
 
-TEST_CASE("path: every layer once and in order, or none at all", "[gateway]")
+TEST_CASE("path: covers every layer once and in order, or is empty", "[gateway]")
 {
     rc::prop("any ranges", [] {
         const auto layers = *rc::gen::inRange<std::uint32_t>(1, 40);
@@ -150,7 +150,7 @@
     });
 }
 
-TEST_CASE("path: stays in one domain, takes the cheaper, avoids the doubtful", "[gateway]")
+TEST_CASE("path: stays in one domain, prefers lower costs, avoids penalized targets", "[gateway]")
 {
     const std::vector<path_candidate> candidates {
         { { 0, 10 }, 0, 1, 0 },
@@ -159,11 +159,11 @@
         { { 0, 20 }, 1, 2, 0 },
     };
     CHECK(findPath(candidates, 20, 2, 0) == std::vector<path_part> { { 0, { 0, 10 } }, { 1, { 10, 20 } } });
-    auto doubtful = candidates;
-    doubtful[1].fixedMs = 1000;
-    CHECK(findPath(doubtful, 20, 2, 0) == std::vector<path_part> { { 3, { 0, 20 } } });
-    doubtful[3].mayStart = false;
-    CHECK(findPath(doubtful, 20, 2, 0) == std::vector<path_part> { { 0, { 0, 10 } }, { 2, { 10, 20 } } });
+    auto penalized = candidates;
+    penalized[1].fixedMs = 1000;
+    CHECK(findPath(penalized, 20, 2, 0) == std::vector<path_part> { { 3, { 0, 20 } } });
+    penalized[3].mayStart = false;
+    CHECK(findPath(penalized, 20, 2, 0) == std::vector<path_part> { { 0, { 0, 10 } }, { 2, { 10, 20 } } });
 }
 
 TEST_CASE("pool: leaving, lost and excluded targets", "[gateway]")
@@ -175,14 +175,14 @@
     const steady_time now {};
     auto pool = poolOf({ draining, lost });
     REQUIRE(pool.select("s", {}, now));
-    CHECK(pool.select("s", {}, now)->parts.front().target == "lost"); // better than none
+    CHECK(pool.select("s", {}, now)->parts.front().target == "lost"); // the only one left
     CHECK_FALSE(pool.select("s", { { "lost" }, {} }, now));
     CHECK_FALSE(pool.select("unknown", {}, now));
     auto both = poolOf({ lost, readyTarget("far", "b") });
     CHECK(both.select("s", {}, now)->parts.front().target == "far");
 }
 
-TEST_CASE("pool: a refusing target is left alone for a while, then tried again", "[gateway]")
+TEST_CASE("pool: a target that refuses is avoided for the backoff, then tried again", "[gateway]")
 {
     auto pool = poolOf({ readyTarget("near", "a"), readyTarget("far", "b") });
     const steady_time now {};
@@ -200,7 +200,7 @@
     pool.refused("near", now);
     pool.refused("near", now);
     CHECK(pool.takeUnreachable()
-        == std::vector<registry::target_incarnation> { "near" }); // three in a row: controllers should look
+        == std::vector<registry::target_incarnation> { "near" }); // three in a row: the controllers are to probe it
 }
 
 TEST_CASE("pool: the load of other gateways counts", "[gateway]")
@@ -211,7 +211,7 @@
     const auto first = pool.select("s", {}, now);
     REQUIRE(first);
     CHECK(first->parts.front().target == "x");
-    // 1,900 MB for requests at 10 kB a token and layer: 19,000 tokens in ten layers, of which a request takes 1,000.
+    // 1,900 MB for requests at 10 kB per token and layer: 19,000 tokens in ten layers. Each request takes 1,000.
     for (int at = 0; at < 5; ++at)
         pool.attemptStarted(*first, { 900, 100 });
     CHECK(pool.select("s", {}, now)->parts.front().target == "x");
@@ -219,9 +219,11 @@
     CHECK(pool.select("s", {}, now)->parts.front().target == "y");
 }
 
-TEST_CASE("pool: work that others tell of by target counts there, and what grows here grows at its peers", "[gateway]")
+TEST_CASE(
+    "pool: reported loads of other gateways count by target, and load added here is assumed at the domain's others",
+    "[gateway]")
 {
-    // Room for 190,000 tokens times layers at each target; close to it a target costs more.
+    // Each target has memory for 190,000 tokens times layers and costs more close to it.
     auto pool = poolOf({ readyTarget("x", "a", { 0, 10 }), readyTarget("y", "b", { 0, 10 }) });
     pool.setEngine("s", engineOf(10));
     pool.setOtherGateways(20, 400);
@@ -232,19 +234,19 @@
     CHECK(near->parts.front().target == "x");
     pool.setOtherGatewayLoads({ 190, 90 }, now);
     CHECK(pool.select("s", {}, now)->parts.front().target == "y");
-    pool.setOtherGatewayLoads({ 90 }, now); // a row of other targets: only the count of attempts is known
+    pool.setOtherGatewayLoads({ 90 }, now); // doesn't match the table: only the number of attempts is known
     CHECK(pool.select("s", {}, now)->parts.front().target == "x");
     pool.setOtherGatewayLoads({ 90, 90 }, now);
-    pool.attemptStarted(*near, { 900, 100 }); // 10,000, at ten gateways of the domain
+    pool.attemptStarted(*near, { 900, 100 }); // 10,000 tokens times layers, at each of the domain's ten gateways
     CHECK(pool.select("s", {}, now)->parts.front().target == "y");
     CHECK(pool.loads() == registry::load_row { 10, 0 });
-    pool.setOtherGatewayLoads({ 90, 90 }, now); // the others have told since
+    pool.setOtherGatewayLoads({ 90, 90 }, now); // a newer report includes it
     CHECK(pool.select("s", {}, now)->parts.front().target == "x");
     pool.attemptEnded(*near, { 900, 100 }, false);
     CHECK(pool.loads() == registry::load_row { 0, 0 });
 }
 
-TEST_CASE("pool: prompts that wait to be read count until the first event", "[gateway]")
+TEST_CASE("pool: queued prefill counts until the first event", "[gateway]")
 {
     auto pool = poolOf({ readyTarget("x", "a", { 0, 10 }), readyTarget("y", "b", { 0, 10 }) });
     auto engine = engineOf(10);
@@ -254,7 +256,7 @@
     const steady_time now {};
     const auto near = pool.select("s", {}, now);
     REQUIRE(near->parts.front().target == "x");
-    pool.attemptStarted(*near, { 1000, 1 }); // 100 ms
+    pool.attemptStarted(*near, { 1000, 1 }); // 100 ms of prefill
     CHECK(pool.select("s", {}, now)->parts.front().target == "y");
     pool.prefillFinished(*near, { 1000, 1 });
     CHECK(pool.select("s", {}, now)->parts.front().target == "x");
@@ -264,9 +266,9 @@
     CHECK(pool.select("s", {}, now)->parts.front().target == "x");
 }
 
-TEST_CASE("pool: a narrow pipe between domains keeps paths inside one", "[gateway]")
+TEST_CASE("pool: a slow link between domains keeps paths within one", "[gateway]")
 {
-    // Layers 5 to 10 are held in both domains, crowded in the own one.
+    // Layers 5 to 10 are held in both domains; their target in the own domain is congested.
     auto pool = poolOf(
         { readyTarget("x", "a", { 0, 5 }), readyTarget("near", "a", { 5, 10 }), readyTarget("far", "b", { 5, 10 }) });
     auto engine = engineOf(10);
@@ -280,18 +282,18 @@
     const auto crossing = pool.select("s", {}, now);
     REQUIRE(crossing);
     CHECK(crossing->parts.back().target == "far");
-    pool.attemptStarted(*crossing, { 20000, 1 }); // 160 ms of the pipe
+    pool.attemptStarted(*crossing, { 20000, 1 }); // occupies the link for 160 ms
     CHECK(pool.select("s", {}, now)->parts.back().target == "near");
     pool.prefillFinished(*crossing, { 20000, 1 });
     CHECK(pool.select("s", {}, now)->parts.back().target == "far");
-    engine.pipeMbps = 1000; // 80 ms for a prompt, at two gateways
+    engine.pipeMbps = 1000; // 80 ms for a prompt, with two gateways
     pool.setEngine("s", engine);
     for (int at = 0; at < 100; ++at)
         pool.select("s", {}, now);
     CHECK(pool.select("s", {}, now)->parts.back().target == "near");
 }
 
-TEST_CASE("pool: a path slower than others is left, and tried again later", "[gateway]")
+TEST_CASE("pool: a path slower than the others is avoided, and tried again later", "[gateway]")
 {
     auto pool = poolOf({ readyTarget("x", "a", { 0, 10 }), readyTarget("y", "b", { 0, 10 }) });
     pool.setEngine("s", engineOf(10));
@@ -304,7 +306,7 @@
         pool.recordLatency(*far, latency_kind::NextEvent, 2.6, now);
     for (int at = 0; at < 20; ++at)
         pool.recordLatency(*near, latency_kind::NextEvent, 2.6, now);
-    CHECK(pool.select("s", {}, now)->parts.front().target == "x"); // both are as fast as usual
+    CHECK(pool.select("s", {}, now)->parts.front().target == "x"); // both have the typical latency
     const auto kind = GENERATE(latency_kind::FirstEvent, latency_kind::NextEvent);
     pool.recordLatency(*far, kind, 2.6, now);
     for (int at = 0; at < 5; ++at)
@@ -313,7 +315,7 @@
     CHECK(pool.select("s", {}, now + std::chrono::seconds(30))->parts.front().target == "x");
 }
 
-TEST_CASE("budget: repeats are bounded by requests and by a part of the slack", "[gateway]")
+TEST_CASE("budget: retries are bounded by the number of requests and by a share of the slack", "[gateway]")
 {
     repeat_budget_options options;
     options.ratio = 0.5;
@@ -335,7 +337,7 @@
     CHECK(budget.take(true, now + milliseconds(10000)));
 }
 
-TEST_CASE("budget: a process that was started anew uses no slack before it knows what was spent", "[gateway]")
+TEST_CASE("budget: a restarted process uses no slack until it knows what was spent", "[gateway]")
 {
     const steady_time now = steady_time {} + std::chrono::hours(1);
     repeat_budget_options options;
@@ -357,7 +359,7 @@
     CHECK(takeAll(now) == 2); // the ratio of its own requests
     CHECK_FALSE(budgets.isComplete(now));
 
-    SECTION("told by the leader")
+    SECTION("reported by the leader")
     {
         budgets.resume({ { "s", 6 }, { "other", 10 } }, now);
         CHECK(budgets.isComplete(now));
@@ -365,7 +367,7 @@
         CHECK_FALSE(budgets.of("other").take(true, now));
         CHECK(budgets.of("third").take(true, now));
     }
-    SECTION("not told, for a stream that has begun")
+    SECTION("not reported, for a stream that has begun")
     {
         const auto later = now + options.window * 3 / 10;
         int taken = 0;
@@ -374,7 +376,7 @@
         CHECK(taken == 3); // 4 * 0.5 + 0.3 * 40 / 4 - 2
         CHECK(takeAll(later) == 0);
     }
-    SECTION("not told")
+    SECTION("not reported")
     {
         CHECK(takeAll(now + options.window - milliseconds(1)) == 0);
         CHECK(budgets.isComplete(now + options.window));
@@ -382,7 +384,8 @@
     }
 }
 
-TEST_CASE("budget: before a number of gateways is known there is no slack, and the last one told holds", "[gateway]")
+TEST_CASE("budget: without a known number of gateways there is no slack, and the last reported number stays valid",
+    "[gateway]")
 {
     const steady_time now = steady_time {} + std::chrono::hours(1);
     repeat_budget_options options;
@@ -401,9 +404,9 @@
         return taken;
     };
     CHECK(takeAll(now) == 10);
-    CHECK(takeAll(now + 2 * options.window) == 10); // controllers away for long
+    CHECK(takeAll(now + 2 * options.window) == 10); // the controllers are unreachable for long
     budget.toldGateways(2, now + 4 * options.window);
-    CHECK(takeAll(now + 4 * options.window) == 10); // four were told of within the window, as far as is known
+    CHECK(takeAll(now + 4 * options.window) == 10); // the number was four within the window, as far as is known
     budget.toldGateways(2, now + 6 * options.window);
     CHECK(takeAll(now + 6 * options.window) == 20);
 }
--- a/src/buckthornrail/gateway/target_life_test.cpp
+++ b/src/buckthornrail/gateway/target_life_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Targets that start anew under their id, as a gateway sees them: work that ran there has ended, and what was
-/// seen of the life before says nothing of the new one.
+/// @brief Restarted targets: a new incarnation under the same id means that the work of the previous one has ended. Its
+/// load and failure history must not be applied to the new one.
 #include "support/exchange_bench.hpp"
 
 #include <catch2/catch.hpp>
@@ -9,11 +9,12 @@
 
 namespace {
 
-constexpr std::uint64_t second = 200;
+constexpr std::uint64_t secondStartMs = 200;
 
 } // namespace
 
-TEST_CASE("target life: a stream leaves a member that has started anew, and doesn't count it", "[gateway][life]")
+TEST_CASE("target incarnation: a stream moves away from a restarted target, which doesn't count as an attempt",
+    "[gateway][life]")
 {
     const std::string restarted = GENERATE("a0", "a1");
     exchange_bench bench(request_kind::Stream, true, true);
@@ -22,10 +23,10 @@
     REQUIRE(bench.port.target == "a0");
     beginStream(call);
     call.onEvent("1", 1, zero);
-    bench.startAnew(restarted, second);
+    bench.startAnew(restarted, secondStartMs);
     call.onTargetsChanged(zero);
     REQUIRE(bench.port.attempts == 2);
-    CHECK(bench.port.target != "a0"); // its domain has no whole chain
+    CHECK(bench.port.target != "a0"); // its domain has no complete chain any more
     CHECK(bench.port.resumeAfter == 1U);
     beginStream(call);
     call.onEvent("2", 2, zero);
@@ -33,17 +34,18 @@
     CHECK(bench.port.events == "12");
 }
 
-TEST_CASE("target life: a request may go to as many living targets as its route allows", "[gateway][life]")
+TEST_CASE(
+    "target incarnation: ended incarnations don't count towards the route's maximum of attempts", "[gateway][life]")
 {
     exchange_bench bench(request_kind::Safe, false, false);
     auto call = bench.make();
     call.start(zero);
-    // Its route allows two targets: lives that have ended are not among them.
-    for (std::uint64_t life = 1; life <= 3; ++life) {
+    // The route allows two targets; incarnations that have ended don't count.
+    for (std::uint64_t incarnation = 1; incarnation <= 3; ++incarnation) {
         call.onSent(zero);
-        bench.startAnew(bench.port.target, life * 100);
+        bench.startAnew(bench.port.target, incarnation * 100);
         call.onTargetsChanged(zero);
-        REQUIRE(bench.port.attempts == life + 1);
+        REQUIRE(bench.port.attempts == incarnation + 1);
     }
     call.onSent(zero);
     call.onHead(ownAnswer(200), zero);
@@ -51,46 +53,46 @@
     CHECK(bench.port.outcome == "passed on");
 }
 
-TEST_CASE("target life: what may not be repeated ends at once, as possibly run", "[gateway][life]")
+TEST_CASE("target incarnation: a request that may not be retried ends at once, as possibly executed", "[gateway][life]")
 {
     exchange_bench bench(request_kind::Unsafe, false, false);
     auto call = bench.make();
     call.start(zero);
     call.onSent(zero);
-    bench.startAnew(bench.port.target, second);
+    bench.startAnew(bench.port.target, secondStartMs);
     call.onTargetsChanged(zero);
     CHECK(bench.port.attempts == 1);
     CHECK(bench.port.outcome == "answered");
     CHECK(bench.port.answerRan == ran_state::Unknown);
 }
 
-TEST_CASE("target life: one that restarts elsewhere, or is only told of again, moves nothing", "[gateway][life]")
+TEST_CASE("target incarnation: a restart outside the path, or a mere state change, moves no stream", "[gateway][life]")
 {
     exchange_bench bench(request_kind::Stream, true, true);
     auto call = bench.make();
     call.start(zero);
     beginStream(call);
     call.onEvent("1", 1, zero);
-    bench.startAnew("b0", second);
+    bench.startAnew("b0", secondStartMs);
     call.onTargetsChanged(zero);
     bench.end("c1", registry::target_state::Draining);
     call.onTargetsChanged(zero);
     CHECK(bench.port.attempts == 1);
 }
 
-TEST_CASE("target life: nothing is sent on what an earlier life held", "[gateway][life]")
+TEST_CASE("target incarnation: layers of a previous incarnation are not used", "[gateway][life]")
 {
     exchange_bench bench(request_kind::Stream, true, true);
     for (const std::string domain : { "a", "b", "c" })
-        bench.startAnew(domain + "1", second);
+        bench.startAnew(domain + "1", secondStartMs);
     CHECK_FALSE(bench.pool.select("s", {}, zero));
-    bench.startAnew("b1", second, { 5, 10 });
+    bench.startAnew("b1", secondStartMs, { 5, 10 });
     const auto chosen = bench.pool.select("s", {}, zero);
     REQUIRE(chosen);
-    CHECK(chosen->parts.back().target == registry::target_incarnation("b1", second));
+    CHECK(chosen->parts.back().target == registry::target_incarnation("b1", secondStartMs));
 }
 
-TEST_CASE("target life: work and doubt of the life before are gone", "[gateway][life]")
+TEST_CASE("target incarnation: load and failure history of the previous incarnation are dropped", "[gateway][life]")
 {
     exchange_bench bench(request_kind::Safe, false, false);
     const auto chosen = bench.pool.select("s", {}, zero);
@@ -106,14 +108,14 @@
     CHECK(bench.pool.select("s", {}, zero)->parts.front().target != target);
     CHECK(bench.pool.hasEnded(target));
 
-    bench.startAnew(target.id, second);
-    const registry::target_incarnation later(target.id, second);
+    bench.startAnew(target.id, secondStartMs);
+    const registry::target_incarnation later(target.id, secondStartMs);
     CHECK(bench.pool.wasReplaced(target));
     CHECK_FALSE(bench.pool.wasReplaced(later));
     CHECK(bench.pool.hasEnded(target));
     CHECK_FALSE(bench.pool.hasEnded(later));
-    CHECK(bench.pool.select("s", {}, zero)->parts.front().target == later); // the nearest again
-    // What ran at the life before ends now: the later one's work is its own.
+    CHECK(bench.pool.select("s", {}, zero)->parts.front().target == later); // in the own domain again
+    // Attempts at the previous incarnation that end now must not reduce the new one's load.
     const auto again = bench.pool.select("s", {}, zero);
     bench.pool.attemptStarted(*again, size);
     const auto before = bench.pool.loads();
@@ -121,7 +123,7 @@
         bench.pool.attemptEnded(*chosen, size, false);
     CHECK(bench.pool.loads() == before);
     bench.pool.attemptEnded(*again, size, false);
-    // A late suspicion of the life before.
+    // Late failure reports about the previous incarnation.
     bench.pool.markUnreachable(target, zero);
     bench.pool.failed(target);
     CHECK(bench.pool.select("s", {}, zero)->parts.front().target == later);
--- a/src/buckthornrail/gateway/target_limit_test.cpp
+++ b/src/buckthornrail/gateway/target_limit_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Load pattern: targets in need name how much they take. Where requests go then, and what is refused.
+/// @brief Rate limits, backoff and leaving that targets announce: where requests go then, and what is refused.
 #include "support/exchange_bench.hpp"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 
 namespace {
 
-target_answer named(int status, std::optional<double> perSecond, bool stream = false)
+target_answer answerWithLimit(int status, std::optional<double> perSecond, bool stream = false)
 {
     auto answer = ownAnswer(status, stream);
     answer.pushback = target_pushback { perSecond, {} };
@@ -17,14 +17,15 @@
 
 steady_time at(int ms) { return zero + milliseconds(ms); }
 
-/// Takes a target's limit over as another gateway heard it.
-void tell(target_pool& pool, const std::string& target, std::optional<double> perSecond, int ms)
+/// Merges a limit that another gateway received from a target.
+void mergeLimit(target_pool& pool, const std::string& target, std::optional<double> perSecond, int ms)
 {
     (void)pool.mergeRemoteLimits(std::vector<registry::limit_news> { { target, perSecond, 0 } }, at(ms));
 }
 
-/// @return how many of so many selections, one each 100 ms, begin at a target; each is sent
-int firstsAt(target_pool& pool, const std::string& target, int count, int fromMs)
+/// Makes `count` selections at intervals of 100 ms and counts each as sent.
+/// @return the number of selections whose first target is the given one
+int countFirst(target_pool& pool, const std::string& target, int count, int fromMs)
 {
     int found = 0;
     for (int one = 0; one < count; ++one) {
@@ -38,25 +39,25 @@
 
 } // namespace
 
-// Guards against limits that only first attempts heed: all that is selected is bound by them.
-TEST_CASE("target limit: a path begins at a target as often as it takes, and elsewhere otherwise", "[target_limit]")
+// Guards against limits that apply to first attempts only: they apply to every selection.
+TEST_CASE("target limit: a path begins at a target within its limit, and elsewhere beyond it", "[target_limit]")
 {
     const bool layered = GENERATE(false, true);
     CAPTURE(layered);
     exchange_bench bench(request_kind::Safe, false, layered);
     bench.pool.setShare({ 1, 0 }, zero);
-    CHECK(firstsAt(bench.pool, "a0", 50, 0) > 20); // of the gateway's own domain
-    tell(bench.pool, "a0", 1, 5000);
-    CHECK(firstsAt(bench.pool, "a0", 50, 5000) <= 10); // within 5 s
+    CHECK(countFirst(bench.pool, "a0", 50, 0) > 20); // in the gateway's own domain
+    mergeLimit(bench.pool, "a0", 1, 5000);
+    CHECK(countFirst(bench.pool, "a0", 50, 5000) <= 10); // within 5 s
 }
 
-// Guards against a fleet that stands still for a limit: limited targets are used last, not never.
-TEST_CASE("target limit: where all targets are limited, each gets what it takes", "[target_limit]")
+// Guards against requests that are refused although limited targets could serve them: they are used last, not never.
+TEST_CASE("target limit: where all targets are limited, each is used up to its limit", "[target_limit]")
 {
     exchange_bench bench(request_kind::Safe, false, false);
     bench.pool.setShare({ 1, 0 }, zero);
     for (const std::string target : { "a0", "b0", "c0" })
-        tell(bench.pool, target, 2, 0);
+        mergeLimit(bench.pool, target, 2, 0);
     int served = 0;
     for (int ms = 0; ms < 20000; ms += 50) {
         const auto chosen = bench.pool.select("s", {}, at(ms));
@@ -68,14 +69,14 @@
     CHECK(served <= 135);
 }
 
-// Guards against callers that wait for a deadline, or come back together at the next moment.
-TEST_CASE(
-    "target limit: what no target takes now is refused at once, not run, with a time to come back", "[target_limit]")
+// Guards against callers that wait until their deadline, or that all retry at the same moment.
+TEST_CASE("target limit: with all limits used up, a request is refused at once, not executed, with a time to retry",
+    "[target_limit]")
 {
     exchange_bench bench(request_kind::Safe, false, false);
     bench.pool.setShare({ 1, 0 }, zero);
     for (const std::string target : { "a0", "b0", "c0" }) {
-        tell(bench.pool, target, 0.5, 0);
+        mergeLimit(bench.pool, target, 0.5, 0);
         for (int sent = 0; sent < 5; ++sent)
             bench.pool.noteSent(target, at(0));
     }
@@ -93,8 +94,8 @@
     CHECK(times.size() == 10);
 }
 
-// Guards against a time to come back that is lost for a target which is loading, and can't begin a path.
-TEST_CASE("target limit: targets at which no path begins don't count as room", "[target_limit]")
+// Guards against a missing retry time while another target is loading layers and can't be the first of a path.
+TEST_CASE("target limit: targets that can't be the first of a path don't count as available", "[target_limit]")
 {
     exchange_bench bench(request_kind::Stream, true, true);
     for (const std::string target : { "a0", "b0" })
@@ -105,10 +106,10 @@
     CHECK(*room >= at(3000));
 }
 
-TEST_CASE("target limit: a refusal for another reason names no such time", "[target_limit]")
+TEST_CASE("target limit: a refusal for another reason names no retry time", "[target_limit]")
 {
     exchange_bench bench(request_kind::Safe, false, false);
-    tell(bench.pool, "a0", 0.5, 0);
+    mergeLimit(bench.pool, "a0", 0.5, 0);
     for (const std::string target : { "a0", "b0", "c0" })
         bench.end(target, registry::target_state::Gone);
     auto call = bench.make();
@@ -117,8 +118,8 @@
     CHECK_FALSE(call.roomExpectedAt());
 }
 
-// Guards against an answer that was on its way when the limit was named, and ends it.
-TEST_CASE("target limit: only a request that was sent after it tells that it is over", "[target_limit]")
+// Guards against a response that was in flight when the limit was set, and that clears it.
+TEST_CASE("target limit: only responses to requests sent after its confirmation clear it", "[target_limit]")
 {
     exchange_bench bench(request_kind::Safe, false, false);
     bench.pool.setShare({ 1, 0 }, zero);
@@ -128,8 +129,8 @@
     CHECK_FALSE(bench.pool.recordPushback(a0, { {}, {} }, true, at(50), at(200)));
     CHECK(bench.pool.limitedCount(at(200)) == 1);
     CHECK_FALSE(
-        bench.pool.recordPushback(a0, { {}, {} }, false, at(160), at(200))); // of one that isn't the target's answer
-    CHECK_FALSE(bench.pool.recordPushback(a0, { {}, {} }, true, at(160), at(200))); // one alone may lack it
+        bench.pool.recordPushback(a0, { {}, {} }, false, at(160), at(200))); // not an answer of the target itself
+    CHECK_FALSE(bench.pool.recordPushback(a0, { {}, {} }, true, at(160), at(200))); // a single one doesn't clear it
     CHECK_FALSE(bench.pool.recordPushback(a0, { 1, {} }, true, at(160), at(210)));
     CHECK_FALSE(bench.pool.recordPushback(a0, { {}, {} }, true, at(220), at(230)));
     const auto over = bench.pool.recordPushback(a0, { {}, {} }, true, at(220), at(230));
@@ -139,13 +140,14 @@
     CHECK(bench.pool.limitedCount(at(200)) == 0);
 }
 
-// Guards against a limit that is kept to itself, or told over and over.
-TEST_CASE("target limit: other gateways are told of what was heard here, and when it was over", "[target_limit]")
+// Guards against limits that aren't announced, or are announced with every heartbeat.
+TEST_CASE(
+    "target limit: limits received here are announced to the other gateways, and so is their end", "[target_limit]")
 {
     exchange_bench bench(request_kind::Safe, false, false);
     const registry::target_incarnation a0 = "a0";
-    tell(bench.pool, "b0", 3, 0);
-    CHECK(bench.pool.takeLimitReports(false, at(0)).empty()); // it is the others' own
+    mergeLimit(bench.pool, "b0", 3, 0);
+    CHECK(bench.pool.takeLimitReports(false, at(0)).empty()); // received from the others
     (void)bench.pool.recordPushback(a0, { 1, {} }, true, at(0), at(100));
     const auto reports = bench.pool.takeLimitReports(false, at(150));
     REQUIRE(reports.size() == 1);
@@ -153,25 +155,25 @@
     (void)bench.pool.recordPushback(a0, { 1, {} }, true, at(200), at(300));
     CHECK(bench.pool.takeLimitReports(false, at(300)).empty());
     (void)bench.pool.recordPushback(a0, { 1, {} }, true, at(1200), at(1300));
-    CHECK(bench.pool.takeLimitReports(false, at(1300)).size() == 1); // that it holds on, once a second
+    CHECK(bench.pool.takeLimitReports(false, at(1300)).size() == 1); // an unchanged limit, once a second
     (void)bench.pool.recordPushback(a0, { {}, {} }, true, at(1400), at(1500));
     (void)bench.pool.recordPushback(a0, { {}, {} }, true, at(1400), at(1500));
     CHECK(bench.pool.takeLimitReports(false, at(1500)).size() == 1);
     CHECK(bench.pool.takeLimitReports(true, at(1500)).size() == 2); // a new session: everything
 }
 
-// Guards against limits that an earlier life of a target named.
-TEST_CASE("target limit: a target that starts anew has named none", "[target_limit]")
+// Guards against limits that an earlier incarnation of a target set.
+TEST_CASE("target limit: a restarted target has none", "[target_limit]")
 {
     exchange_bench bench(request_kind::Safe, false, false);
     bench.pool.setShare({ 1, 0 }, zero);
-    tell(bench.pool, "a0", 0, 0);
+    mergeLimit(bench.pool, "a0", 0, 0);
     CHECK(bench.pool.limitedCount(at(0)) == 1);
     bench.startAnew("a0", 500);
     CHECK(bench.pool.limitedCount(at(0)) == 0);
 }
 
-TEST_CASE("target limit: what can't be read changes nothing", "[target_limit]")
+TEST_CASE("target limit: a field that can't be parsed changes nothing", "[target_limit]")
 {
     exchange_bench bench(request_kind::Safe, false, false);
     (void)bench.pool.recordPushback("a0", { 1, {} }, true, at(0), at(100));
@@ -179,16 +181,16 @@
     CHECK(bench.pool.limitedCount(at(300)) == 1);
 }
 
-// Guards against answers whose limit is lost, whatever they are: whole, refused, streamed, failed.
-TEST_CASE("target limit: it is taken from any answer of the target", "[target_limit]")
+// Guards against limits that are ignored in some kinds of answers, such as refusals and failures.
+TEST_CASE("target limit: it is read from any answer of the target", "[target_limit]")
 {
     exchange_bench bench(request_kind::Safe, false, false);
     auto call = bench.make();
     call.start(zero);
     call.onSent(zero);
-    auto answer = GENERATE(named(200, 4), named(500, 4), named(404, 4));
-    SECTION("its own") { }
-    SECTION("a refusal")
+    auto answer = GENERATE(answerWithLimit(200, 4), answerWithLimit(500, 4), answerWithLimit(404, 4));
+    SECTION("answer of the service") { }
+    SECTION("refusal")
     {
         answer = refusal();
         answer.pushback = target_pushback { 4, {} };
@@ -197,8 +199,8 @@
     CHECK(bench.pool.limitedCount(zero) == 1);
 }
 
-// Guards against questions that go past the limit, and against a target that passes for dead since it wasn't asked.
-TEST_CASE("target limit: a silent stream's target is asked only as often as it takes", "[target_limit]")
+// Guards against probes beyond the limit, and against a target that is considered dead because it wasn't probed.
+TEST_CASE("target limit: the target of a silent stream is probed within its limit only", "[target_limit]")
 {
     exchange_bench bench(request_kind::Stream, true, true);
     bench.pool.setShare({ 1, 0 }, zero);
@@ -206,7 +208,7 @@
     call.start(zero);
     call.onSent(zero);
     for (const auto& target : bench.firsts) {
-        tell(bench.pool, target, 0, 0);
+        mergeLimit(bench.pool, target, 0, 0);
         for (int sent = 0; sent < 5; ++sent)
             bench.pool.noteSent(target, at(0));
     }
@@ -215,21 +217,22 @@
     CHECK(bench.port.reports == 0);
     CHECK(bench.port.attempts == 1);
 }
-// Guards against a pause of the gateway's own in place of the time that a target names, and against one that a stream
-// ends which goes on there.
-TEST_CASE("target rest: nothing begins at a target until its rest is over", "[target_limit]")
+
+// Guards against the gateway's own refusal backoff in place of the target's Retry-After, and against a backoff that
+// ends when an earlier stream at the target succeeds.
+TEST_CASE("target backoff: nothing begins at a target until its Retry-After has passed", "[target_limit]")
 {
     const bool layered = GENERATE(false, true);
     CAPTURE(layered);
     exchange_bench bench(request_kind::Safe, false, layered);
-    auto turnedAway = refusal();
-    turnedAway.pushback = target_pushback { {}, {}, milliseconds(3000) };
+    auto refused = refusal();
+    refused.pushback = target_pushback { {}, {}, milliseconds(3000) };
     auto call = bench.make();
     call.start(zero);
     call.onSent(zero);
     const auto target = bench.port.target;
-    call.onHead(turnedAway, zero);
-    CHECK(bench.port.attempts == 2); // it goes on elsewhere at once
+    call.onHead(refused, zero);
+    CHECK(bench.port.attempts == 2); // retried at another target at once
     for (int ms = 0; ms < 3000; ms += 50) {
         bench.pool.succeeded(target, 5); // of an earlier stream
         const auto chosen = bench.pool.select("s", {}, at(ms));
@@ -238,11 +241,11 @@
         CHECK_FALSE(bench.pool.maySend(target, at(ms)));
     }
     CHECK(bench.pool.maySend(target, at(3000)));
-    CHECK(bench.pool.takeUnreachable().empty()); // it lives
+    CHECK(bench.pool.takeUnreachable().empty()); // it is reachable
 }
 
-// Guards against a shorter rest that cuts a longer one off, which was asked for earlier.
-TEST_CASE("target rest: the one that ends last counts", "[target_limit]")
+// Guards against a later, shorter backoff that ends a longer one early.
+TEST_CASE("target backoff: the one that ends last counts", "[target_limit]")
 {
     exchange_bench bench(request_kind::Safe, false, false);
     const registry::target_incarnation a0 = "a0";
@@ -251,10 +254,11 @@
     CHECK_FALSE(bench.pool.maySend(a0, at(2999)));
     CHECK(bench.pool.maySend(a0, at(3000)));
     bench.startAnew("a0", 500);
-    CHECK(bench.pool.maySend({ "a0", 500 }, at(1500))); // another life has asked for none
+    CHECK(bench.pool.maySend({ "a0", 500 }, at(1500))); // not inherited by a new incarnation
 }
 
-TEST_CASE("target rest: where all rest, a request is refused at once until one is over", "[target_limit]")
+TEST_CASE("target backoff: with all targets in backoff, requests are refused at once until the first one ends",
+    "[target_limit]")
 {
     exchange_bench bench(request_kind::Safe, false, false);
     for (const std::string target : { "a0", "b0", "c0" })
@@ -269,8 +273,9 @@
     CHECK(*call.roomExpectedAt() <= at(2500));
 }
 
-// Guards against a path that is given up while nothing but a resting member has the layers.
-TEST_CASE("target rest: a member that rests is passed through only where no other has its layers", "[target_limit]")
+// Guards against failing requests while the only target with some of the layers is in backoff.
+TEST_CASE(
+    "target backoff: a target in backoff is a later part of a path only if no other has its layers", "[target_limit]")
 {
     exchange_bench bench(request_kind::Stream, true, true);
     (void)bench.pool.recordPushback("a1", { {}, {}, milliseconds(3000) }, false, zero, zero);
@@ -282,18 +287,17 @@
     CHECK(bench.pool.select("s", {}, zero)->parts.back().target == registry::target_incarnation("a1"));
 }
 
-// Guards against work for a target that only its answers call leaving.
-TEST_CASE(
-    "target leave: nothing passes through a target that says that it leaves, and others are told", "[target_limit]")
+// Guards against new work for a target whose leaving is known from its responses only.
+TEST_CASE("target leaving: no path uses a target that announces it, and it is reported", "[target_limit]")
 {
     const bool layered = GENERATE(false, true);
     CAPTURE(layered);
     exchange_bench bench(request_kind::Stream, true, layered);
-    target_pushback leaves;
-    leaves.isLeaving = true;
+    target_pushback leaving;
+    leaving.isLeaving = true;
     const registry::target_incarnation a0 = "a0";
-    (void)bench.pool.recordPushback(a0, leaves, true, zero, zero);
-    (void)bench.pool.recordPushback(a0, {}, true, at(50), at(100)); // it doesn't come back
+    (void)bench.pool.recordPushback(a0, leaving, true, zero, zero);
+    (void)bench.pool.recordPushback(a0, {}, true, at(50), at(100)); // leaving is final
     CHECK_FALSE(bench.pool.maySend(a0, at(100)));
     CHECK(bench.pool.isLeaving(a0));
     for (int ms = 0; ms < 2000; ms += 50) {
@@ -309,15 +313,16 @@
     CHECK(bench.pool.maySend({ "a0", 500 }, at(3000)));
 }
 
-// Guards against an operator who can't see why a target gets nothing.
-TEST_CASE("target pushback: who is limited, resting or leaving is listed, and until when", "[target_limit]")
+// Guards against an incomplete list for operators who ask why a target gets no requests.
+TEST_CASE(
+    "target pushback: targets that are limited, in backoff or leaving are listed, with the time left", "[target_limit]")
 {
     exchange_bench bench(request_kind::Safe, false, false);
-    tell(bench.pool, "a0", 1.5, 0);
+    mergeLimit(bench.pool, "a0", 1.5, 0);
     (void)bench.pool.recordPushback("b0", { {}, {}, milliseconds(3000) }, false, zero, zero);
-    target_pushback leaves;
-    leaves.isLeaving = true;
-    (void)bench.pool.recordPushback("c0", leaves, false, zero, zero);
+    target_pushback leaving;
+    leaving.isLeaving = true;
+    (void)bench.pool.recordPushback("c0", leaving, false, zero, zero);
     const auto held = bench.pool.restrictedTargets(at(1000));
     REQUIRE(held.size() == 3);
     CHECK(held[0].perSecond == 1.5);
