--- a/include/buckthornrail/gateway/route_index.hpp
+++ b/include/buckthornrail/gateway/route_index.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The document in force as look-up tables, changed in place entry by entry.
+/// @brief Look-up tables of the document in force, updated incrementally.
 #pragma once
 
 #include "buckthornrail/document/change.hpp"
@@ -15,44 +15,48 @@
 using route_pointer = std::shared_ptr<const route>;
 using workspace_pointer = std::shared_ptr<const workspace_keys>;
 
-/// An entry, decoded.
+/// A decoded entry of a document and the hash of its encoded form.
 template <typename Entry> struct decoded_entry {
     document::entry_hash hash = 0;
     std::shared_ptr<const Entry> value;
 };
 
-/// A change, decoded.
+/// A decoded change from one version of a document to another.
 struct decoded_change {
-    std::uint64_t from = 0; ///< 0: none; it makes the whole document
-    std::uint64_t to = 0;
-    std::uint64_t digest = 0; ///< of the document at `to`
+    std::uint64_t from = 0; ///< base version; 0: none, the change holds the whole document
+    std::uint64_t to = 0; ///< resulting version
+    std::uint64_t digest = 0; ///< of all entries at version `to`
     std::vector<document::entry_hash> removedRoutes;
     std::vector<document::entry_hash> removedWorkspaces;
     std::vector<decoded_entry<route>> routes;
     std::vector<decoded_entry<workspace_keys>> workspaces;
-    std::shared_ptr<const document_rest> rest; ///< empty: as before
-    document::entry_hash restHash = 0; ///< of that
+    std::shared_ptr<const document_rest> rest; ///< empty: unchanged
+    document::entry_hash restHash = 0; ///< of the encoded form of `rest`
 };
 
-/// @brief Routes, keys and services of one version. What it gives out stays whole while others hold it.
+/// @brief Routes, keys and services of one version. Returned entries are immutable and stay valid after later changes.
 class route_index {
 public:
     route_index() = default;
-    /// @brief A document that was read as a whole.
+    /// @brief Builds the index of a whole document. No changes can be applied to it.
     explicit route_index(route_document whole);
 
-    /// @brief Takes a change over, whole or not at all.
-    /// @return MalformedMessage when it doesn't follow from what is held
+    /// @brief Applies a change atomically.
+    /// @return MalformedMessage when it doesn't match the current version or its entries; nothing is changed then
     tl::expected<void, failure> apply(const decoded_change& change);
-    /// @brief Adds entries to an index that isn't in force yet; nothing is checked.
+    /// @brief Adds entries to an index that is being built, without validation. Call finalize() at the end.
     void put(const decoded_change& part);
-    /// @brief Ends what put() has made.
-    /// @return MalformedMessage when the version holds other entries
+    /// @brief Sets the version of an index that put() has built.
+    /// @param digest of the version's entries
+    /// @return MalformedMessage when the digest of the added entries differs
     tl::expected<void, failure> finalize(std::uint64_t version, std::uint64_t digest);
 
-    /// @brief Route of a host and a path: the longest prefix wins. @param target path, perhaps with a query
+    /// @brief Finds the route with the longest matching path prefix.
+    /// @param host with or without a port
+    /// @param target path with an optional query
+    /// @return null when no route matches
     [[nodiscard]] route_pointer find(std::string_view host, std::string_view target) const;
-    /// @brief Workspace that holds a key, if any.
+    /// @brief Finds the workspace of a key. @return null for an unknown key
     [[nodiscard]] workspace_pointer findWorkspace(std::string_view key) const;
 
     [[nodiscard]] std::uint64_t version() const { return m_version; }
@@ -60,19 +64,19 @@
     [[nodiscard]] std::size_t routeCount() const { return m_routes.size(); }
 
 private:
-    /// Hashes strings and views alike, so that look-ups make no copy.
+    /// Hashes strings and views alike, so that look-ups don't copy.
     struct text_hash {
         using is_transparent = void; // NOLINT(readability-identifier-naming): the library asks for this name
         std::size_t operator()(std::string_view text) const { return std::hash<std::string_view>()(text); }
     };
 
-    /// Routes of a host. The views are into the routes.
+    /// Routes of a host. The views point into the routes.
     struct host_routes {
-        std::map<std::size_t, std::size_t, std::greater<>> lengths; ///< prefixes by their length, longest first
+        std::map<std::size_t, std::size_t, std::greater<>> lengths; ///< number of prefixes by length, longest first
         std::unordered_map<std::string_view, route_pointer> byPrefix;
     };
 
-    /// @brief Whether a change can be taken over. @return the reason if it can't
+    /// @brief Checks whether a change can be applied. @return the reason if it can't
     [[nodiscard]] tl::expected<void, failure> check(const decoded_change& change) const;
     void add(const decoded_entry<route>& entry);
     void add(const decoded_entry<workspace_keys>& entry);
@@ -86,7 +90,7 @@
     std::unordered_map<document::entry_hash, route_pointer> m_routes;
     std::unordered_map<document::entry_hash, workspace_pointer> m_workspaces;
     std::unordered_map<std::string, host_routes, text_hash, std::equal_to<>> m_byHost;
-    /// By views into the workspaces. A key may stand twice where one workspace is named twice.
+    /// The views point into the workspaces. A key may occur twice if a workspace is listed twice.
     std::unordered_multimap<std::string_view, workspace_pointer> m_byKey;
 };
 
--- a/src/buckthornrail/gateway/route_document.cpp
+++ b/src/buckthornrail/gateway/route_document.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Checking documents and finding routes.
+/// @brief Validation of route documents and weighted choice of services.
 #include "buckthornrail/gateway/route_document.hpp"
 
 #include <algorithm>
--- a/src/buckthornrail/gateway/route_index.cpp
+++ b/src/buckthornrail/gateway/route_index.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Looking routes and keys up, and changing them in place.
+/// @brief Look-up of routes and keys, and incremental changes.
 #include "buckthornrail/gateway/route_index.hpp"
 
 #include <algorithm>
@@ -32,7 +32,7 @@
     rest->limits = whole.limits;
     rest->needsKeys = whole.needsKeys;
     m_rest = std::move(rest);
-    // Nothing follows from such an index by a change, so any numbers tell its entries apart.
+    // No change is ever applied to such an index, so any unique numbers do as hashes.
     entry_hash number = 0;
     for (auto& one : whole.routes)
         add({ ++number, std::make_shared<route>(std::move(one)) });
@@ -44,10 +44,10 @@
 {
     if (change.from != m_version) {
         return mismatch(
-            "it follows from version " + std::to_string(change.from) + ", held is " + std::to_string(m_version));
+            "it is based on version " + std::to_string(change.from) + ", current is " + std::to_string(m_version));
     }
     if (!holdsAll(m_routes, change.removedRoutes) || !holdsAll(m_workspaces, change.removedWorkspaces))
-        return mismatch("it removes what isn't held");
+        return mismatch("it removes entries that are not in the document");
     document::content_digest digest = m_digest;
     for (const auto hash : change.removedRoutes)
         digest.remove(hash);
@@ -62,7 +62,7 @@
         digest.add(change.restHash);
     }
     if (digest.sum() != change.digest)
-        return mismatch("version " + std::to_string(change.to) + " would hold other entries than it does");
+        return mismatch("version " + std::to_string(change.to) + " would have a digest other than the announced one");
     return {};
 }
 
@@ -96,7 +96,7 @@
 tl::expected<void, failure> route_index::finalize(std::uint64_t version, std::uint64_t digest)
 {
     if (m_digest.sum() != digest)
-        return mismatch("version " + std::to_string(version) + " holds other entries than came");
+        return mismatch("version " + std::to_string(version) + " has a digest other than that of the received entries");
     m_version = version;
     return {};
 }
@@ -115,7 +115,7 @@
 {
     const auto found = m_routes.find(hash);
     if (found == m_routes.end())
-        return; // a damaged change names it twice
+        return; // a corrupt change lists it twice
     const route_pointer gone = found->second;
     m_routes.erase(found);
     m_digest.remove(hash);
@@ -141,7 +141,7 @@
 {
     const auto found = m_workspaces.find(hash);
     if (found == m_workspaces.end())
-        return; // a damaged change names it twice
+        return; // a corrupt change lists it twice
     const workspace_pointer gone = found->second;
     m_workspaces.erase(found);
     m_digest.remove(hash);
--- a/src/buckthornrail/gateway/route_index_test.cpp
+++ b/src/buckthornrail/gateway/route_index_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Routes and keys changed in place.
+/// @brief Look-ups and incremental changes of the route index.
 #include "buckthornrail/gateway/route_index.hpp"
 
 #include <catch2/catch.hpp>
@@ -27,7 +27,7 @@
     return std::make_shared<const workspace_keys>(workspace_keys { name, std::move(keys), std::nullopt });
 }
 
-/// Changes to an index, with the digest that belongs to them.
+/// Builds changes to an index and keeps the digest up to date.
 class change_maker {
 public:
     decoded_change begin(std::uint64_t from, std::uint64_t to)
@@ -74,7 +74,7 @@
 
 } // namespace
 
-TEST_CASE("route index: a change adds, replaces and removes; what was given out stays whole", "[gateway]")
+TEST_CASE("route index: a change adds, replaces and removes entries; returned entries stay valid", "[gateway]")
 {
     change_maker maker;
     route_index index;
@@ -102,7 +102,7 @@
     CHECK(kept->name == "old");
 }
 
-TEST_CASE("route index: a change that doesn't follow changes nothing", "[gateway]")
+TEST_CASE("route index: a change that doesn't match is rejected and has no effect", "[gateway]")
 {
     change_maker maker;
     route_index index;
@@ -112,20 +112,20 @@
 
     change_maker other = maker;
     auto wrong = other.begin(5, 6);
-    SECTION("from another version") { wrong.from = 4; }
-    SECTION("it removes what isn't held") { other.removeRoute(wrong, 77); }
-    SECTION("its version holds more than it brings")
+    SECTION("other base version") { wrong.from = 4; }
+    SECTION("removes an unknown entry") { other.removeRoute(wrong, 77); }
+    SECTION("lacks an entry of its version")
     {
         auto ignored = other.begin(5, 6);
         other.add(ignored, 8, routeAt("h", "/b/", "missing"));
     }
-    SECTION("it removes an entry twice") { wrong.removedRoutes = { 1, 1 }; }
+    SECTION("removes an entry twice") { wrong.removedRoutes = { 1, 1 }; }
     CHECK_FALSE(index.apply(other.end(wrong)));
     CHECK(index.version() == 5);
     CHECK(index.find("h", "/a/x")->name == "r");
 }
 
-TEST_CASE("route index: look-ups are those of a search through all routes", "[gateway]")
+TEST_CASE("route index: look-ups equal a linear search through all routes", "[gateway]")
 {
     rc::prop("any routes", [] {
         const auto parts = rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 3));
