--- a/include/buckthornrail/gateway/layer_path.hpp
+++ b/include/buckthornrail/gateway/layer_path.hpp
@@ -37,7 +37,7 @@
     /// the local chains are congested. For slower links the pool raises it.
     double crossingMs = 80;
     /// Added to crossingMs: time until the link from one domain to another is free, at [from * domains + to]; empty: 0.
-    std::vector<double> pipeWaitMs;
+    std::vector<double> linkWaitMs;
 };
 
 /// @brief Finds the cheapest path over layers [0, layerCount).
--- a/include/buckthornrail/gateway/route_document.hpp
+++ b/include/buckthornrail/gateway/route_document.hpp
@@ -72,15 +72,15 @@
     double usualAnswerTokens = 0;
     double loadSeconds = 0; ///< time to load all layers
     double activationBytes = 0; ///< size of a token's activations between two targets
-    double pipeMbps = 0; ///< bandwidth of the shared link between two failure domains; 0: unlimited
+    double linkMbps = 0; ///< bandwidth of the shared link between two failure domains; 0: unlimited
     std::vector<accelerator_kind> kinds;
 
     /// @brief Time that a token's activations occupy the link between two domains, in milliseconds.
-    [[nodiscard]] double pipeMsPerToken() const
+    [[nodiscard]] double linkMsPerToken() const
     {
         constexpr double bitsPerByte = 8;
         constexpr double bitsPerMsAndMbps = 1000;
-        return pipeMbps > 0 ? activationBytes * bitsPerByte / (pipeMbps * bitsPerMsAndMbps) : 0;
+        return linkMbps > 0 ? activationBytes * bitsPerByte / (linkMbps * bitsPerMsAndMbps) : 0;
     }
 };
 
--- a/include/buckthornrail/gateway/target_pool.hpp
+++ b/include/buckthornrail/gateway/target_pool.hpp
@@ -288,7 +288,7 @@
     [[nodiscard]] static double slowdownOf(const pool_target& target, steady_time now);
     [[nodiscard]] static double slowdownOf(const pool_target& target, std::size_t kind, steady_time now);
     [[nodiscard]] std::size_t domainIndex(const std::string& name);
-    void describeAccelerator(pool_target& target) const;
+    void applyEngineModel(pool_target& target) const;
     [[nodiscard]] double expectedTokens(const pool_target& target, const request_size& size) const;
 
     pool_options m_options;
--- a/src/buckthornrail/gateway/heavy_load_test.cpp
+++ b/src/buckthornrail/gateway/heavy_load_test.cpp
@@ -162,7 +162,7 @@
 {
     auto engine = mixedEngine();
     engine.activationBytes = 62500;
-    engine.pipeMbps = 8000;
+    engine.linkMbps = 8000;
     auto pool = poolOf({ holder("head", "a", "fast", { 0, 40 }), holder("near", "a", "slow", { 40, 80 }),
                            holder("out", "b", "fast", { 40, 80 }) },
         engine);
--- a/src/buckthornrail/gateway/layer_path.cpp
+++ b/src/buckthornrail/gateway/layer_path.cpp
@@ -68,7 +68,7 @@
 
     [[nodiscard]] double crossingMs(std::size_t from, std::size_t to) const
     {
-        const double waits = m_costs.pipeWaitMs.empty() ? 0 : m_costs.pipeWaitMs[from * m_domainCount + to];
+        const double waits = m_costs.linkWaitMs.empty() ? 0 : m_costs.linkWaitMs[from * m_domainCount + to];
         return m_costs.crossingMs + waits;
     }
 
--- a/src/buckthornrail/gateway/routing_test.cpp
+++ b/src/buckthornrail/gateway/routing_test.cpp
@@ -274,7 +274,7 @@
     auto engine = engineOf(10);
     engine.usualPromptTokens = 1000;
     engine.activationBytes = 10000;
-    engine.pipeMbps = 10000; // 8 ms for a prompt
+    engine.linkMbps = 10000; // 8 ms for a prompt
     pool.setEngine("s", engine);
     pool.setOtherGateways(2, 10);
     const steady_time now {};
@@ -286,7 +286,7 @@
     CHECK(pool.select("s", {}, now)->parts.back().target == "near");
     pool.prefillFinished(*crossing, { 20000, 1 });
     CHECK(pool.select("s", {}, now)->parts.back().target == "far");
-    engine.pipeMbps = 1000; // 80 ms for a prompt, with two gateways
+    engine.linkMbps = 1000; // 80 ms for a prompt, with two gateways
     pool.setEngine("s", engine);
     for (int at = 0; at < 100; ++at)
         pool.select("s", {}, now);
--- a/src/buckthornrail/gateway/target_life_test.cpp
+++ b/src/buckthornrail/gateway/target_incarnation_test.cpp
@@ -14,7 +14,7 @@
 } // namespace
 
 TEST_CASE("target incarnation: a stream moves away from a restarted target, which doesn't count as an attempt",
-    "[gateway][life]")
+    "[gateway][incarnation]")
 {
     const std::string restarted = GENERATE("a0", "a1");
     exchange_bench bench(request_kind::Stream, true, true);
@@ -34,8 +34,8 @@
     CHECK(bench.port.events == "12");
 }
 
-TEST_CASE(
-    "target incarnation: ended incarnations don't count towards the route's maximum of attempts", "[gateway][life]")
+TEST_CASE("target incarnation: ended incarnations don't count towards the route's maximum of attempts",
+    "[gateway][incarnation]")
 {
     exchange_bench bench(request_kind::Safe, false, false);
     auto call = bench.make();
@@ -53,7 +53,8 @@
     CHECK(bench.port.outcome == "passed on");
 }
 
-TEST_CASE("target incarnation: a request that may not be retried ends at once, as possibly executed", "[gateway][life]")
+TEST_CASE("target incarnation: a request that may not be retried ends at once, as possibly executed",
+    "[gateway][incarnation]")
 {
     exchange_bench bench(request_kind::Unsafe, false, false);
     auto call = bench.make();
@@ -66,7 +67,8 @@
     CHECK(bench.port.answerRan == ran_state::Unknown);
 }
 
-TEST_CASE("target incarnation: a restart outside the path, or a mere state change, moves no stream", "[gateway][life]")
+TEST_CASE(
+    "target incarnation: a restart outside the path, or a mere state change, moves no stream", "[gateway][incarnation]")
 {
     exchange_bench bench(request_kind::Stream, true, true);
     auto call = bench.make();
@@ -80,7 +82,7 @@
     CHECK(bench.port.attempts == 1);
 }
 
-TEST_CASE("target incarnation: layers of a previous incarnation are not used", "[gateway][life]")
+TEST_CASE("target incarnation: layers of a previous incarnation are not used", "[gateway][incarnation]")
 {
     exchange_bench bench(request_kind::Stream, true, true);
     for (const std::string domain : { "a", "b", "c" })
@@ -92,7 +94,8 @@
     CHECK(chosen->parts.back().target == registry::target_incarnation("b1", secondStartMs));
 }
 
-TEST_CASE("target incarnation: load and failure history of the previous incarnation are dropped", "[gateway][life]")
+TEST_CASE(
+    "target incarnation: load and failure history of the previous incarnation are dropped", "[gateway][incarnation]")
 {
     exchange_bench bench(request_kind::Safe, false, false);
     const auto chosen = bench.pool.select("s", {}, zero);
--- a/src/buckthornrail/gateway/target_pool.cpp
+++ b/src/buckthornrail/gateway/target_pool.cpp
@@ -16,8 +16,8 @@
 /// Weight of a new latency sample of a path in the slowdown of its targets.
 constexpr double slowdownWeight = 0.3;
 /// The typical latency ratio follows the paths without trouble: it falls fast and rises slowly.
-constexpr double typicalRatioDown = 0.2;
-constexpr double typicalRatioUp = 0.005;
+constexpr double ratioFallWeight = 0.2;
+constexpr double ratioRiseWeight = 0.005;
 /// Slowdowns below these are normal variation. The time to the first event depends on the lengths of its own prompt and
 /// of those queued before it, the time between events on the prefills that run in between.
 constexpr std::array<double, latencyKindCount> normalSlowdown { 4, 1.5 };
@@ -79,7 +79,7 @@
             target.avoidUntil = {};
             target.isUnresponsive = false;
         }
-        describeAccelerator(target);
+        applyEngineModel(target);
     }
     return newAddresses;
 }
@@ -91,10 +91,10 @@
     else
         m_engines.erase(service);
     for (auto& [id, target] : m_targets)
-        describeAccelerator(target);
+        applyEngineModel(target);
 }
 
-void target_pool::describeAccelerator(pool_target& target) const
+void target_pool::applyEngineModel(pool_target& target) const
 {
     const auto engine = m_engines.find(target.record.service);
     if (engine == m_engines.end())
@@ -188,7 +188,7 @@
     }
     path_costs costs;
     costs.crossingMs = crossingMs(engine);
-    costs.pipeWaitMs = linkWaits(engine);
+    costs.linkWaitMs = linkWaits(engine);
     const auto path = findPath(candidates, engine.layers, m_domains.size(), 0, costs);
     if (path.empty())
         return std::nullopt;
@@ -275,7 +275,7 @@
     double& typical = m_typicalLatencyRatio[at];
     if (typical == 0)
         typical = ratio;
-    typical += (ratio < typical ? typicalRatioDown : typicalRatioUp) * (ratio - typical);
+    typical += (ratio < typical ? ratioFallWeight : ratioRiseWeight) * (ratio - typical);
     const double relative = ratio / typical;
     const double measured = relative < normalSlowdown[at] ? 1 : std::min(relative, maxSlowdown);
     for (const auto& part : chosen.parts) {
--- a/src/buckthornrail/gateway/target_pool_load.cpp
+++ b/src/buckthornrail/gateway/target_pool_load.cpp
@@ -89,16 +89,16 @@
     // All gateways see the same congested targets and start to cross at the same time, so the link's utilization is
     // estimated as if all traffic crossed.
     constexpr double msPerSecond = 1000;
-    const double promptMs = engine.usualPromptTokens * engine.pipeMsPerToken();
-    const double pipeUse = m_selectionsPerSecond * m_gateways * promptMs / msPerSecond;
-    return path_costs().crossingMs * std::max(1.0, pipeUse);
+    const double promptMs = engine.usualPromptTokens * engine.linkMsPerToken();
+    const double linkUse = m_selectionsPerSecond * m_gateways * promptMs / msPerSecond;
+    return path_costs().crossingMs * std::max(1.0, linkUse);
 }
 
 std::vector<double> target_pool::linkWaits(const layered_engine& engine) const
 {
     const std::size_t count = m_domains.size();
     std::vector<double> waits(count * count, 0);
-    const double msPerToken = engine.pipeMsPerToken();
+    const double msPerToken = engine.linkMsPerToken();
     for (const auto& [crossing, tokens] : m_prefillCrossings)
         waits[crossing.first * count + crossing.second] = tokens * msPerToken * gatewaysPerDomain();
     return waits;
