--- a/src/buckthornrail/gateway/layer_path.cpp
+++ b/src/buckthornrail/gateway/layer_path.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Shortest path over (layer, domain).
+/// @brief Shortest path by dynamic programming over (layer, domain).
 #include "buckthornrail/gateway/layer_path.hpp"
 
 #include <algorithm>
@@ -11,10 +11,10 @@
 constexpr double unreached = std::numeric_limits<double>::infinity();
 constexpr std::size_t noCandidate = std::numeric_limits<std::size_t>::max();
 
-/// Cheapest way to have run all layers below a point, with the last of them in a domain.
+/// Cheapest partial path that ends before a layer, with its last part in a given domain.
 struct waypoint {
     double cost = unreached;
-    std::size_t candidate = noCandidate; ///< that ran the last part
+    std::size_t candidate = noCandidate; ///< that runs the last part
     std::uint32_t fromLayer = 0;
     std::size_t fromDomain = 0;
 };
@@ -52,7 +52,7 @@
     {
         const auto& candidate = m_candidates[index];
         const std::uint32_t end = std::min(candidate.layers.end, m_layerCount);
-        const double own = m_costs.perPartMs + candidate.extraMs + candidate.msPerLayer * (end - layer);
+        const double own = m_costs.perPartMs + candidate.fixedMs + candidate.msPerLayer * (end - layer);
         waypoint& goal = at(end, candidate.domain);
         for (std::size_t domain = 0; domain < m_domainCount; ++domain) {
             const double before = at(layer, domain).cost;
@@ -60,7 +60,7 @@
                 continue;
             double cost = before + own;
             if (domain != candidate.domain)
-                cost += layer == 0 ? m_costs.farStartMs : crossingMs(domain, candidate.domain);
+                cost += layer == 0 ? m_costs.remoteStartMs : crossingMs(domain, candidate.domain);
             if (cost < goal.cost)
                 goal = { cost, index, layer, domain };
         }
@@ -68,7 +68,7 @@
 
     [[nodiscard]] double crossingMs(std::size_t from, std::size_t to) const
     {
-        const double waits = m_costs.pipeWaitMs.empty() ? 0 : m_costs.pipeWaitMs[from * m_domainCount + to];
+        const double waits = m_costs.linkWaitMs.empty() ? 0 : m_costs.linkWaitMs[from * m_domainCount + to];
         return m_costs.crossingMs + waits;
     }
 
