--- a/include/buckthornrail/gateway/repeat_budget.hpp
+++ b/include/buckthornrail/gateway/repeat_budget.hpp
@@ -7,7 +7,7 @@
 #pragma once
 
 #include "buckthornrail/core/clock.hpp"
-#include "buckthornrail/registry/gateway_census.hpp"
+#include "buckthornrail/registry/gateway_table.hpp"
 
 #include <cstddef>
 #include <cstdint>
@@ -81,11 +81,11 @@
     /// @brief See repeat_budget::toldGateways.
     void toldGateways(std::size_t gateways, steady_time now);
     /// @brief See repeat_budget::resume. Services that aren't named had nothing spent.
-    void resume(const registry::repeat_counts& spent, steady_time now);
+    void resume(const registry::retry_counts& spent, steady_time now);
     /// @brief See repeat_budget::isComplete.
     [[nodiscard]] bool isComplete(steady_time now) const { return m_unused.isComplete(now); }
     /// @brief Services with repeats within the window that ends now.
-    [[nodiscard]] registry::repeat_counts spent(steady_time now);
+    [[nodiscard]] registry::retry_counts spent(steady_time now);
 
 private:
     repeat_budget m_unused; ///< what a service's budget is before its first request
--- a/include/buckthornrail/gateway/target_pool.hpp
+++ b/include/buckthornrail/gateway/target_pool.hpp
@@ -5,8 +5,8 @@
 #include "buckthornrail/gateway/layer_path.hpp"
 #include "buckthornrail/gateway/route_index.hpp"
 #include "buckthornrail/gateway/send_limit.hpp"
-#include "buckthornrail/registry/limit_board.hpp"
-#include "buckthornrail/registry/load_board.hpp"
+#include "buckthornrail/registry/limit_table.hpp"
+#include "buckthornrail/registry/load_table.hpp"
 
 #include <array>
 #include <map>
@@ -111,9 +111,9 @@
     /// aren't told by target, they are taken to be spread like this one's.
     void setOthers(std::size_t gateways, std::size_t openAttempts);
     /// @brief Work of the others' attempts at the targets told of last; a row of another length says nothing.
-    void setOthersLoads(const registry::load_row& row, steady_time now);
+    void setOthersLoads(const registry::target_loads& row, steady_time now);
     /// @brief Work of this gateway's attempts, for the others.
-    [[nodiscard]] registry::load_row loads() const;
+    [[nodiscard]] registry::target_loads loads() const;
     [[nodiscard]] std::size_t openAttempts() const { return m_openAttempts; }
 
     /// @brief Picks a target, or a path over several.
@@ -141,9 +141,9 @@
     std::optional<limit_change> heard(const registry::target_incarnation& id, const target_pushback& said,
         bool namesNone, steady_time sentAt, steady_time now);
     /// @brief Other gateways heard of limits. @return what changes by it
-    std::vector<limit_change> toldLimits(std::span<const registry::limit_news> news, steady_time now);
+    std::vector<limit_change> toldLimits(std::span<const registry::limit_report> news, steady_time now);
     /// @brief Limits heard here since the last call, for the other gateways. @param all also those told before
-    std::vector<registry::limit_news> takeLimitNews(bool all, steady_time now);
+    std::vector<registry::limit_report> takeLimitNews(bool all, steady_time now);
     /// @brief Limits are shared among all gateways.
     void setShare(const gateway_share& share, steady_time now);
     /// @brief Whether a target may be sent something now, by what it has said: a request as the first of a path, or a
--- a/include/buckthornrail/link/message.hpp
+++ b/include/buckthornrail/link/message.hpp
@@ -10,8 +10,8 @@
 #include "buckthornrail/document/change.hpp"
 #include "buckthornrail/execution/stage_guard.hpp"
 #include "buckthornrail/membership/membership_table.hpp"
+#include "buckthornrail/registry/gateway_sessions.hpp"
 #include "buckthornrail/registry/quarantine.hpp"
-#include "buckthornrail/registry/session_board.hpp"
 
 #include <tl/expected.hpp>
 #include <variant>
@@ -165,13 +165,13 @@
     std::uint64_t targetRevision = 0;
     std::uint32_t openAttempts = 0; ///< under way at targets
     std::vector<registry::target_incarnation> darkTargets; ///< that were dead or cut off for it since the last beat
-    registry::load_row loads; ///< of its attempts, at the targets of that revision
+    registry::target_loads loads; ///< of its attempts, at the targets of that revision
     std::uint64_t life = 0; ///< drawn by each process at its start
-    registry::repeat_counts repeats; ///< that it spent within the window
+    registry::retry_counts repeats; ///< that it spent within the window
     bool isRepeatsComplete = false; ///< also those of processes before this one; false: it wants to be told of them
     std::uint64_t quarantineRevision = 0; ///< of the standings that it holds
     std::vector<registry::quarantine_batch> quarantine; ///< without a receipt so far
-    std::vector<registry::limit_news> limits; ///< that it heard targets name since the last beat
+    std::vector<registry::limit_report> limits; ///< that it heard targets name since the last beat
     std::vector<registry::target_incarnation> leavingTargets; ///< that told it so, and the table doesn't show it
 };
 
@@ -202,13 +202,13 @@
     std::vector<controller_place> controllers; ///< all members; empty: as told before in this session
     std::uint32_t gateways = 1; ///< that have a session now
     std::uint32_t budgetSharers = 0; ///< gateways that may have spent of the budget of repeats; 0: not known
-    std::vector<registry::repeat_counts> earlierRepeats; ///< at most one: of processes before this one; none: not known
+    std::vector<registry::retry_counts> earlierRepeats; ///< at most one: of processes before this one; none: not known
     std::uint32_t othersOpenAttempts = 0; ///< under way from all other gateways, as they told last
-    registry::load_row othersLoads; ///< the same by target, once the changes above are applied; empty: not told
+    registry::target_loads othersLoads; ///< the same by target, once the changes above are applied; empty: not told
     std::vector<registry::quarantine_delta> quarantine; ///< at most one: nothing to change
     std::vector<registry::quarantine_receipt> quarantineReceipts;
     std::optional<std::uint32_t> ordinal; ///< which one of the sharers of the budget it is; nothing: not known
-    std::vector<registry::limit_news> limits; ///< that it wasn't told in this session
+    std::vector<registry::limit_report> limits; ///< that it wasn't told in this session
 };
 
 /// A target's heartbeat.
@@ -223,7 +223,7 @@
     registry::member_report sessions; ///< gateways'
     std::vector<target_heard> heard; ///< heartbeats of targets
     std::vector<registry::target_incarnation> darkTargets; ///< that were dead or cut off for a gateway
-    std::vector<registry::limit_news> limits; ///< that gateways heard targets name
+    std::vector<registry::limit_report> limits; ///< that gateways heard targets name
     std::vector<registry::target_incarnation> leavingTargets; ///< that told a gateway so
 };
 
--- a/include/buckthornrail/link/state_json.hpp
+++ b/include/buckthornrail/link/state_json.hpp
@@ -119,7 +119,7 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(quarantine_change, crashes, claims, ends, cleared, expired)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(
     quarantine_entry, stage, ended, crashes, proofs, trial, trialTarget, revision, stageRevision)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(quarantine_standing, fingerprint, stage)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(quarantine_status, fingerprint, stage)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(quarantine_delta, to, full, standings)
 } // namespace registry
 
--- a/include/buckthornrail/registry/gateway_census.hpp
+++ b/include/buckthornrail/registry/gateway_table.hpp
@@ -14,28 +14,28 @@
 namespace buckthornrail::registry {
 
 /// Repeats of one service that a gateway has spent in its window.
-struct service_repeats {
+struct service_retries {
     std::string service;
     std::uint32_t repeats = 0;
 
-    bool operator==(const service_repeats&) const = default;
+    bool operator==(const service_retries&) const = default;
 };
 
-using repeat_counts = std::vector<service_repeats>;
+using retry_counts = std::vector<service_retries>;
 
 /// What a gateway's heartbeat says of it.
-struct gateway_life {
+struct gateway_usage {
     std::string id;
-    std::uint64_t life = 0; ///< drawn by each process at its start
-    repeat_counts spent;
+    std::uint64_t incarnation = 0; ///< drawn by each process at its start
+    retry_counts spent;
     bool isComplete = false; ///< `spent` holds all of the window, also what earlier processes spent
 };
 
-struct gateway_census_options {
+struct gateway_table_options {
     /// As long as the longest window of repeats that is usual: a gateway counts for so long after its last word.
     milliseconds window { 10000 };
     /// A leader says nothing of the number before: every living gateway has found it by then, within about a second.
-    milliseconds settling { 2000 };
+    milliseconds settlingPeriod { 2000 };
     /// What a process spent is known when it was heard so shortly before the next one; a restart takes one to two
     /// seconds.
     milliseconds restartTime { 3000 };
@@ -43,33 +43,33 @@
 
 /// @brief Kept by the leader from heartbeats; soft state. Callers pass the time in.
 /// @ingroup registry
-class gateway_census {
+class gateway_table {
 public:
-    explicit gateway_census(const gateway_census_options& options = {})
+    explicit gateway_table(const gateway_table_options& options = {})
         : m_options(options)
     {
     }
 
     /// @brief This controller begins to lead: it has heard nothing yet.
     void begin(steady_time now);
-    void heard(const gateway_life& one, steady_time now);
+    void recordHeartbeat(const gateway_usage& one, steady_time now);
     /// @brief Gateways heard within the window. @return 0: not known yet
     [[nodiscard]] std::size_t count(steady_time now) const;
     /// @brief The gateways counted, in order of their ids. The place of each is its number among them.
-    [[nodiscard]] std::vector<std::string> living(steady_time now) const;
+    [[nodiscard]] std::vector<std::string> liveGateways(steady_time now) const;
     /// @brief What earlier processes of a gateway had spent within the window when the one heard last started.
     /// @return nothing when it isn't known, or `spent` holds it already
-    [[nodiscard]] std::optional<repeat_counts> earlierSpent(const std::string& id) const;
+    [[nodiscard]] std::optional<retry_counts> earlierRetries(const std::string& id) const;
 
 private:
     struct entry {
-        gateway_life last;
-        std::optional<repeat_counts> earlier; ///< by the processes before it; nothing: not known
+        gateway_usage last;
+        std::optional<retry_counts> earlier; ///< by the processes before it; nothing: not known
         steady_time restartDeadline {}; ///< a next process that is heard until then follows at once
         steady_time deadline {};
     };
 
-    gateway_census_options m_options;
+    gateway_table_options m_options;
     std::map<std::string, entry> m_gateways;
     steady_time m_settledAt = steady_time::max();
 };
--- a/include/buckthornrail/registry/layer_plan.hpp
+++ b/include/buckthornrail/registry/layer_plan.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Which layers each target should hold, so that every failure domain has whole chains of its own.
+/// @brief Plans which layers each target holds, so that every failure domain has complete chains of its own.
 #pragma once
 
 #include "buckthornrail/registry/target_record.hpp"
@@ -10,47 +10,49 @@
 
 namespace buckthornrail::registry {
 
-/// A target as the planner sees it.
+/// A target's state as input of the planner.
 struct plan_target {
     std::string id;
     std::string failureDomain;
-    std::uint32_t capacity = 0; ///< layers that fit beside the memory that requests need at the least
-    std::uint32_t comfortable = 0; ///< layers that leave much more of it; at most the capacity
-    layer_range holds; ///< or is about to hold: an order that is out counts as carried out
-    bool isSettled = true; ///< false: an order is out, so it takes no other one
+    std::uint32_t capacity = 0; ///< layers that fit beside the minimum memory for requests
+    std::uint32_t preferredLayers = 0; ///< layers that leave more memory to requests; at most the capacity
+    layer_range heldLayers; ///< loaded layers; the ordered ones while an order is pending
+    bool canTakeOrder = true; ///< false while an order is pending
 };
 
-/// An order to give.
-struct plan_step {
+/// Layers that a target is to load.
+struct layer_assignment {
     std::string id;
     layer_range layers;
-    bool isUrgent = false; ///< fills a gap: what passes through the layers given up is not waited for
-    bool operator==(const plan_step&) const = default;
+    bool isUrgent = false; ///< fills a gap: requests in flight through the layers given up are not waited for
+    bool operator==(const layer_assignment&) const = default;
 };
 
-/// Memory of an accelerator, and what a layer and a token need of it.
-struct memory_needs {
+/// Memory of an accelerator, and the memory that each layer and each token takes.
+struct memory_requirements {
     double memoryMb = 0;
     double layerMb = 0;
     double tokenBytesPerLayer = 0;
-    double tokens = 0; ///< that the target should have room for
+    double tokens = 0; ///< number of tokens to reserve memory for
 };
 
-/// @brief Layers that fit into an accelerator with room for the tokens.
-std::uint32_t layersThatFit(const memory_needs& needs);
+/// @brief Number of layers that fit into an accelerator beside the memory for its tokens.
+std::uint32_t layersThatFit(const memory_requirements& needs);
 
-/// @brief The most tokens that the accelerators of a domain can have room for, where they still hold all its whole
-/// chains, or one chain and half a second one.
-/// @param accelerators each with the least tokens to have room for
-/// @return that least when they can't hold so much
-double comfortableTokens(std::span<const memory_needs> accelerators, std::uint32_t layerCount);
+/// @brief The most tokens that each accelerator of a domain can reserve memory for without giving up a chain: the
+/// domain keeps all its complete chains, or, where there is only one, that chain and half of a second one.
+/// @param accelerators with the minimum number of tokens, the same for each
+/// @param layerCount layers of the model
+/// @return the minimum when the accelerators can't hold that many layers; 0 without accelerators or layers
+double preferredTokens(std::span<const memory_requirements> accelerators, std::uint32_t layerCount);
 
-/// @brief The next orders. Domains are planned each by itself.
+/// @brief Plans the next layer assignments. Each domain is planned independently.
 ///
-/// Targets that hold nothing take as many layers as is comfortable, where layers are held least: so a domain is one
-/// whole chain, and part of a second one. A gap is filled by a target whose layers others hold too, and without one by
-/// its neighbours, up to their capacity.
-/// @return at most one step a target; nothing when there is nothing to improve
-std::vector<plan_step> planLayers(std::span<const plan_target> targets, std::uint32_t layerCount);
+/// A target without layers gets its preferred number of layers, where coverage is lowest: a domain thus forms one
+/// complete chain and part of a second one. A gap is filled by a redundant target, one whose layers others hold too;
+/// without one, by the targets adjacent to the gap, up to their capacity.
+/// @param layerCount layers of the model
+/// @return at most one assignment per target; empty when nothing can be improved
+std::vector<layer_assignment> planLayers(std::span<const plan_target> targets, std::uint32_t layerCount);
 
 } // namespace buckthornrail::registry
--- a/include/buckthornrail/registry/load_board.hpp
+++ b/include/buckthornrail/registry/load_table.hpp
@@ -10,21 +10,21 @@
 
 /// Key-value memory that open attempts need at each target of a table, in the table's order and in thousands of tokens
 /// times layers: 58 targets take about 100 bytes of a message.
-using load_row = std::vector<std::uint32_t>;
+using target_loads = std::vector<std::uint32_t>;
 
 /// Tables of more targets aren't told of: each message would grow with them, and there are as many as gateways.
-inline constexpr std::size_t mostTargetsTold = 400;
+inline constexpr std::size_t maxTargetsInLoadReport = 400;
 
 /// @brief Sums up what the sessions have told last. Soft state: a new leader has heard nothing yet.
 /// @ingroup registry
-class load_board {
+class load_table {
 public:
     /// @brief Replaces what a session told before. A row that doesn't fit the table changes nothing.
     /// @param session number of the session
-    void tell(std::uint64_t session, const target_table& table, std::span<const std::uint32_t> row);
+    void update(std::uint64_t session, const target_table& table, std::span<const std::uint32_t> row);
     void forget(std::uint64_t session);
     /// @brief Work of all other sessions at the table's targets; empty when the table is too large.
-    [[nodiscard]] load_row othersOf(std::uint64_t session, const target_table& table) const;
+    [[nodiscard]] target_loads othersOf(std::uint64_t session, const target_table& table) const;
 
 private:
     /// By id, since the table's order changes with its targets.
--- a/include/buckthornrail/registry/quarantine.hpp
+++ b/include/buckthornrail/registry/quarantine.hpp
@@ -81,7 +81,7 @@
 };
 
 /// What gateways are told of an entry.
-struct quarantine_standing {
+struct quarantine_status {
     request_fingerprint fingerprint;
     quarantine_stage stage = quarantine_stage::None; ///< None: it is in the table no more
 };
@@ -90,7 +90,7 @@
 struct quarantine_delta {
     std::uint64_t to = 0;
     bool full = false; ///< replaces all that the receiver holds
-    std::vector<quarantine_standing> standings;
+    std::vector<quarantine_status> standings;
 };
 
 /// Why a trial may not begin.
@@ -130,9 +130,9 @@
 
 struct quarantine_options {
     /// A caller who sends many requests that end targets must not push out what is proved of others, nor fill memory.
-    std::size_t mostProven = 1024;
-    std::size_t mostSuspects = 4096; ///< the one that changed longest ago makes room
-    std::size_t mostRemovalsKept = 1024; ///< so that a gateway that lags needn't be told all
+    std::size_t maxProven = 1024;
+    std::size_t maxSuspects = 4096; ///< the one that changed longest ago makes room
+    std::size_t maxRetainedRemovals = 1024; ///< so that a gateway that lags needn't be told all
 };
 
 /// @brief The replicated table: every controller applies the same changes in the same order. It has no clock: the
@@ -180,24 +180,24 @@
     std::uint64_t m_prunedRevision = 0; ///< deltas from before it are not complete
 };
 
-/// @brief How long an entry stands as it is; see quarantine_clock.
-[[nodiscard]] milliseconds termOf(const quarantine_entry& entry);
+/// @brief How long an entry stands as it is; see quarantine_timers.
+[[nodiscard]] milliseconds timeoutOf(const quarantine_entry& entry);
 
 /// @brief The leader's clock for the table: terms begin when it first sees an entry as it is.
 /// @ingroup registry
-class quarantine_clock {
+class quarantine_timers {
 public:
     /// @brief This controller begins to lead: all terms begin anew.
-    void begin() { m_terms.clear(); }
+    void begin() { m_timers.clear(); }
     /// @return the terms that have ended, each once unless the entry stays as it is for another retry period
     [[nodiscard]] std::vector<quarantine_expiry> takeEnded(const quarantine_table& table, steady_time now);
 
 private:
-    struct term {
+    struct timer {
         std::uint64_t revision = 0;
         steady_time deadline {};
     };
-    std::map<request_fingerprint, term> m_terms;
+    std::map<request_fingerprint, timer> m_timers;
     std::optional<std::uint64_t> m_followedRevision;
 };
 
--- a/include/buckthornrail/registry/target_record.hpp
+++ b/include/buckthornrail/registry/target_record.hpp
@@ -100,7 +100,7 @@
 }
 
 /// @brief True when a target has said its last word, or its heartbeats have stopped.
-[[nodiscard]] inline bool isOver(const target_record& record)
+[[nodiscard]] inline bool isGoneOrLost(const target_record& record)
 {
     return record.state == target_state::Gone || record.state == target_state::Lost;
 }
@@ -128,13 +128,13 @@
 
 private:
     /// @return whether the table changed
-    bool applyFirst(const target_record& record);
-    bool applyToSame(const target_record& known, const target_record& announced);
+    bool applyNew(const target_record& record);
+    bool applyToSameIncarnation(const target_record& known, const target_record& announced);
     /// @brief Whether a target that started later, and isn't over, has the address.
-    [[nodiscard]] bool isLateAtAddress(const target_record& record) const;
+    [[nodiscard]] bool isAddressHeldByNewer(const target_record& record) const;
     void store(target_record record);
     /// A new life at an address: whoever had it before is over, also when its last word is missing.
-    void endEarlierLives(const target_record& record);
+    void endPreviousIncarnations(const target_record& record);
     void prune();
 
     std::map<std::string, target_record> m_records;
--- a/src/app/gateway/gateway.cpp
+++ b/src/app/gateway/gateway.cpp
@@ -56,7 +56,7 @@
               [this](const registry::target_view& targets) { onTargets(targets); },
               [this] { return static_cast<std::uint32_t>(m_context.pool.openAttempts()); },
               [this] { return m_context.pool.loads(); },
-              [this](const registry::load_row& others) { m_context.pool.setOthersLoads(others, steadyNow()); },
+              [this](const registry::target_loads& others) { m_context.pool.setOthersLoads(others, steadyNow()); },
               [this](const link::gateway_update& update) { onServed(update); },
               [this] { return m_context.pool.takeDark(); },
               [this](link::gateway_beat& beat) {
@@ -70,7 +70,7 @@
                   resumeWaiting();
               },
               [this](bool all) { return m_context.pool.takeLimitNews(all, steadyNow()); },
-              [this](const std::vector<registry::limit_news>& news) { onLimits(news); },
+              [this](const std::vector<registry::limit_report>& news) { onLimits(news); },
               [this] { return m_context.pool.leavingUnknown(); },
           })
     , m_standstillCheck(loop, standstillPeriod, [this] { lookForStandstill(); })
@@ -160,7 +160,7 @@
             { { "gateways", std::to_string(update.budgetSharers) }, { "before", std::to_string(before) } });
 }
 
-void gateway_role::onLimits(const std::vector<registry::limit_news>& news)
+void gateway_role::onLimits(const std::vector<registry::limit_report>& news)
 {
     for (const auto& change : m_context.pool.toldLimits(news, steadyNow())) {
         telemetry::logEvent(event_code::TargetPushback,
--- a/src/app/gateway/gateway.hpp
+++ b/src/app/gateway/gateway.hpp
@@ -37,7 +37,7 @@
     /// @brief Takes over what the leader says of the other gateways.
     void onServed(const link::gateway_update& update);
     /// @brief Other gateways have heard targets name limits.
-    void onLimits(const std::vector<registry::limit_news>& news);
+    void onLimits(const std::vector<registry::limit_report>& news);
     /// @brief Another version is in force.
     void onDocument();
     /// @brief What was told before a standstill may be long overtaken: calls wait until it is confirmed.
--- a/src/app/gateway/gateway_session.hpp
+++ b/src/app/gateway/gateway_session.hpp
@@ -25,8 +25,8 @@
     std::function<void()> documentChanged; ///< another version is in force
     std::function<void(const registry::target_view&)> targetsChanged;
     std::function<std::uint32_t()> openAttempts;
-    std::function<registry::load_row()> loads; ///< of own attempts, at the targets told of last
-    std::function<void(const registry::load_row&)> othersLoads; ///< at the same targets
+    std::function<registry::target_loads()> loads; ///< of own attempts, at the targets told of last
+    std::function<void(const registry::target_loads&)> othersLoads; ///< at the same targets
     std::function<void(const link::gateway_update&)> served; ///< before the changes that it brings
     std::function<std::vector<registry::target_incarnation>()> takeDarkTargets; ///< seen since the last call
     std::function<void(link::gateway_beat&)> tellRepeats; ///< fills in what the budgets of repeats have spent
@@ -34,9 +34,9 @@
     std::function<void(link::gateway_beat&, bool isFirst)> tellQuarantine;
     std::function<void(const link::gateway_update&)> quarantineTold;
     /// Limits of targets that were heard here. @param all also those told in an earlier session
-    std::function<std::vector<registry::limit_news>(bool all)> takeLimitNews
-        = [](bool) { return std::vector<registry::limit_news>(); };
-    std::function<void(const std::vector<registry::limit_news>&)> limitsTold = [](const auto&) {};
+    std::function<std::vector<registry::limit_report>(bool all)> takeLimitNews
+        = [](bool) { return std::vector<registry::limit_report>(); };
+    std::function<void(const std::vector<registry::limit_report>&)> limitsTold = [](const auto&) {};
     /// Targets that said that they leave, and that the table doesn't show so.
     std::function<std::vector<registry::target_incarnation>()> leavingTargets
         = [] { return std::vector<registry::target_incarnation>(); };
--- a/src/app/gateway/gateway_session_test.cpp
+++ b/src/app/gateway/gateway_session_test.cpp
@@ -59,8 +59,8 @@
     callbacks.documentChanged = [] {};
     callbacks.targetsChanged = [](const registry::target_view&) {};
     callbacks.openAttempts = [] { return 0U; };
-    callbacks.loads = [] { return registry::load_row(); };
-    callbacks.othersLoads = [](const registry::load_row&) {};
+    callbacks.loads = [] { return registry::target_loads(); };
+    callbacks.othersLoads = [](const registry::target_loads&) {};
     callbacks.tellRepeats = [](link::gateway_beat&) {};
     callbacks.tellQuarantine = [](link::gateway_beat&, bool) {};
     callbacks.quarantineTold = [](const link::gateway_update&) {};
--- a/src/app/registry/layer_orders.cpp
+++ b/src/app/registry/layer_orders.cpp
@@ -31,7 +31,7 @@
 }
 
 /// What a target's accelerator must have room for at the least; no memory for an unknown one.
-registry::memory_needs needsOf(const registry::target_record& record, const gateway::layered_engine& engine)
+registry::memory_requirements needsOf(const registry::target_record& record, const gateway::layered_engine& engine)
 {
     const double tokens = sequencesInMemory * (engine.usualPromptTokens + engine.usualAnswerTokens);
     const double tokenBytesPerLayer = engine.tokenBytes / std::max(engine.layers, 1U);
@@ -137,26 +137,26 @@
     const auto isPlanned = [&service](const registry::target_record& record) {
         return record.service == service.name && record.state == registry::target_state::Ready;
     };
-    std::map<std::string, std::vector<registry::memory_needs>> domains;
+    std::map<std::string, std::vector<registry::memory_requirements>> domains;
     for (const auto& [id, record] : targets.records()) {
         if (isPlanned(record))
             domains[record.failureDomain].push_back(needsOf(record, engine));
     }
-    std::map<std::string, double> comfortable;
+    std::map<std::string, double> preferredTokens;
     for (const auto& [domain, accelerators] : domains)
-        comfortable[domain] = registry::comfortableTokens(accelerators, engine.layers);
+        preferredTokens[domain] = registry::preferredTokens(accelerators, engine.layers);
     std::vector<registry::plan_target> candidates;
     for (const auto& [id, record] : targets.records()) {
         if (!isPlanned(record))
             continue;
         const auto open = m_open.find(id);
-        const bool isSettled = open == m_open.end();
+        const bool canTakeOrder = open == m_open.end();
         auto needs = needsOf(record, engine);
         const std::uint32_t capacity = std::min(engine.layers, registry::layersThatFit(needs));
-        needs.tokens = comfortable[record.failureDomain];
+        needs.tokens = preferredTokens[record.failureDomain];
         const std::uint32_t most = std::min(capacity, registry::layersThatFit(needs));
-        candidates.push_back(
-            { id, record.failureDomain, capacity, most, isSettled ? record.layers : open->second.layers, isSettled });
+        candidates.push_back({ id, record.failureDomain, capacity, most,
+            canTakeOrder ? record.layers : open->second.layers, canTakeOrder });
     }
     const auto steps = registry::planLayers(candidates, service.engine->layers);
     for (const auto& step : steps)
--- a/src/app/registry/registry.hpp
+++ b/src/app/registry/registry.hpp
@@ -140,8 +140,8 @@
     std::map<link::channel_number, session> m_sessions;
     std::vector<link::controller_place> m_places; ///< of all members, to be told
     std::uint64_t m_placesRevision = 0; ///< how often they have changed
-    registry::session_board m_board; ///< by channel number
-    registry::limit_board m_limits;
+    registry::gateway_sessions m_board; ///< by channel number
+    registry::limit_table m_limits;
     agreement::member_id m_reportedTo = 0; ///< leader that was told
     std::uint64_t m_limitsReported = 0; ///< revision of m_limits that it was told
     std::map<link::channel_number, std::uint64_t> m_memberLimitsTold; ///< at the leader: revision by link to a member
@@ -151,7 +151,7 @@
     steady_time m_tablePushAt {};
     quarantine_gathering m_quarantineNext;
     bool m_isQuarantineOpen = false; ///< a change of it is on its way into the log
-    registry::quarantine_clock m_quarantineClock;
+    registry::quarantine_timers m_quarantineClock;
     std::uint64_t m_quarantineLogged = 0; ///< revision of the stages that were logged
     std::set<request_fingerprint> m_quarantineNamed; ///< that were logged as in the table
     std::set<registry::target_incarnation> m_submitted; ///< announcements on their way into the log
--- a/src/app/registry/registry_quarantine.cpp
+++ b/src/app/registry/registry_quarantine.cpp
@@ -97,7 +97,7 @@
         telemetry::logEvent(event_code::QuarantineTermEnded,
             { { "fingerprint", text(one.fingerprint) }, { "stage", stageName(entry.stage) },
                 { "trial", entry.trial == 0 ? "none" : text(entry.trialTarget) },
-                { "term_ms", std::to_string(registry::termOf(entry).count()) } });
+                { "term_ms", std::to_string(registry::timeoutOf(entry).count()) } });
     }
     append(m_quarantineNext.change.expired, ended);
     submitQuarantine();
--- a/src/app/registry/registry_sessions.cpp
+++ b/src/app/registry/registry_sessions.cpp
@@ -41,10 +41,10 @@
     // than the gateway will hold.
     one.documentVersion = std::max(one.documentVersion, beat.sliceVersion.value_or(beat.documentVersion));
     one.targetRevision = std::max(one.targetRevision, beat.targetRevision);
-    const registry::gateway_life life { beat.instance, beat.life, beat.repeats, beat.isRepeatsComplete };
-    m_board.heard(
+    const registry::gateway_usage life { beat.instance, beat.life, beat.repeats, beat.isRepeatsComplete };
+    m_board.recordHeartbeat(
         channel, { life, beat.openAttempts, beat.targetRevision, beat.loads }, m_state.targets(), steadyNow());
-    m_limits.take(beat.limits, registry::limit_source::Below, m_state.targets(), steadyNow());
+    m_limits.merge(beat.limits, registry::limit_source::Downstream, m_state.targets(), steadyNow());
     one.waitingSequence = beat.sequence;
     one.deadline = steadyNow() + sessionLifetime;
     takeQuarantine(channel, one, beat);
@@ -78,7 +78,7 @@
     for (const auto& target : report.darkTargets)
         m_watch.suspect(target);
     takeLeaving(report.leavingTargets);
-    m_limits.take(report.limits, registry::limit_source::Below, m_state.targets(), steadyNow());
+    m_limits.merge(report.limits, registry::limit_source::Downstream, m_state.targets(), steadyNow());
     auto answer = m_board.answer(channel, report.sessions, m_state.targets(), steadyNow());
     auto& told = m_memberLimitsTold[channel];
     answer.limits = m_limits.changesSince(std::exchange(told, m_limits.revision()), steadyNow());
--- a/src/app/registry/registry_targets.cpp
+++ b/src/app/registry/registry_targets.cpp
@@ -92,7 +92,7 @@
     }
     if (record.startedMs < known->startedMs) {
         // Late, or of a target whose clock was stepped back: it is asked, once the life known is over.
-        if (registry::isOver(*known))
+        if (registry::isGoneOrLost(*known))
             m_watch.verify(record, [this](const registry::target_record& alive) { submitOnce(alive); });
         return;
     }
--- a/src/app/registry/target_watch.cpp
+++ b/src/app/registry/target_watch.cpp
@@ -94,7 +94,7 @@
     m_followedRevision = m_targets.revision();
     for (const auto& [id, record] : m_targets.records()) {
         // A new leader has heard nobody yet: each target gets a whole lease to come.
-        if (!registry::isOver(record))
+        if (!registry::isGoneOrLost(record))
             m_leases.begin(id, nextLeaseEnd());
     }
     std::erase_if(m_newest, [this](const auto& item) { return m_targets.find(item.first) == nullptr; });
@@ -107,7 +107,7 @@
         return;
     for (const auto& id : m_leases.takeEnded(now, mostProbes - m_probes.size())) {
         const auto* record = m_targets.find(id);
-        if (record == nullptr || registry::isOver(*record))
+        if (record == nullptr || registry::isGoneOrLost(*record))
             continue;
         // Announcements may be what is lost, and not the target: it is asked before it counts as lost.
         if (m_rests.isResting(record->incarnation(), now))
@@ -157,7 +157,7 @@
 void target_watch::lose(const registry::target_incarnation& target)
 {
     const auto* record = m_targets.find(target.id);
-    if (!m_callbacks.isLeader() || record == nullptr || registry::isOver(*record))
+    if (!m_callbacks.isLeader() || record == nullptr || registry::isGoneOrLost(*record))
         return;
     registry::target_record lost = *record;
     lost.state = registry::target_state::Lost;
--- a/src/buckthornrail/gateway/repeat_budget.cpp
+++ b/src/buckthornrail/gateway/repeat_budget.cpp
@@ -90,7 +90,7 @@
         budget.toldGateways(gateways, now);
 }
 
-void repeat_budgets::resume(const registry::repeat_counts& spent, steady_time now)
+void repeat_budgets::resume(const registry::retry_counts& spent, steady_time now)
 {
     for (const auto& row : spent)
         (void)of(row.service);
@@ -102,9 +102,9 @@
     }
 }
 
-registry::repeat_counts repeat_budgets::spent(steady_time now)
+registry::retry_counts repeat_budgets::spent(steady_time now)
 {
-    registry::repeat_counts rows;
+    registry::retry_counts rows;
     for (auto& [service, budget] : m_byService) {
         if (const auto repeats = budget.spent(now); repeats > 0)
             rows.push_back({ service, repeats });
--- a/src/buckthornrail/gateway/routing_test.cpp
+++ b/src/buckthornrail/gateway/routing_test.cpp
@@ -237,11 +237,11 @@
     pool.setOthersLoads({ 90, 90 }, now);
     pool.began(*near, { 900, 100 }); // 10,000, at ten gateways of the domain
     CHECK(pool.select("s", {}, now)->parts.front().target == "y");
-    CHECK(pool.loads() == registry::load_row { 10, 0 });
+    CHECK(pool.loads() == registry::target_loads { 10, 0 });
     pool.setOthersLoads({ 90, 90 }, now); // the others have told since
     CHECK(pool.select("s", {}, now)->parts.front().target == "x");
     pool.ended(*near, { 900, 100 }, false);
-    CHECK(pool.loads() == registry::load_row { 0, 0 });
+    CHECK(pool.loads() == registry::target_loads { 0, 0 });
 }
 
 TEST_CASE("pool: prompts that wait to be read count until the first event", "[gateway]")
--- a/src/buckthornrail/gateway/target_limit_test.cpp
+++ b/src/buckthornrail/gateway/target_limit_test.cpp
@@ -20,7 +20,7 @@
 /// Takes a target's limit over as another gateway heard it.
 void tell(target_pool& pool, const std::string& target, std::optional<double> perSecond, int ms)
 {
-    (void)pool.toldLimits(std::vector<registry::limit_news> { { target, perSecond, 0 } }, at(ms));
+    (void)pool.toldLimits(std::vector<registry::limit_report> { { target, perSecond, 0 } }, at(ms));
 }
 
 /// @return how many of so many selections, one each 100 ms, begin at a target; each is sent
@@ -148,7 +148,7 @@
     (void)bench.pool.heard(a0, { 1, {} }, true, at(0), at(100));
     const auto news = bench.pool.takeLimitNews(false, at(150));
     REQUIRE(news.size() == 1);
-    CHECK(news.front() == registry::limit_news { a0, 1, 50 });
+    CHECK(news.front() == registry::limit_report { a0, 1, 50 });
     (void)bench.pool.heard(a0, { 1, {} }, true, at(200), at(300));
     CHECK(bench.pool.takeLimitNews(false, at(300)).empty());
     (void)bench.pool.heard(a0, { 1, {} }, true, at(1200), at(1300));
--- a/src/buckthornrail/gateway/target_pool_limits.cpp
+++ b/src/buckthornrail/gateway/target_pool_limits.cpp
@@ -79,7 +79,7 @@
     return change.isOne() ? std::optional(change) : std::nullopt;
 }
 
-std::vector<limit_change> target_pool::toldLimits(std::span<const registry::limit_news> news, steady_time now)
+std::vector<limit_change> target_pool::toldLimits(std::span<const registry::limit_report> news, steady_time now)
 {
     std::vector<limit_change> changes;
     for (const auto& one : news) {
@@ -94,9 +94,9 @@
     return changes;
 }
 
-std::vector<registry::limit_news> target_pool::takeLimitNews(bool all, steady_time now)
+std::vector<registry::limit_report> target_pool::takeLimitNews(bool all, steady_time now)
 {
-    std::vector<registry::limit_news> news;
+    std::vector<registry::limit_report> news;
     for (auto& [id, target] : m_targets) {
         auto& limit = target.limit;
         if (!limit || (!limit->isNews && !all) || now >= limit->heardAt + limitsKeep)
--- a/src/buckthornrail/gateway/target_pool_load.cpp
+++ b/src/buckthornrail/gateway/target_pool_load.cpp
@@ -19,7 +19,7 @@
 /// Prompts that take so long to read at a target may wait there; what is beyond it counts as much as it takes. Latency
 /// targets of first events are 500 ms and more.
 constexpr double comfortableReadMs = 60;
-constexpr double loadUnit = 1000; ///< of load_row
+constexpr double loadUnit = 1000; ///< of target_loads
 /// Nobody is refused by loads that were told longer ago: gateways tell them every 100 ms, and without a leader for a
 /// second nobody does; half of what was open then has ended.
 constexpr milliseconds loadsKeep { 1000 };
@@ -118,7 +118,7 @@
     m_othersOpenAttempts = static_cast<double>(openAttempts);
 }
 
-void target_pool::setOthersLoads(const registry::load_row& row, steady_time now)
+void target_pool::setOthersLoads(const registry::target_loads& row, steady_time now)
 {
     m_loadsToldAt = now;
     m_loadsAreTold = !row.empty() && row.size() == m_targets.size();
@@ -131,10 +131,10 @@
     }
 }
 
-registry::load_row target_pool::loads() const
+registry::target_loads target_pool::loads() const
 {
-    registry::load_row row;
-    if (m_targets.size() > registry::mostTargetsTold)
+    registry::target_loads row;
+    if (m_targets.size() > registry::maxTargetsInLoadReport)
         return row;
     row.reserve(m_targets.size());
     for (const auto& [id, target] : m_targets)
--- a/src/buckthornrail/link/message.cpp
+++ b/src/buckthornrail/link/message.cpp
@@ -52,27 +52,27 @@
 } // namespace agreement
 
 namespace registry {
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(service_repeats, service, repeats)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(service_retries, service, repeats)
 
 // As arrays: there are hundreds of them in a second's reports, and the names would be most of their bytes.
-static void to_json(nlohmann::json& out, const gateway_life& value)
+static void to_json(nlohmann::json& out, const gateway_usage& value)
 {
-    out = nlohmann::json::array({ value.id, value.life, value.spent, value.isComplete });
+    out = nlohmann::json::array({ value.id, value.incarnation, value.spent, value.isComplete });
 }
-static void from_json(const nlohmann::json& in, gateway_life& value)
+static void from_json(const nlohmann::json& in, gateway_usage& value)
 {
-    value = { in.at(0).get<std::string>(), in.at(1).get<std::uint64_t>(), in.at(2).get<repeat_counts>(),
+    value = { in.at(0).get<std::string>(), in.at(1).get<std::uint64_t>(), in.at(2).get<retry_counts>(),
         in.at(3).get<bool>() };
 }
 
-// As an array, like gateway_life.
-static void to_json(nlohmann::json& out, const limit_news& value)
+// As an array, like gateway_usage.
+static void to_json(nlohmann::json& out, const limit_report& value)
 {
     out = nlohmann::json::array({ value.target, nullptr, value.ageMs });
     if (value.perSecond)
         out[1] = *value.perSecond;
 }
-static void from_json(const nlohmann::json& in, limit_news& value)
+static void from_json(const nlohmann::json& in, limit_report& value)
 {
     in.at(0).get_to(value.target);
     value.perSecond.reset();
@@ -81,10 +81,10 @@
     in.at(2).get_to(value.ageMs);
 }
 
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(session_sums, gateways, openAttempts, targetRevision, loads)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(session_totals, gateways, openAttempts, targetRevision, loads)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(member_report, sequence, sums, lives)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(earlier_repeats, gateway, spent)
-// As an array, like gateway_life.
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(earlier_retries, gateway, spent)
+// As an array, like gateway_usage.
 static void to_json(nlohmann::json& out, const gateway_ordinal& value)
 {
     out = nlohmann::json::array({ value.gateway, value.ordinal });
@@ -193,7 +193,7 @@
         value.sliceVersion = found->get<std::uint64_t>();
 }
 
-// As an array, like registry::gateway_life.
+// As an array, like registry::gateway_usage.
 static void to_json(nlohmann::json& out, const target_heard& value)
 {
     out = nlohmann::json::array({ value.id, value.startedMs, value.sequence });
--- a/src/buckthornrail/link/message_test.cpp
+++ b/src/buckthornrail/link/message_test.cpp
@@ -44,7 +44,7 @@
     const auto back = decode(encode(report));
     REQUIRE(back);
     const auto& read = std::get<member_report>(*back);
-    CHECK(read.sessions.lives.at(0).life == 7);
+    CHECK(read.sessions.lives.at(0).incarnation == 7);
     CHECK(read.sessions.lives.at(0).spent.at(0).repeats == 3);
     CHECK(read.sessions.lives.at(0).isComplete);
     CHECK(read.heard.at(0).id == "target");
@@ -94,7 +94,7 @@
 // Guards against an upgrade that can't be rolled: the program before neither sends nor reads these fields.
 TEST_CASE("codec: limits of targets and a gateway's number come back, and may be missing", "[link]")
 {
-    const std::vector<registry::limit_news> limits { { { "t", 7 }, 2.5, 40 }, { "u", std::nullopt, 0 } };
+    const std::vector<registry::limit_report> limits { { { "t", 7 }, 2.5, 40 }, { "u", std::nullopt, 0 } };
     gateway_beat beat;
     beat.limits = limits;
     beat.leavingTargets = { { "t", 7 } };
--- a/src/buckthornrail/registry/session_board_test.cpp
+++ b/src/buckthornrail/registry/gateway_sessions_test.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// @brief What gateways are told of each other, with their sessions spread over controllers.
-#include "buckthornrail/registry/session_board.hpp"
+#include "buckthornrail/registry/gateway_sessions.hpp"
 
 #include "support/target_tables.hpp"
 
@@ -16,58 +16,61 @@
 
 constexpr session_number memberLink = 900;
 
-gateway_word word(const std::string& gateway, std::uint64_t life, std::uint32_t open, const target_table& table,
-    load_row loads = {}, bool isComplete = true)
+gateway_heartbeat heartbeat(const std::string& gateway, std::uint64_t incarnation, std::uint32_t open,
+    const target_table& table, target_loads loads = {}, bool isComplete = true)
 {
-    return { { gateway, life, {}, isComplete }, open, table.revision(), std::move(loads) };
+    return { { gateway, incarnation, {}, isComplete }, open, table.revision(), std::move(loads) };
 }
 
 steady_time at(int ms) { return steady_time {} + milliseconds(ms); }
 
 /// A leader and a member that reports to it over a link.
 struct two_controllers {
-    session_board leader;
-    session_board member;
+    gateway_sessions leader;
+    gateway_sessions member;
     target_table table = tableOf({ "a", "b" });
 
     two_controllers() { leader.begin(true, at(0)); }
-    void exchange(int ms) { member.told(leader.answer(memberLink, member.report(table), table, at(ms)), table); }
+    void exchange(int ms)
+    {
+        member.applyLeaderAnswer(leader.answer(memberLink, member.report(table), table, at(ms)), table);
+    }
 };
 
 } // namespace
 
-TEST_CASE("session board: gateways at two controllers are told of each other's work", "[session_board]")
+TEST_CASE("gateway sessions: gateways at two controllers are told of each other's work", "[gateway_sessions]")
 {
     two_controllers both;
-    both.leader.heard(1, word("g-1", 11, 5, both.table, { 10, 0 }), both.table, at(100));
-    both.member.heard(1, word("g-2", 12, 3, both.table, { 1, 2 }), both.table, at(100));
-    both.member.heard(2, word("g-3", 13, 4, both.table, { 0, 7 }), both.table, at(100));
+    both.leader.recordHeartbeat(1, heartbeat("g-1", 11, 5, both.table, { 10, 0 }), both.table, at(100));
+    both.member.recordHeartbeat(1, heartbeat("g-2", 12, 3, both.table, { 1, 2 }), both.table, at(100));
+    both.member.recordHeartbeat(2, heartbeat("g-3", 13, 4, both.table, { 0, 7 }), both.table, at(100));
     both.exchange(200);
 
     const auto first = both.leader.summaryFor(1, both.table, at(3000));
     CHECK(first.gateways == 3);
     CHECK(first.othersOpenAttempts == 7);
-    CHECK(first.othersLoads == load_row { 1, 9 });
+    CHECK(first.othersLoads == target_loads { 1, 9 });
     CHECK(first.budgetSharers == 3);
     const auto second = both.member.summaryFor(1, both.table, at(3000));
     CHECK(second.gateways == 3);
     CHECK(second.othersOpenAttempts == 9);
-    CHECK(second.othersLoads == load_row { 10, 7 });
+    CHECK(second.othersLoads == target_loads { 10, 7 });
 
     both.leader.forget(memberLink);
     CHECK(both.leader.summaryFor(1, both.table, at(3000)).othersOpenAttempts == 0);
-    CHECK(both.leader.summaryFor(1, both.table, at(3000)).othersLoads == load_row { 0, 0 });
+    CHECK(both.leader.summaryFor(1, both.table, at(3000)).othersLoads == target_loads { 0, 0 });
 }
 
-TEST_CASE("session board: nobody is told a number of sharers that leaves itself out", "[session_board]")
+TEST_CASE("gateway sessions: nobody is told a number of sharers that leaves itself out", "[gateway_sessions]")
 {
     two_controllers both;
-    both.leader.heard(1, word("g-1", 11, 0, both.table), both.table, at(2000));
-    both.member.heard(1, word("g-2", 12, 0, both.table), both.table, at(2100));
+    both.leader.recordHeartbeat(1, heartbeat("g-1", 11, 0, both.table), both.table, at(2000));
+    both.member.recordHeartbeat(1, heartbeat("g-2", 12, 0, both.table), both.table, at(2100));
     both.exchange(2150);
     CHECK(both.member.summaryFor(1, both.table, at(2200)).budgetSharers == 2);
 
-    both.member.heard(2, word("g-3", 13, 0, both.table), both.table, at(2200));
+    both.member.recordHeartbeat(2, heartbeat("g-3", 13, 0, both.table), both.table, at(2200));
     CHECK(both.member.summaryFor(2, both.table, at(2200)).budgetSharers == 0);
     SECTION("the report with its life is lost, a later one is answered")
     {
@@ -80,78 +83,79 @@
     {
         const auto early = both.member.report(both.table);
         (void)both.member.report(both.table);
-        both.member.told(both.leader.answer(memberLink, early, both.table, at(2400)), both.table);
+        both.member.applyLeaderAnswer(both.leader.answer(memberLink, early, both.table, at(2400)), both.table);
         CHECK(both.member.summaryFor(2, both.table, at(2450)).budgetSharers == 0);
     }
     SECTION("a later process of a gateway that was counted")
     {
         both.exchange(2300);
-        both.member.heard(2, word("g-3", 14, 0, both.table), both.table, at(2400));
+        both.member.recordHeartbeat(2, heartbeat("g-3", 14, 0, both.table), both.table, at(2400));
         CHECK(both.member.summaryFor(2, both.table, at(2400)).budgetSharers == 0);
     }
 }
 
-TEST_CASE(
-    "session board: a gateway that starts again is told what was spent before, at any controller", "[session_board]")
+TEST_CASE("gateway sessions: a gateway that starts again is told what was spent before, at any controller",
+    "[gateway_sessions]")
 {
     two_controllers both;
-    auto before = word("g-1", 11, 0, both.table);
-    before.life.spent = { { "s", 6 } };
-    both.leader.heard(1, before, both.table, at(2000));
+    auto before = heartbeat("g-1", 11, 0, both.table);
+    before.usage.spent = { { "s", 6 } };
+    both.leader.recordHeartbeat(1, before, both.table, at(2000));
     both.leader.forget(1);
-    both.member.heard(1, word("g-1", 12, 0, both.table, {}, false), both.table, at(3000));
+    both.member.recordHeartbeat(1, heartbeat("g-1", 12, 0, both.table, {}, false), both.table, at(3000));
     CHECK_FALSE(both.member.summaryFor(1, both.table, at(3000)).earlier);
     both.exchange(3100);
     REQUIRE(both.member.summaryFor(1, both.table, at(3200)).earlier);
     CHECK(both.member.summaryFor(1, both.table, at(3200)).earlier->front().repeats == 6);
     // Once it counts for itself there is nothing to tell.
-    both.member.heard(1, word("g-1", 12, 0, both.table), both.table, at(13200));
+    both.member.recordHeartbeat(1, heartbeat("g-1", 12, 0, both.table), both.table, at(13200));
     CHECK_FALSE(both.member.summaryFor(1, both.table, at(13200)).earlier);
 }
 
-TEST_CASE("session board: a new leader's board begins anew", "[session_board]")
+TEST_CASE("gateway sessions: a new leader's board begins anew", "[gateway_sessions]")
 {
     two_controllers both;
-    both.leader.heard(1, word("g-1", 11, 5, both.table, { 10, 0 }), both.table, at(2000));
-    both.member.heard(1, word("g-2", 12, 3, both.table, { 1, 2 }), both.table, at(2000));
+    both.leader.recordHeartbeat(1, heartbeat("g-1", 11, 5, both.table, { 10, 0 }), both.table, at(2000));
+    both.member.recordHeartbeat(1, heartbeat("g-2", 12, 3, both.table, { 1, 2 }), both.table, at(2000));
     both.exchange(2100);
-    const auto underWay = both.member.report(both.table);
-    const auto late = both.leader.answer(memberLink, underWay, both.table, at(2200));
+    const auto inFlight = both.member.report(both.table);
+    const auto late = both.leader.answer(memberLink, inFlight, both.table, at(2200));
     both.leader.begin(false, at(3000));
     both.member.begin(true, at(3000));
-    both.member.told(late, both.table);
+    both.member.applyLeaderAnswer(late, both.table);
     const auto summary = both.member.summaryFor(1, both.table, at(3100));
     CHECK(summary.budgetSharers == 0); // it has heard of nobody else yet
     CHECK(summary.othersOpenAttempts == 0);
-    CHECK(summary.othersLoads == load_row { 0, 0 });
+    CHECK(summary.othersLoads == target_loads { 0, 0 });
     // The one that led reports now.
-    both.leader.told(both.member.answer(memberLink, both.leader.report(both.table), both.table, at(3200)), both.table);
+    both.leader.applyLeaderAnswer(
+        both.member.answer(memberLink, both.leader.report(both.table), both.table, at(3200)), both.table);
     CHECK(both.member.summaryFor(1, both.table, at(3300)).othersOpenAttempts == 5);
     CHECK(both.leader.summaryFor(1, both.table, at(3300)).othersOpenAttempts == 3);
 }
 
-TEST_CASE("session board: loads at another revision of the table aren't added up", "[session_board]")
+TEST_CASE("gateway sessions: loads at another revision of the table aren't added up", "[gateway_sessions]")
 {
     two_controllers both;
     const auto older = both.table;
     both.table = tableOf({ "a", "b", "c" });
-    both.member.heard(1, word("g-2", 12, 3, older, { 1, 2 }), older, at(2000));
-    both.leader.heard(1, word("g-1", 11, 5, both.table, { 1, 1, 1 }), both.table, at(2000));
+    both.member.recordHeartbeat(1, heartbeat("g-2", 12, 3, older, { 1, 2 }), older, at(2000));
+    both.leader.recordHeartbeat(1, heartbeat("g-1", 11, 5, both.table, { 1, 1, 1 }), both.table, at(2000));
     const auto report = both.member.report(older);
-    both.member.told(both.leader.answer(memberLink, report, both.table, at(2100)), older);
-    CHECK(both.leader.summaryFor(1, both.table, at(2100)).othersLoads == load_row { 0, 0, 0 });
-    CHECK(both.member.summaryFor(1, older, at(2100)).othersLoads == load_row { 0, 0 });
+    both.member.applyLeaderAnswer(both.leader.answer(memberLink, report, both.table, at(2100)), older);
+    CHECK(both.leader.summaryFor(1, both.table, at(2100)).othersLoads == target_loads { 0, 0, 0 });
+    CHECK(both.member.summaryFor(1, older, at(2100)).othersLoads == target_loads { 0, 0 });
 }
 
 namespace {
 
 /// Controllers of which any may lead, gateways that move between them, and reports and answers that are lost or late.
-class board_world {
+class controller_simulation {
 public:
     static constexpr int controllers = 3;
     static constexpr int gateways = 5;
 
-    board_world() { lead(0); }
+    controller_simulation() { lead(0); }
 
     void step()
     {
@@ -176,13 +180,13 @@
     {
         for (int gateway = 0; gateway < gateways; ++gateway) {
             const auto& one = m_gateways[gateway];
-            if (!one.wasHeard)
+            if (!one.hasHeartbeat)
                 continue;
-            const auto told = m_boards[one.controller].summaryFor(one.session, m_table, at(m_ms));
-            RC_ASSERT(told.othersLoads.size() == m_table.records().size());
+            const auto summary = m_controllers[one.controller].summaryFor(one.session, m_table, at(m_ms));
+            RC_ASSERT(summary.othersLoads.size() == m_table.records().size());
             // Whoever is told a number is known to the leader of that moment, and counted in it.
-            if (told.budgetSharers != 0)
-                RC_ASSERT(m_known.contains({ gateway, one.life }));
+            if (summary.budgetSharers != 0)
+                RC_ASSERT(m_known.contains({ gateway, one.incarnation }));
         }
     }
 
@@ -190,15 +194,15 @@
     struct gateway_state {
         int controller = 0;
         session_number session = 0;
-        std::uint64_t life = 1;
-        bool wasHeard = false;
+        std::uint64_t incarnation = 1;
+        bool hasHeartbeat = false;
     };
 
     void lead(int controller)
     {
-        m_boards[m_leader].begin(false, at(m_ms));
+        m_controllers[m_leader].begin(false, at(m_ms));
         m_leader = controller;
-        m_boards[m_leader].begin(true, at(m_ms));
+        m_controllers[m_leader].begin(true, at(m_ms));
     }
 
     void beat(int gateway)
@@ -206,46 +210,46 @@
         auto& one = m_gateways[gateway];
         if (one.session == 0)
             one.session = ++m_sessions;
-        one.wasHeard = true;
-        const load_row loads { 1, static_cast<std::uint32_t>(gateway) };
-        m_boards[one.controller].heard(
-            one.session, word("g" + std::to_string(gateway), one.life, 1, m_table, loads), m_table, at(m_ms));
+        one.hasHeartbeat = true;
+        const target_loads loads { 1, static_cast<std::uint32_t>(gateway) };
+        m_controllers[one.controller].recordHeartbeat(one.session,
+            heartbeat("g" + std::to_string(gateway), one.incarnation, 1, m_table, loads), m_table, at(m_ms));
         if (one.controller == m_leader)
-            m_known.insert({ gateway, one.life });
+            m_known.insert({ gateway, one.incarnation });
     }
 
     void move(int gateway)
     {
         auto& one = m_gateways[gateway];
-        m_boards[one.controller].forget(one.session);
-        one = { *rc::gen::inRange(0, controllers), 0, one.life, false };
+        m_controllers[one.controller].forget(one.session);
+        one = { *rc::gen::inRange(0, controllers), 0, one.incarnation, false };
     }
 
     void restart(int gateway)
     {
         move(gateway);
-        ++m_gateways[gateway].life;
+        ++m_gateways[gateway].incarnation;
     }
 
     void report(int controller)
     {
         if (controller == m_leader)
             return;
-        const auto report = m_boards[controller].report(m_table);
+        const auto report = m_controllers[controller].report(m_table);
         if (*rc::gen::inRange(0, 4) == 0)
             return; // lost
-        for (const auto& life : report.lives)
-            m_known.insert({ life.id[1] - '0', life.life });
-        const auto answer = m_boards[m_leader].answer(memberLink + controller, report, m_table, at(m_ms));
+        for (const auto& usage : report.lives)
+            m_known.insert({ usage.id[1] - '0', usage.incarnation });
+        const auto answer = m_controllers[m_leader].answer(memberLink + controller, report, m_table, at(m_ms));
         m_answers.push_back({ controller, answer });
         if (*rc::gen::inRange(0, 4) == 0)
             return; // late
         for (const auto& [to, one] : std::exchange(m_answers, {}))
-            m_boards[to].told(one, m_table);
+            m_controllers[to].applyLeaderAnswer(one, m_table);
     }
 
     target_table m_table = tableOf({ "a", "b" });
-    std::array<session_board, controllers> m_boards;
+    std::array<gateway_sessions, controllers> m_controllers;
     std::array<gateway_state, gateways> m_gateways;
     std::vector<std::pair<int, fleet_report>> m_answers;
     std::set<std::pair<int, std::uint64_t>> m_known; ///< gateways' lives that some leader has heard
@@ -256,10 +260,10 @@
 
 } // namespace
 
-TEST_CASE("session board: any interleaving of leaders, members and gateways", "[session_board][property]")
+TEST_CASE("gateway sessions: any interleaving of leaders, members and gateways", "[gateway_sessions][property]")
 {
     rc::prop("a gateway is told no number of sharers before a leader has heard it", [] {
-        board_world world;
+        controller_simulation world;
         for (int count = *rc::gen::inRange(10, 200); count > 0; --count) {
             world.step();
             world.check();
@@ -268,12 +272,12 @@
 }
 
 // Guards against two gateways that take themselves for the same one of those that share a limit.
-TEST_CASE("session board: each gateway counted is told which one of them it is", "[session_board]")
+TEST_CASE("gateway sessions: each gateway counted is told which one of them it is", "[gateway_sessions]")
 {
     two_controllers both;
-    both.leader.heard(1, word("g-1", 11, 0, both.table), both.table, at(2000));
-    both.member.heard(1, word("g-3", 13, 0, both.table), both.table, at(2000));
-    both.member.heard(2, word("g-2", 12, 0, both.table), both.table, at(2000));
+    both.leader.recordHeartbeat(1, heartbeat("g-1", 11, 0, both.table), both.table, at(2000));
+    both.member.recordHeartbeat(1, heartbeat("g-3", 13, 0, both.table), both.table, at(2000));
+    both.member.recordHeartbeat(2, heartbeat("g-2", 12, 0, both.table), both.table, at(2000));
     CHECK_FALSE(both.member.summaryFor(1, both.table, at(2000)).ordinal);
     both.exchange(2100);
     std::set<std::uint32_t> ordinals;
--- a/src/buckthornrail/registry/gateway_census.cpp
+++ b/src/buckthornrail/registry/gateway_table.cpp
@@ -1,13 +1,13 @@
 /// @file
 /// @brief Gateways by their heartbeats.
-#include "buckthornrail/registry/gateway_census.hpp"
+#include "buckthornrail/registry/gateway_table.hpp"
 
 #include <algorithm>
 
 namespace buckthornrail::registry {
 namespace {
 
-void add(repeat_counts& sum, const repeat_counts& more)
+void add(retry_counts& sum, const retry_counts& more)
 {
     for (const auto& row : more) {
         const auto known
@@ -21,30 +21,30 @@
 
 /// What a gateway had spent in all when its last process was heard last. Repeats that have left the window since are
 /// counted all the same: too many, never too few.
-std::optional<repeat_counts> allSpent(const gateway_life& last, const std::optional<repeat_counts>& earlier)
+std::optional<retry_counts> allSpent(const gateway_usage& last, const std::optional<retry_counts>& earlier)
 {
     if (last.isComplete)
         return last.spent;
     if (!earlier)
         return std::nullopt;
-    repeat_counts sum = *earlier;
+    retry_counts sum = *earlier;
     add(sum, last.spent);
     return sum;
 }
 
 } // namespace
 
-void gateway_census::begin(steady_time now)
+void gateway_table::begin(steady_time now)
 {
     m_gateways.clear();
-    m_settledAt = now + m_options.settling;
+    m_settledAt = now + m_options.settlingPeriod;
 }
 
-void gateway_census::heard(const gateway_life& one, steady_time now)
+void gateway_table::recordHeartbeat(const gateway_usage& one, steady_time now)
 {
     std::erase_if(m_gateways, [now](const auto& item) { return now >= item.second.deadline; });
     auto& known = m_gateways[one.id];
-    if (known.last.life != one.life) {
+    if (known.last.incarnation != one.incarnation) {
         const bool follows = now < known.restartDeadline;
         known.earlier = follows ? allSpent(known.last, known.earlier) : std::nullopt;
     }
@@ -53,7 +53,7 @@
     known.deadline = now + m_options.window;
 }
 
-std::size_t gateway_census::count(steady_time now) const
+std::size_t gateway_table::count(steady_time now) const
 {
     if (now < m_settledAt)
         return 0;
@@ -61,7 +61,7 @@
         m_gateways.begin(), m_gateways.end(), [now](const auto& item) { return now < item.second.deadline; }));
 }
 
-std::vector<std::string> gateway_census::living(steady_time now) const
+std::vector<std::string> gateway_table::liveGateways(steady_time now) const
 {
     std::vector<std::string> ids;
     for (const auto& [id, one] : m_gateways) {
@@ -71,7 +71,7 @@
     return ids;
 }
 
-std::optional<repeat_counts> gateway_census::earlierSpent(const std::string& id) const
+std::optional<retry_counts> gateway_table::earlierRetries(const std::string& id) const
 {
     const auto found = m_gateways.find(id);
     return found == m_gateways.end() || found->second.last.isComplete ? std::nullopt : found->second.earlier;
--- /dev/null
+++ b/src/buckthornrail/registry/gateway_table_test.cpp
@@ -0,0 +1,96 @@
+/// @file
+/// @brief How many gateways share the budget of repeats, and what a gateway's earlier processes had spent.
+#include "buckthornrail/registry/gateway_table.hpp"
+
+#include <catch2/catch.hpp>
+
+using namespace buckthornrail;
+using namespace buckthornrail::registry;
+
+namespace {
+
+const steady_time start = steady_time {} + std::chrono::hours(1);
+
+gateway_usage usageOf(const std::string& id, std::uint64_t incarnation, std::uint32_t spent, bool isComplete)
+{
+    return { id, incarnation, { { "s", spent } }, isComplete };
+}
+
+} // namespace
+
+TEST_CASE("gateway table: a new leader says no number before all gateways have found it", "[registry]")
+{
+    const gateway_table_options periods;
+    gateway_table gateways;
+    gateways.recordHeartbeat(usageOf("a", 1, 0, true), start);
+    CHECK(gateways.count(start) == 0); // it has never led
+    gateways.begin(start);
+    gateways.recordHeartbeat(usageOf("a", 1, 0, true), start);
+    CHECK(gateways.count(start) == 0);
+    gateways.recordHeartbeat(usageOf("b", 1, 0, true), start + periods.settlingPeriod / 2);
+    CHECK(gateways.count(start + periods.settlingPeriod) == 2);
+}
+
+TEST_CASE("gateway table: a gateway counts for a window after its last word, once", "[registry]")
+{
+    const gateway_table_options periods;
+    gateway_table gateways;
+    gateways.begin(start);
+    const auto later = start + periods.settlingPeriod;
+    gateways.recordHeartbeat(usageOf("a", 1, 0, true), later);
+    gateways.recordHeartbeat(usageOf("b", 1, 0, true), later);
+    gateways.recordHeartbeat(usageOf("b", 2, 0, false), later + milliseconds(500));
+    CHECK(gateways.count(later + periods.window - milliseconds(1)) == 2);
+    CHECK(gateways.count(later + periods.window) == 1);
+}
+
+TEST_CASE("gateway table: what earlier processes spent is told to the next one, when it is known", "[registry]")
+{
+    const gateway_table_options periods;
+    const milliseconds soon { 1500 };
+    gateway_table gateways;
+    gateways.begin(start);
+    const auto earlier = [&gateways] { return gateways.earlierRetries("a"); };
+
+    SECTION("one that was never heard")
+    {
+        gateways.recordHeartbeat(usageOf("a", 1, 0, false), start);
+        CHECK_FALSE(earlier());
+    }
+    SECTION("one process after another")
+    {
+        gateways.recordHeartbeat(usageOf("a", 1, 7, true), start);
+        CHECK_FALSE(earlier());
+        gateways.recordHeartbeat(usageOf("a", 2, 0, false), start + soon);
+        CHECK(earlier() == retry_counts { { "s", 7 } });
+        gateways.recordHeartbeat(usageOf("a", 2, 3, false), start + soon);
+        CHECK(earlier() == retry_counts { { "s", 7 } });
+        // Ended before it was told: both count.
+        gateways.recordHeartbeat(usageOf("a", 3, 0, false), start + 2 * soon);
+        CHECK(earlier() == retry_counts { { "s", 10 } });
+        // Once told, its own count holds them.
+        gateways.recordHeartbeat(usageOf("a", 3, 11, true), start + 2 * soon);
+        CHECK_FALSE(earlier());
+        gateways.recordHeartbeat(usageOf("a", 4, 0, false), start + 3 * soon);
+        CHECK(earlier() == retry_counts { { "s", 11 } });
+    }
+    SECTION("one that wasn't heard for a while before it was started anew")
+    {
+        gateways.recordHeartbeat(usageOf("a", 1, 7, true), start);
+        gateways.recordHeartbeat(usageOf("a", 2, 0, false), start + periods.restartTime);
+        CHECK_FALSE(earlier());
+    }
+    SECTION("one that followed one of which that wasn't known")
+    {
+        gateways.recordHeartbeat(usageOf("a", 1, 2, false), start);
+        gateways.recordHeartbeat(usageOf("a", 2, 0, false), start + soon);
+        CHECK_FALSE(earlier());
+    }
+    SECTION("a leader that has just been elected")
+    {
+        gateways.recordHeartbeat(usageOf("a", 1, 7, true), start);
+        gateways.begin(start + soon);
+        gateways.recordHeartbeat(usageOf("a", 2, 0, false), start + soon);
+        CHECK_FALSE(earlier());
+    }
+}
--- a/src/buckthornrail/registry/load_board.cpp
+++ b/src/buckthornrail/registry/load_table.cpp
@@ -1,13 +1,13 @@
 /// @file
 /// @brief Sums of work at targets.
-#include "buckthornrail/registry/load_board.hpp"
+#include "buckthornrail/registry/load_table.hpp"
 
 namespace buckthornrail::registry {
 
-void load_board::tell(std::uint64_t session, const target_table& table, std::span<const std::uint32_t> row)
+void load_table::update(std::uint64_t session, const target_table& table, std::span<const std::uint32_t> row)
 {
     const auto& records = table.records();
-    if (row.size() != records.size() || records.size() > mostTargetsTold)
+    if (row.size() != records.size() || records.size() > maxTargetsInLoadReport)
         return;
     forget(session);
     auto& own = m_told[session];
@@ -21,7 +21,7 @@
     }
 }
 
-void load_board::forget(std::uint64_t session)
+void load_table::forget(std::uint64_t session)
 {
     const auto known = m_told.extract(session);
     if (!known)
@@ -34,11 +34,11 @@
     }
 }
 
-load_row load_board::othersOf(std::uint64_t session, const target_table& table) const
+target_loads load_table::othersOf(std::uint64_t session, const target_table& table) const
 {
-    load_row row;
+    target_loads row;
     const auto& records = table.records();
-    if (records.size() > mostTargetsTold)
+    if (records.size() > maxTargetsInLoadReport)
         return row;
     row.reserve(records.size());
     const auto own = m_told.find(session);
--- a/src/buckthornrail/registry/load_board_test.cpp
+++ b/src/buckthornrail/registry/load_table_test.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// @brief Sums of what sessions tell of their work.
-#include "buckthornrail/registry/load_board.hpp"
+#include "buckthornrail/registry/load_table.hpp"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck/catch.h>
@@ -31,26 +31,26 @@
 TEST_CASE("loads: a session is told of all others' work, and not of its own", "[registry]")
 {
     const auto table = tableOf({ "a", "b" });
-    load_board board;
-    board.tell(1, table, load_row { 5, 0 });
-    board.tell(2, table, load_row { 7, 3 });
-    CHECK(board.othersOf(1, table) == load_row { 7, 3 });
-    CHECK(board.othersOf(2, table) == load_row { 5, 0 });
-    CHECK(board.othersOf(3, table) == load_row { 12, 3 });
-    board.tell(2, table, load_row { 1, 0 });
-    CHECK(board.othersOf(1, table) == load_row { 1, 0 });
-    board.forget(2);
-    CHECK(board.othersOf(1, table) == load_row { 0, 0 });
+    load_table loads;
+    loads.update(1, table, target_loads { 5, 0 });
+    loads.update(2, table, target_loads { 7, 3 });
+    CHECK(loads.othersOf(1, table) == target_loads { 7, 3 });
+    CHECK(loads.othersOf(2, table) == target_loads { 5, 0 });
+    CHECK(loads.othersOf(3, table) == target_loads { 12, 3 });
+    loads.update(2, table, target_loads { 1, 0 });
+    CHECK(loads.othersOf(1, table) == target_loads { 1, 0 });
+    loads.forget(2);
+    CHECK(loads.othersOf(1, table) == target_loads { 0, 0 });
 }
 
 TEST_CASE("loads: rows follow targets that come between, and rows of another length say nothing", "[registry]")
 {
     auto table = tableOf({ "a", "c" });
-    load_board board;
-    board.tell(1, table, load_row { 5, 6 });
-    board.tell(2, table, load_row { 5 });
+    load_table loads;
+    loads.update(1, table, target_loads { 5, 6 });
+    loads.update(2, table, target_loads { 5 });
     table.apply(record("b"));
-    CHECK(board.othersOf(2, table) == load_row { 5, 0, 6 });
+    CHECK(loads.othersOf(2, table) == target_loads { 5, 0, 6 });
 }
 
 TEST_CASE("loads: what is told last counts, in any order of telling and forgetting", "[registry]")
@@ -58,27 +58,27 @@
     rc::prop("any steps", [] {
         constexpr std::size_t targets = 3;
         const auto table = tableOf({ "a", "b", "c" });
-        load_board board;
-        std::map<std::uint64_t, load_row> told;
+        load_table loads;
+        std::map<std::uint64_t, target_loads> told;
         const auto steps = *rc::gen::container<std::vector<std::uint32_t>>(rc::gen::inRange<std::uint32_t>(0, 1000));
         for (const auto step : steps) {
             const std::uint64_t session = step % 4;
             if (step % 5 == 0) {
-                board.forget(session);
+                loads.forget(session);
                 told.erase(session);
                 continue;
             }
-            const load_row row { step % 7, step % 11, step % 13 };
-            board.tell(session, table, row);
+            const target_loads row { step % 7, step % 11, step % 13 };
+            loads.update(session, table, row);
             told[session] = row;
         }
         for (std::uint64_t session = 0; session < 5; ++session) {
-            load_row expected(targets, 0);
+            target_loads expected(targets, 0);
             for (const auto& [other, row] : told) {
                 for (std::size_t at = 0; other != session && at < targets; ++at)
                     expected[at] += row[at];
             }
-            RC_ASSERT(board.othersOf(session, table) == expected);
+            RC_ASSERT(loads.othersOf(session, table) == expected);
         }
     });
 }
--- a/src/buckthornrail/registry/quarantine.cpp
+++ b/src/buckthornrail/registry/quarantine.cpp
@@ -8,34 +8,34 @@
 namespace {
 
 /// Targets that may end under a request before it runs nowhere.
-constexpr std::uint32_t mostCrashes = 3;
+constexpr std::uint32_t maxCrashes = 3;
 /// From so many on no other suspect may be on trial at the same target.
-constexpr std::uint32_t crashesBeforeHeld = 2;
+constexpr std::uint32_t heldCrashes = 2;
 /// Reports of several gateways on one target come within seconds: as many targets as end under one request meanwhile.
-constexpr std::size_t endedKept = 8;
+constexpr std::size_t maxEndedTargets = 8;
 
 /// A trial is over once its request has outlived the time in which it could be to blame; its gateway may be gone.
-constexpr milliseconds trialTerm { 5000 };
-constexpr milliseconds suspectTerm { 600000 };
+constexpr milliseconds trialTimeout { 5000 };
+constexpr milliseconds suspectTimeout { 600000 };
 /// Three targets that ended at one moment may have had another reason in common: one more trial tells.
-constexpr milliseconds unprovenTerm { 5000 };
-constexpr milliseconds firstProvenTerm { 60000 };
-constexpr milliseconds longestProvenTerm { 3600000 };
+constexpr milliseconds unconfirmedTimeout { 5000 };
+constexpr milliseconds firstProvenTimeout { 60000 };
+constexpr milliseconds maxProvenTimeout { 3600000 };
 /// An expiry that was lost on its way to the log is told again.
 constexpr milliseconds expiryRetryPeriod { 1000 };
 
 } // namespace
 
-milliseconds termOf(const quarantine_entry& entry)
+milliseconds timeoutOf(const quarantine_entry& entry)
 {
     if (entry.trial != 0)
-        return trialTerm;
+        return trialTimeout;
     if (entry.stage != quarantine_stage::Proven)
-        return suspectTerm;
+        return suspectTimeout;
     if (entry.proofs == 0)
-        return unprovenTerm;
-    constexpr std::uint32_t mostDoublings = 16;
-    return std::min(firstProvenTerm * (1U << std::min(entry.proofs - 1, mostDoublings)), longestProvenTerm);
+        return unconfirmedTimeout;
+    constexpr std::uint32_t maxDoublings = 16;
+    return std::min(firstProvenTimeout * (1U << std::min(entry.proofs - 1, maxDoublings)), maxProvenTimeout);
 }
 
 void quarantine_table::apply(const quarantine_change& change)
@@ -66,7 +66,7 @@
     if (std::find(entry.ended.begin(), entry.ended.end(), target) != entry.ended.end())
         return; // another gateway has told of it
     entry.ended.push_back(target);
-    if (entry.ended.size() > endedKept)
+    if (entry.ended.size() > maxEndedTargets)
         entry.ended.erase(entry.ended.begin());
     ++entry.crashes;
     entry.revision = ++m_revision;
@@ -74,10 +74,10 @@
     endTrial(entry);
     if (isAlone)
         ++entry.proofs;
-    const bool isProven = isAlone || entry.crashes >= mostCrashes;
-    if (isProven && (entry.stage == quarantine_stage::Proven || m_provenCount < m_options.mostProven))
+    const bool isProven = isAlone || entry.crashes >= maxCrashes;
+    if (isProven && (entry.stage == quarantine_stage::Proven || m_provenCount < m_options.maxProven))
         setStage(entry, quarantine_stage::Proven);
-    else if (entry.crashes >= crashesBeforeHeld)
+    else if (entry.crashes >= heldCrashes)
         setStage(entry, quarantine_stage::Held);
     else
         setStage(entry, quarantine_stage::Suspect);
@@ -170,7 +170,7 @@
     m_entries.erase(found);
     m_stageRevision = ++m_revision;
     m_removed[m_revision] = fingerprint;
-    while (m_removed.size() > m_options.mostRemovalsKept) {
+    while (m_removed.size() > m_options.maxRetainedRemovals) {
         m_prunedRevision = m_removed.begin()->first;
         m_removed.erase(m_removed.begin());
     }
@@ -178,7 +178,7 @@
 
 void quarantine_table::prune()
 {
-    if (m_entries.size() - m_provenCount < m_options.mostSuspects)
+    if (m_entries.size() - m_provenCount < m_options.maxSuspects)
         return;
     auto oldest = m_entries.end();
     for (auto at = m_entries.begin(); at != m_entries.end(); ++at) {
@@ -232,19 +232,19 @@
     }
 }
 
-std::vector<quarantine_expiry> quarantine_clock::takeEnded(const quarantine_table& table, steady_time now)
+std::vector<quarantine_expiry> quarantine_timers::takeEnded(const quarantine_table& table, steady_time now)
 {
     if (m_followedRevision != table.revision()) {
         m_followedRevision = table.revision();
-        std::erase_if(m_terms, [&table](const auto& item) { return table.find(item.first) == nullptr; });
+        std::erase_if(m_timers, [&table](const auto& item) { return table.find(item.first) == nullptr; });
         for (const auto& [fingerprint, entry] : table.entries()) {
-            auto& known = m_terms[fingerprint];
+            auto& known = m_timers[fingerprint];
             if (known.revision != entry.revision)
-                known = { entry.revision, now + termOf(entry) };
+                known = { entry.revision, now + timeoutOf(entry) };
         }
     }
     std::vector<quarantine_expiry> ended;
-    for (auto& [fingerprint, one] : m_terms) {
+    for (auto& [fingerprint, one] : m_timers) {
         if (now < one.deadline)
             continue;
         one.deadline = now + expiryRetryPeriod;
--- a/src/buckthornrail/registry/quarantine_test.cpp
+++ b/src/buckthornrail/registry/quarantine_test.cpp
@@ -120,7 +120,7 @@
     "[quarantine]")
 {
     quarantine_table table;
-    quarantine_clock clock;
+    quarantine_timers clock;
     prove(table, named(1), "a");
     CHECK(stageOf(table, named(1)) == quarantine_stage::Proven);
     CHECK(table.refusalOf({ named(1), 20, "x" }) == trial_refusal::Proven);
@@ -146,7 +146,7 @@
 TEST_CASE("quarantine: three targets that end at one moment prove little: one more trial comes soon", "[quarantine]")
 {
     quarantine_table table;
-    quarantine_clock clock;
+    quarantine_timers clock;
     for (const auto* target : { "a", "b", "c" })
         table.apply(crashOf(target, { named(1) }));
     CHECK(stageOf(table, named(1)) == quarantine_stage::Proven);
@@ -166,7 +166,7 @@
 TEST_CASE("quarantine: a trial of a gateway that is gone ends, a suspicion is forgotten", "[quarantine]")
 {
     quarantine_table table;
-    quarantine_clock clock;
+    quarantine_timers clock;
     table.apply(crashOf("a", { named(1) }));
     table.apply(claimOf(named(1), 11, "b"));
     CHECK(clock.takeEnded(table, zero).empty());
@@ -198,8 +198,8 @@
 TEST_CASE("quarantine: many other requests that end targets push out no proof, and fill no memory", "[quarantine]")
 {
     quarantine_options options;
-    options.mostProven = 10;
-    options.mostSuspects = 20;
+    options.maxProven = 10;
+    options.maxSuspects = 20;
     quarantine_table table(options);
     prove(table, named(1), "first");
     for (std::uint16_t at = 2; at < 1000; ++at)
@@ -214,9 +214,9 @@
 {
     rc::prop("any changes, told at any moments", [] {
         quarantine_options options;
-        options.mostSuspects = 4;
-        options.mostProven = 2;
-        options.mostRemovalsKept = 2;
+        options.maxSuspects = 4;
+        options.maxProven = 2;
+        options.maxRetainedRemovals = 2;
         quarantine_table table(options);
         quarantine_view view;
         const int steps = *rc::gen::inRange(1, 60);
--- a/src/buckthornrail/registry/target_record.cpp
+++ b/src/buckthornrail/registry/target_record.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t maxGoneRecords = 128;
 
 /// A target that was marked by the controllers comes back only by a newer announcement than the one they had.
-bool isLate(const target_record& known, const target_record& announced)
+bool isStale(const target_record& known, const target_record& announced)
 {
     if (announced.state == target_state::Gone)
         return false;
@@ -41,31 +41,31 @@
 {
     const auto found = m_records.find(announced.id);
     if (found == m_records.end())
-        return applyFirst(announced);
+        return applyNew(announced);
     const auto& known = found->second;
     // The platform lets a target leave without saying which of its lives: it is the one that is known.
-    const bool namesNoLife = announced.state == target_state::Gone && announced.startedMs == 0;
-    if (namesNoLife || announced.startedMs == known.startedMs)
-        return applyToSame(known, announced);
+    const bool hasNoIncarnation = announced.state == target_state::Gone && announced.startedMs == 0;
+    if (hasNoIncarnation || announced.startedMs == known.startedMs)
+        return applyToSameIncarnation(known, announced);
     const bool isNewer = announced.startedMs > known.startedMs;
     const bool isReady = announced.state == target_state::Ready || announced.state == target_state::Draining;
-    if (announced.state == target_state::Lost || (!isNewer && !(isReady && isOver(known))))
+    if (announced.state == target_state::Lost || (!isNewer && !(isReady && isGoneOrLost(known))))
         return false;
-    if (isLateAtAddress(announced))
+    if (isAddressHeldByNewer(announced))
         return false;
     store(announced);
     return true;
 }
 
-bool target_table::applyFirst(const target_record& record)
+bool target_table::applyNew(const target_record& record)
 {
-    if (record.state == target_state::Lost || isLateAtAddress(record))
+    if (record.state == target_state::Lost || isAddressHeldByNewer(record))
         return false;
     store(record);
     return true;
 }
 
-bool target_table::applyToSame(const target_record& known, const target_record& announced)
+bool target_table::applyToSameIncarnation(const target_record& known, const target_record& announced)
 {
     target_record record = announced;
     if (announced.state == target_state::Gone) {
@@ -75,7 +75,7 @@
         record.layers = {};
     }
     record.startedMs = known.startedMs;
-    if (known.state == target_state::Gone || isLate(known, record))
+    if (known.state == target_state::Gone || isStale(known, record))
         return false;
     if (known.state == target_state::Draining && announced.state == target_state::Ready)
         record.state = target_state::Draining;
@@ -88,20 +88,20 @@
     return true;
 }
 
-bool target_table::isLateAtAddress(const target_record& record) const
+bool target_table::isAddressHeldByNewer(const target_record& record) const
 {
     if (record.startedMs == 0 || record.address.empty())
         return false;
     return std::any_of(m_records.begin(), m_records.end(), [&record](const auto& item) {
         const auto& other = item.second;
-        return other.id != record.id && other.address == record.address && !isOver(other)
+        return other.id != record.id && other.address == record.address && !isGoneOrLost(other)
             && other.startedMs > record.startedMs;
     });
 }
 
 void target_table::store(target_record record)
 {
-    endEarlierLives(record);
+    endPreviousIncarnations(record);
     record.revision = ++m_revision;
     m_records[record.id] = std::move(record);
     prune();
@@ -129,7 +129,7 @@
     m_prunedRevision = prunedRevision;
 }
 
-void target_table::endEarlierLives(const target_record& record)
+void target_table::endPreviousIncarnations(const target_record& record)
 {
     for (auto& [id, known] : m_records) {
         const bool isElsewhere = known.address != record.address || record.address.empty();
--- a/src/buckthornrail/registry/target_record_test.cpp
+++ b/src/buckthornrail/registry/target_record_test.cpp
@@ -32,7 +32,7 @@
         for (const auto& step : steps) {
             for (auto& target : targets) {
                 if (target.id == step.id)
-                    target.holds = step.layers;
+                    target.heldLayers = step.layers;
             }
         }
     }
@@ -46,7 +46,7 @@
     for (const auto& target : targets) {
         if (target.failureDomain != domain)
             continue;
-        for (auto layer = target.holds.first; layer < target.holds.end; ++layer)
+        for (auto layer = target.heldLayers.first; layer < target.heldLayers.end; ++layer)
             ++holders.at(layer);
     }
     return *std::min_element(holders.begin(), holders.end());
@@ -208,7 +208,7 @@
             const bool isEarlier = known != nullptr && record.startedMs < known->startedMs;
             if (state == target_state::Lost && known != nullptr)
                 record.startedMs = known->startedMs; // marks are made from what is known
-            if (!isEarlier || !isOver(*known))
+            if (!isEarlier || !isGoneOrLost(*known))
                 table.apply(record);
             if (word % 3 == 0)
                 RC_ASSERT(view.apply(table.changesSince(view.revision())));
@@ -254,7 +254,7 @@
         }
         const auto comfortableIn = [&targets](const std::string& domain) {
             return std::accumulate(targets.begin(), targets.end(), 0U, [&](std::uint32_t sum, const plan_target& one) {
-                return sum + (one.failureDomain == domain ? one.comfortable : 0);
+                return sum + (one.failureDomain == domain ? one.preferredLayers : 0);
             });
         };
         settle(targets, layers);
@@ -264,8 +264,8 @@
             targets.erase(targets.begin() + *rc::gen::inRange<std::ptrdiff_t>(0, std::ssize(targets)));
             settle(targets, layers);
             for (const auto& target : targets) {
-                RC_ASSERT(target.holds.size() <= target.capacity);
-                RC_ASSERT(target.holds.end <= layers);
+                RC_ASSERT(target.heldLayers.size() <= target.capacity);
+                RC_ASSERT(target.heldLayers.end <= layers);
             }
         }
     });
@@ -281,7 +281,7 @@
     };
     const auto steps = planLayers(targets, 80);
     REQUIRE(steps.size() == 1);
-    CHECK(steps.front() == plan_step { "spareSmall", { 70, 80 }, true });
+    CHECK(steps.front() == layer_assignment { "spareSmall", { 70, 80 }, true });
 }
 
 TEST_CASE("plan: without a spare a gap's neighbours grow into it, by what each has left, and cut nothing", "[registry]")
@@ -292,12 +292,12 @@
         { "last", "a", 1, 1, { 79, 80 }, true },
     };
     CHECK(planLayers(targets, 80)
-        == std::vector<plan_step> { { "below", { 0, 36 }, false }, { "above", { 36, 79 }, false } });
+        == std::vector<layer_assignment> { { "below", { 0, 36 }, false }, { "above", { 36, 79 }, false } });
     targets[0].capacity = 35; // one layer too few: nobody grows in vain
     CHECK(planLayers(targets, 80).empty());
     targets[0].capacity = 60;
-    targets[1].isSettled = false; // has an order already
-    CHECK(planLayers(targets, 80) == std::vector<plan_step> { { "below", { 0, 39 }, false } });
+    targets[1].canTakeOrder = false; // has an order already
+    CHECK(planLayers(targets, 80) == std::vector<layer_assignment> { { "below", { 0, 39 }, false } });
 }
 
 TEST_CASE("plan: a new target goes where the holders have the least room", "[registry]")
@@ -307,29 +307,29 @@
         { "grown", "a", 40, 30, { 40, 80 }, true },
         { "new", "a", 20, 20, {}, true },
     };
-    CHECK(planLayers(targets, 80) == std::vector<plan_step> { { "new", { 40, 60 }, false } });
+    CHECK(planLayers(targets, 80) == std::vector<layer_assignment> { { "new", { 40, 60 }, false } });
 }
 
 TEST_CASE("plan: room is what is left once chains and spares are held", "[registry]")
 {
     // Each has 100 MB for 10 MB layers and 1 kB a token and layer: 10 layers at no tokens, 5 at 10,000.
     const auto domainOf = [](std::size_t count, double leastTokens) {
-        return std::vector<memory_needs>(count, { 100, 10, 1000, leastTokens });
+        return std::vector<memory_requirements>(count, { 100, 10, 1000, leastTokens });
     };
-    const auto layersAt = [](const std::vector<memory_needs>& domain, double tokens) {
+    const auto layersAt = [](const std::vector<memory_requirements>& domain, double tokens) {
         auto one = domain.front();
         one.tokens = tokens;
         return layersThatFit(one) * domain.size();
     };
     const auto spare = domainOf(4, 1000); // 36 layers at the least room: one chain of 20, and half a chain to spare
-    CHECK(layersAt(spare, comfortableTokens(spare, 20)) >= 30);
-    CHECK(comfortableTokens(spare, 20) > 1000);
-    CHECK(layersAt(spare, comfortableTokens(spare, 20) + 500) < 30);
+    CHECK(layersAt(spare, preferredTokens(spare, 20)) >= 30);
+    CHECK(preferredTokens(spare, 20) > 1000);
+    CHECK(layersAt(spare, preferredTokens(spare, 20) + 500) < 30);
     const auto two = domainOf(5, 1000); // 45 layers: two whole chains
-    CHECK(layersAt(two, comfortableTokens(two, 20)) >= 40);
+    CHECK(layersAt(two, preferredTokens(two, 20)) >= 40);
     const auto few = domainOf(3, 1000); // 27 layers: less than a chain and a half
-    CHECK(comfortableTokens(few, 20) == 1000);
-    CHECK(comfortableTokens({}, 20) == 0);
+    CHECK(preferredTokens(few, 20) == 1000);
+    CHECK(preferredTokens({}, 20) == 0);
 }
 
 TEST_CASE("plan: a target with an order under way gets no other one", "[registry]")
