--- a/src/buckthornrail/registry/quarantine.cpp
+++ b/src/buckthornrail/registry/quarantine.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Transitions of requests that end their targets.
+/// @brief State transitions and timeouts of quarantined requests.
 #include "buckthornrail/registry/quarantine.hpp"
 
 #include <algorithm>
@@ -7,21 +7,24 @@
 namespace buckthornrail::registry {
 namespace {
 
-/// Targets that may end under a request before it runs nowhere.
+/// Crashes after which a request is proven, whether or not it ran alone.
 constexpr std::uint32_t maxCrashes = 3;
-/// From so many on no other suspect may be on trial at the same target.
+/// Crashes from which on a request may not share a target with another held request.
 constexpr std::uint32_t heldCrashes = 2;
-/// Reports of several gateways on one target come within seconds: as many targets as end under one request meanwhile.
+/// Ended targets remembered per request, to count a target once although several gateways report it. Their reports
+/// arrive within seconds, and at most this many targets end under one request in that time.
 constexpr std::size_t maxEndedTargets = 8;
 
-/// A trial is over once its request has outlived the time in which it could be to blame; its gateway may be gone.
+/// A request that has run for this long is no longer blamed if its target ends, so its trial is over. The timeout also
+/// ends trials of gateways that are gone.
 constexpr milliseconds trialTimeout { 5000 };
 constexpr milliseconds suspectTimeout { 600000 };
-/// Three targets that ended at one moment may have had another reason in common: one more trial tells.
+/// Used when the crashes happened outside of trials: several targets that end at once may share another cause, so the
+/// request soon gets one more trial.
 constexpr milliseconds unconfirmedTimeout { 5000 };
 constexpr milliseconds firstProvenTimeout { 60000 };
 constexpr milliseconds maxProvenTimeout { 3600000 };
-/// An expiry that was lost on its way to the log is told again.
+/// Interval at which an expiry that has had no effect yet is submitted again, as it may have been lost.
 constexpr milliseconds expiryRetryPeriod { 1000 };
 
 } // namespace
@@ -64,7 +67,7 @@
     }
     auto& entry = found->second;
     if (std::find(entry.ended.begin(), entry.ended.end(), target) != entry.ended.end())
-        return; // another gateway has told of it
+        return; // already reported by another gateway
     entry.ended.push_back(target);
     if (entry.ended.size() > maxEndedTargets)
         entry.ended.erase(entry.ended.begin());
@@ -201,7 +204,7 @@
 {
     quarantine_delta delta;
     delta.to = m_stageRevision;
-    // A receiver that is ahead has it from a controller whose log this one doesn't have yet, or no longer.
+    // A receiver may be ahead of this controller after a session with one whose log entries are missing here.
     delta.full = since < m_prunedRevision || since > m_stageRevision;
     for (const auto& [fingerprint, entry] : m_entries) {
         if (delta.full || entry.stageRevision > since)
@@ -223,7 +226,7 @@
     m_removed.clear();
     m_revision = revision;
     m_stageRevision = revision;
-    m_prunedRevision = revision; // what was removed before isn't known
+    m_prunedRevision = revision; // a snapshot doesn't list earlier removals
     m_provenCount = 0;
     for (const auto& [fingerprint, entry] : m_entries) {
         m_provenCount += entry.stage == quarantine_stage::Proven ? 1 : 0;
@@ -234,8 +237,8 @@
 
 std::vector<quarantine_expiry> quarantine_timers::takeEnded(const quarantine_table& table, steady_time now)
 {
-    if (m_followedRevision != table.revision()) {
-        m_followedRevision = table.revision();
+    if (m_seenRevision != table.revision()) {
+        m_seenRevision = table.revision();
         std::erase_if(m_timers, [&table](const auto& item) { return table.find(item.first) == nullptr; });
         for (const auto& [fingerprint, entry] : table.entries()) {
             auto& known = m_timers[fingerprint];
--- a/src/buckthornrail/registry/quarantine_test.cpp
+++ b/src/buckthornrail/registry/quarantine_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What is held against requests: stages, trials, terms, bounds; the same at every member and in every copy.
+/// @brief Tests of the quarantine's stages, trials, timeouts and bounds, and that replicas and gateways' copies agree.
 #include "buckthornrail/registry/quarantine.hpp"
 
 #include <catch2/catch.hpp>
@@ -41,7 +41,7 @@
     return entry == nullptr ? quarantine_stage::None : entry->stage;
 }
 
-/// Ends targets under a request until it is proven, the last one on trial.
+/// Reports crashes until the request is proven, the last one during a trial.
 void prove(quarantine_table& table, const request_fingerprint& one, const std::string& prefix)
 {
     table.apply(crashOf(prefix + "1", { one }));
@@ -78,7 +78,7 @@
 
 } // namespace
 
-TEST_CASE("quarantine: a target's end counts once, whoever reports it", "[quarantine]")
+TEST_CASE("quarantine: a crash counts once, however many gateways report it", "[quarantine]")
 {
     quarantine_table table;
     table.apply(crashOf("a", { named(1), named(2) }));
@@ -90,7 +90,7 @@
     CHECK(stageOf(table, named(2)) == quarantine_stage::Suspect);
 }
 
-TEST_CASE("quarantine: a suspect runs once at a time, one that is held beside no other", "[quarantine]")
+TEST_CASE("quarantine: one trial per request, and one held request per target", "[quarantine]")
 {
     quarantine_table table;
     table.apply(crashOf("a", { named(1), named(2) }));
@@ -100,11 +100,11 @@
     table.apply(claimOf(named(1), 12, "c"));
     CHECK(table.refusalOf(first) == trial_refusal::None);
     CHECK(table.refusalOf(second) == trial_refusal::Running);
-    // Suspects are many, and nearly all innocent: they don't wait for each other.
+    // Most suspects are harmless and there are many of them, so they may share a target.
     table.apply(claimOf(named(2), 13, "b"));
     CHECK(table.refusalOf({ named(2), 13, "b" }) == trial_refusal::None);
     table.apply(crashOf("b", { named(1), named(2) }));
-    CHECK(table.refusalOf(first) == trial_refusal::None); // free to be claimed again
+    CHECK(table.refusalOf(first) == trial_refusal::None); // the crash ended the trial
     table.apply(claimOf(named(1), 14, "c"));
     table.apply(claimOf(named(2), 15, "c"));
     CHECK(table.refusalOf({ named(1), 14, "c" }) == trial_refusal::None);
@@ -116,8 +116,7 @@
     CHECK(table.refusalOf({ named(3), 16, "c" }) == trial_refusal::Unknown);
 }
 
-TEST_CASE("quarantine: what ends a target beside no other suspect is proven for a minute, and each time for longer",
-    "[quarantine]")
+TEST_CASE("quarantine: a crash during a held request's trial proves it for a minute, doubled each time", "[quarantine]")
 {
     quarantine_table table;
     quarantine_timers clock;
@@ -126,7 +125,7 @@
     CHECK(table.refusalOf({ named(1), 20, "x" }) == trial_refusal::Proven);
     steady_time now = zero;
     milliseconds expected { 60000 };
-    for (int time = 0; time < 9; ++time) {
+    for (int round = 0; round < 9; ++round) {
         CHECK(clock.takeEnded(table, now).empty());
         CHECK(clock.takeEnded(table, now + expected - milliseconds(1)).empty());
         now += expected;
@@ -134,8 +133,8 @@
         ended.expired = clock.takeEnded(table, now);
         REQUIRE(ended.expired.size() == 1);
         table.apply(ended);
-        CHECK(stageOf(table, named(1)) == quarantine_stage::Held); // one more trial tells
-        const std::string target = "b" + std::to_string(time);
+        CHECK(stageOf(table, named(1)) == quarantine_stage::Held); // allows one more trial
+        const std::string target = "b" + std::to_string(round);
         table.apply(claimOf(named(1), 30, target));
         table.apply(crashOf(target, { named(1) }));
         CHECK(stageOf(table, named(1)) == quarantine_stage::Proven);
@@ -143,7 +142,7 @@
     }
 }
 
-TEST_CASE("quarantine: three targets that end at one moment prove little: one more trial comes soon", "[quarantine]")
+TEST_CASE("quarantine: three crashes outside of trials allow another trial soon", "[quarantine]")
 {
     quarantine_table table;
     quarantine_timers clock;
@@ -156,14 +155,14 @@
     REQUIRE(ended.expired.size() == 1);
     table.apply(ended);
     CHECK(stageOf(table, named(1)) == quarantine_stage::Held);
-    // An innocent one gets its whole answer then, and is free.
+    // A harmless request is answered completely in that trial and cleared.
     quarantine_change answered;
     answered.cleared.push_back(named(1));
     table.apply(answered);
     CHECK(stageOf(table, named(1)) == quarantine_stage::None);
 }
 
-TEST_CASE("quarantine: a trial of a gateway that is gone ends, a suspicion is forgotten", "[quarantine]")
+TEST_CASE("quarantine: an abandoned trial times out, and later the suspect is removed", "[quarantine]")
 {
     quarantine_table table;
     quarantine_timers clock;
@@ -173,7 +172,7 @@
     quarantine_change ended;
     ended.expired = clock.takeEnded(table, zero + milliseconds(5000));
     REQUIRE(ended.expired.size() == 1);
-    // Lost on its way, it is told again.
+    // The expiry is returned again in case it was lost.
     CHECK(clock.takeEnded(table, zero + milliseconds(5500)).empty());
     CHECK(clock.takeEnded(table, zero + milliseconds(6000)).size() == 1);
     table.apply(ended);
@@ -184,7 +183,7 @@
     CHECK(table.entries().empty());
 }
 
-TEST_CASE("quarantine: an expiry that was overtaken changes nothing", "[quarantine]")
+TEST_CASE("quarantine: an expiry of an outdated revision has no effect", "[quarantine]")
 {
     quarantine_table table;
     table.apply(crashOf("a", { named(1) }));
@@ -195,7 +194,7 @@
     CHECK(stageOf(table, named(1)) == quarantine_stage::Held);
 }
 
-TEST_CASE("quarantine: many other requests that end targets push out no proof, and fill no memory", "[quarantine]")
+TEST_CASE("quarantine: a flood of crashing requests evicts no proven entry and stays bounded", "[quarantine]")
 {
     quarantine_options options;
     options.maxProven = 10;
@@ -206,13 +205,13 @@
         prove(table, named(at), "t" + std::to_string(at) + "-");
     CHECK(stageOf(table, named(1)) == quarantine_stage::Proven);
     CHECK(table.entries().size() <= 30);
-    // Those beyond the bound aren't let loose: each may be on trial, and no more.
+    // Requests beyond the bound of proven ones stay held: each may run only on trial.
     CHECK(stageOf(table, named(999)) == quarantine_stage::Held);
 }
 
-TEST_CASE("quarantine: copies that follow by changes hold what the table holds", "[quarantine][property]")
+TEST_CASE("quarantine: a view updated by deltas equals the table", "[quarantine][property]")
 {
-    rc::prop("any changes, told at any moments", [] {
+    rc::prop("any changes, with deltas at any time", [] {
         quarantine_options options;
         options.maxSuspects = 4;
         options.maxProven = 2;
@@ -232,14 +231,14 @@
     });
 }
 
-TEST_CASE("quarantine: invariants over any changes", "[quarantine][property]")
+TEST_CASE("quarantine: invariants hold under any changes", "[quarantine][property]")
 {
-    rc::prop("one trial a target that is held, none of the proven, counts fit stages", [] {
+    rc::prop("one trial of a held request per target, none of a proven one, and crash counts match stages", [] {
         quarantine_table table;
         const int steps = *rc::gen::inRange(1, 80);
         for (int step = 0; step < steps; ++step) {
             table.apply(anyChange());
-            std::set<target_incarnation> taken;
+            std::set<target_incarnation> trialTargets;
             for (const auto& [fingerprint, entry] : table.entries()) {
                 RC_ASSERT(entry.stage != quarantine_stage::None);
                 RC_ASSERT(entry.crashes >= entry.ended.size());
@@ -249,11 +248,11 @@
                     RC_ASSERT(entry.crashes >= 3U);
                 }
                 if (entry.stage == quarantine_stage::Held && entry.trial != 0)
-                    RC_ASSERT(taken.insert(entry.trialTarget).second);
+                    RC_ASSERT(trialTargets.insert(entry.trialTarget).second);
             }
         }
     });
-    rc::prop("a member that takes a snapshot over goes on like the others", [] {
+    rc::prop("a replica restored from a snapshot stays equal to the others", [] {
         quarantine_table one;
         for (int step = 0; step < *rc::gen::inRange(0, 30); ++step)
             one.apply(anyChange());
