--- a/include/buckthornrail/registry/target_record.hpp
+++ b/include/buckthornrail/registry/target_record.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What targets without a sidecar announce of themselves, and the replicated table of them.
+/// @brief Records that targets without a sidecar announce, and the replicated table of them.
 #pragma once
 
 #include "buckthornrail/core/clock.hpp"
@@ -13,11 +13,12 @@
 
 namespace buckthornrail::registry {
 
+/// Lifecycle state of a target.
 enum class target_state : std::uint8_t {
     Ready,
-    Draining, ///< takes no new work, finishes what it has
-    Gone, ///< it said that it leaves
-    Lost, ///< its heartbeats stopped; comes back with the next one
+    Draining, ///< accepts no new work and finishes its requests in flight
+    Gone, ///< announced that it leaves, or was replaced; final for the incarnation
+    Lost, ///< its heartbeats stopped; a newer announcement restores it
 };
 
 inline constexpr std::array targetStateNames {
@@ -27,7 +28,7 @@
     enum_name<target_state> { target_state::Lost, "lost" },
 };
 
-/// Layers [first, end) of the model.
+/// Half-open range [first, end) of a model's layers.
 struct layer_range {
     std::uint32_t first = 0;
     std::uint32_t end = 0;
@@ -36,14 +37,14 @@
     bool operator==(const layer_range&) const = default;
 };
 
-/// One life of a target: what an earlier one held, was told or had earned says nothing of a later one under the same
-/// id.
+/// Identifies one run of a target's process. State, orders and measurements of an earlier incarnation don't apply to a
+/// later one with the same id.
 struct target_incarnation {
     std::string id;
-    std::uint64_t startedMs = 0; ///< ms since the epoch by its own clock; 0: it doesn't say
+    std::uint64_t startedMs = 0; ///< start time in ms since the epoch by the target's clock; 0: not announced
 
     target_incarnation() = default;
-    /// Of a target that doesn't tell its start, whose id is unique for each life.
+    /// Without a start time, the id must be unique to each incarnation.
     target_incarnation(std::string name, std::uint64_t started = 0) // NOLINT(google-explicit-constructor)
         : id(std::move(name))
         , startedMs(started)
@@ -58,21 +59,21 @@
     auto operator<=>(const target_incarnation&) const = default;
 };
 
-/// @brief For logs: the id, with the start where it is known.
+/// @brief Formats an incarnation for logs: the id, followed by "@" and the start time if that is known.
 std::string text(const target_incarnation& one);
 
-/// What a life of a target announces of itself.
+/// The announcement of a target's incarnation.
 struct target_record {
     std::string id;
     std::uint64_t startedMs = 0; ///< see target_incarnation
     std::string service;
-    std::string address; ///< "IP:port"; may be used again by another service after this life
+    std::string address; ///< "IP:port"; a later incarnation of any service may reuse it
     std::string failureDomain;
     std::string accelerator; ///< empty for a service without layers
-    std::uint32_t slots = 1; ///< requests at once
+    std::uint32_t slots = 1; ///< maximum concurrent requests
     target_state state = target_state::Ready;
-    layer_range layers; ///< empty: none held
-    std::uint64_t sequence = 0; ///< of its announcements; a lower one is late
+    layer_range layers; ///< loaded layers; may be empty
+    std::uint64_t sequence = 0; ///< number of the announcement; a lower one than the known is stale
     std::uint64_t revision = 0; ///< of the table at the record's last change
     [[nodiscard]] target_incarnation incarnation() const { return { id, startedMs }; }
     bool operator==(const target_record&) const = default;
@@ -80,72 +81,78 @@
 
 /// Records that changed after a revision.
 struct target_delta {
-    std::uint64_t from = 0; ///< the receiver must hold this revision, unless `full`
-    std::uint64_t to = 0;
+    std::uint64_t from = 0; ///< lowest revision that the receiver must have, unless `full`
+    std::uint64_t to = 0; ///< revision that the receiver has afterwards
     bool full = false; ///< replaces the receiver's whole table
     std::vector<target_record> records;
 };
 
-/// Place of an announcement among those under one id.
+/// Sort key of the announcements under one id.
 struct announcement_order {
     std::uint64_t startedMs = 0;
     std::uint64_t sequence = 0;
-    auto operator<=>(const announcement_order&) const = default; ///< lives first, then the sequence within one
+    auto operator<=>(const announcement_order&) const = default; ///< by incarnation, then by sequence
 };
 
-/// @brief The one order of announcements of a target: the later life, and within it the higher sequence, is the newer.
+/// @brief Sort key of a record: the later incarnation is newer, and within an incarnation the higher sequence.
 [[nodiscard]] inline announcement_order orderOf(const target_record& record)
 {
     return { record.startedMs, record.sequence };
 }
 
-/// @brief True when a target has said its last word, or its heartbeats have stopped.
+/// @brief Whether a target has announced that it leaves, or its heartbeats have stopped.
 [[nodiscard]] inline bool isGoneOrLost(const target_record& record)
 {
     return record.state == target_state::Gone || record.state == target_state::Lost;
 }
 
-/// @brief True when two announcements differ in more than their sequence.
+/// @brief Whether two records differ in more than their sequence and revision.
 bool differsFrom(const target_record& a, const target_record& b);
 
-/// @brief The replicated table: every controller applies the same records in the same order.
+/// @brief The replicated target table: every controller applies the same records in the same order.
 /// @ingroup registry
 class target_table {
 public:
-    /// @brief Takes an announcement. Late ones and ones of lives that are gone change nothing. A later life replaces
-    /// the record as a whole. An earlier start is taken only once the life held is over: the target's clock was stepped
-    /// back. Whoever submits it must have asked the target, as a late announcement looks the same.
-    /// @return true when the table changed
+    /// @brief Applies an announcement. Stale announcements and those of incarnations that are gone have no effect. A
+    /// later incarnation replaces the whole record. An earlier start time is accepted only when the known incarnation
+    /// is gone or lost, which means that the target's clock was set back. A stale announcement looks the same, so the
+    /// submitter must have queried the target first.
+    /// @return whether the table changed
     bool apply(const target_record& announced);
 
+    /// @brief Records that changed after a revision.
     [[nodiscard]] target_delta changesSince(std::uint64_t since) const;
+    /// @return null for an unknown id
     [[nodiscard]] const target_record* find(const std::string& id) const;
     [[nodiscard]] const std::map<std::string, target_record>& records() const { return m_records; }
     [[nodiscard]] std::uint64_t revision() const { return m_revision; }
+    /// @brief Lowest revision since which deltas are complete, as records may have been pruned before it.
     [[nodiscard]] std::uint64_t prunedRevision() const { return m_prunedRevision; }
-    /// @brief Replaces the whole table, from a snapshot.
+    /// @brief Replaces the whole table with a snapshot's.
     void restore(std::vector<target_record> records, std::uint64_t revision, std::uint64_t prunedRevision);
 
 private:
-    /// @return whether the table changed
+    /// @brief Applies the first announcement of an id. @return whether the table changed
     bool applyNew(const target_record& record);
+    /// @brief Applies a further announcement of the known incarnation. @return whether the table changed
     bool applyToSameIncarnation(const target_record& known, const target_record& announced);
-    /// @brief Whether a target that started later, and isn't over, has the address.
+    /// @brief Whether another target that started later, and is neither gone nor lost, has the address.
     [[nodiscard]] bool isAddressHeldByNewer(const target_record& record) const;
     void store(target_record record);
-    /// A new life at an address: whoever had it before is over, also when its last word is missing.
+    /// @brief Marks other targets at the record's address as gone, also when they didn't announce that they left.
     void endPreviousIncarnations(const target_record& record);
+    /// @brief Removes the oldest gone or lost record if there are too many.
     void prune();
 
     std::map<std::string, target_record> m_records;
     std::uint64_t m_revision = 0;
-    std::uint64_t m_prunedRevision = 0; ///< deltas from before it are not complete
+    std::uint64_t m_prunedRevision = 0; ///< deltas since an earlier revision are incomplete
 };
 
-/// @brief A receiver's copy, brought up to date by deltas.
+/// @brief A receiver's copy of the target table, kept current by deltas.
 class target_view {
 public:
-    /// @return false when the delta doesn't follow from what is held
+    /// @return false when the delta doesn't apply to the copy's revision; nothing is changed then
     bool apply(const target_delta& delta);
     [[nodiscard]] const std::map<std::string, target_record>& records() const { return m_records; }
     [[nodiscard]] std::uint64_t revision() const { return m_revision; }
--- a/src/buckthornrail/registry/layer_plan.cpp
+++ b/src/buckthornrail/registry/layer_plan.cpp
@@ -111,15 +111,15 @@
         const auto gap = m_coverage.gap();
         if (gap.isEmpty())
             return;
-        auto* spare = findRedundant(gap.size());
-        if (spare == nullptr) {
+        auto* redundant = findRedundant(gap.size());
+        if (redundant == nullptr) {
             extendNeighbours(gap, steps);
             return;
         }
-        m_coverage.remove(*spare);
-        const auto window = m_coverage.leastCovered(spare->preferredLayers);
-        m_coverage.add(*spare);
-        order(*spare, window, steps);
+        m_coverage.remove(*redundant);
+        const auto window = m_coverage.leastCovered(redundant->preferredLayers);
+        m_coverage.add(*redundant);
+        order(*redundant, window, steps);
         steps.back().isUrgent = true;
     }
 
@@ -195,8 +195,8 @@
 
 std::uint32_t layersThatFit(const memory_requirements& needs)
 {
-    const double eachMb = needs.layerMb + needs.tokens * needs.tokenBytesPerLayer / bytesPerMb;
-    return eachMb <= 0 ? 0 : static_cast<std::uint32_t>(std::floor(needs.memoryMb / eachMb));
+    const double perLayerMb = needs.layerMb + needs.tokens * needs.tokenBytesPerLayer / bytesPerMb;
+    return perLayerMb <= 0 ? 0 : static_cast<std::uint32_t>(std::floor(needs.memoryMb / perLayerMb));
 }
 
 double preferredTokens(std::span<const memory_requirements> accelerators, std::uint32_t layerCount)
--- a/src/buckthornrail/registry/target_record.cpp
+++ b/src/buckthornrail/registry/target_record.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Transitions of targets.
+/// @brief State transitions of targets.
 #include "buckthornrail/registry/target_record.hpp"
 
 #include "buckthornrail/core/revision_delta.hpp"
@@ -9,11 +9,12 @@
 namespace buckthornrail::registry {
 namespace {
 
-/// Records of targets that are over are kept so that a late announcement doesn't bring them back. Targets are replaced
-/// by the dozen at most at once, so this covers several rounds.
+/// Records of gone and lost targets are kept so that a stale announcement doesn't restore them. At most dozens of
+/// targets are replaced at once, so this covers several replacements.
 constexpr std::size_t maxGoneRecords = 128;
 
-/// A target that was marked by the controllers comes back only by a newer announcement than the one they had.
+/// Whether an announcement is older than the known record, or repeats it. A target that the controllers marked as lost
+/// thus comes back only with a newer announcement than the marked one.
 bool isStale(const target_record& known, const target_record& announced)
 {
     if (announced.state == target_state::Gone)
@@ -43,7 +44,7 @@
     if (found == m_records.end())
         return applyNew(announced);
     const auto& known = found->second;
-    // The platform lets a target leave without saying which of its lives: it is the one that is known.
+    // The platform may announce that a target leaves without a start time; that refers to the known incarnation.
     const bool hasNoIncarnation = announced.state == target_state::Gone && announced.startedMs == 0;
     if (hasNoIncarnation || announced.startedMs == known.startedMs)
         return applyToSameIncarnation(known, announced);
@@ -69,7 +70,7 @@
 {
     target_record record = announced;
     if (announced.state == target_state::Gone) {
-        // A last word may name the target alone.
+        // An announcement that a target leaves may contain the id alone.
         record = known;
         record.state = target_state::Gone;
         record.layers = {};
--- a/src/buckthornrail/registry/target_record_test.cpp
+++ b/src/buckthornrail/registry/target_record_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Announcements in any order; the plan of layers after any losses.
+/// @brief Tests of target announcements in any order, and of layer planning after losses of targets.
 #include "buckthornrail/registry/layer_plan.hpp"
 #include "buckthornrail/registry/target_record.hpp"
 
@@ -22,8 +22,8 @@
     return record;
 }
 
-/// Carries steps out until nothing is left to improve. @return rounds
-int settle(std::vector<plan_target>& targets, std::uint32_t layers)
+/// Carries out the planned assignments until there are no more. @return number of rounds
+int runPlanner(std::vector<plan_target>& targets, std::uint32_t layers)
 {
     for (int round = 0; round < 200; ++round) {
         const auto steps = planLayers(targets, layers);
@@ -36,11 +36,12 @@
             }
         }
     }
-    FAIL("the plan doesn't settle");
+    FAIL("the planner doesn't converge");
     return 0;
 }
 
-int leastHolders(const std::vector<plan_target>& targets, const std::string& domain, std::uint32_t layers)
+/// @return the lowest number of holders among the layers of a domain
+int minHolders(const std::vector<plan_target>& targets, const std::string& domain, std::uint32_t layers)
 {
     std::vector<int> holders(layers, 0);
     for (const auto& target : targets) {
@@ -54,20 +55,20 @@
 
 } // namespace
 
-TEST_CASE("targets: late announcements change nothing", "[registry]")
+TEST_CASE("targets: stale announcements have no effect", "[registry]")
 {
     target_table table;
     CHECK(table.apply(announced("1", 5)));
     CHECK(table.apply(announced("1", 6, target_state::Draining)));
     CHECK_FALSE(table.apply(announced("1", 5)));
-    CHECK_FALSE(table.apply(announced("1", 7))); // it said that it leaves
+    CHECK_FALSE(table.apply(announced("1", 7))); // it is draining
     CHECK(table.find("1")->state == target_state::Draining);
     CHECK(table.apply(announced("1", 0, target_state::Gone)));
     CHECK_FALSE(table.apply(announced("1", 9)));
     CHECK(table.find("1")->state == target_state::Gone);
 }
 
-TEST_CASE("targets: a lost one comes back by a newer announcement only", "[registry]")
+TEST_CASE("targets: a lost target is restored only by a newer announcement", "[registry]")
 {
     target_table table;
     table.apply(announced("1", 5));
@@ -78,7 +79,7 @@
     CHECK_FALSE(table.apply(announced("unknown", 3, target_state::Lost)));
 }
 
-TEST_CASE("targets: a new life at an address ends the earlier one", "[registry]")
+TEST_CASE("targets: a new target at an address ends the previous one", "[registry]")
 {
     target_table table;
     auto first = announced("1", 5);
@@ -89,16 +90,16 @@
     table.apply(second);
     CHECK(table.find("1")->state == target_state::Gone);
     CHECK(table.find("2")->state == target_state::Ready);
-    // Its last heartbeat was held up by a cut, and comes after it crashed.
+    // The previous target crashed, and a network fault delayed its last heartbeat until now.
     first.sequence = 6;
     CHECK_FALSE(table.apply(first));
     CHECK(table.find("1")->state == target_state::Gone);
     CHECK(table.find("2")->state == target_state::Ready);
 }
 
-TEST_CASE("targets: a view that follows the deltas shows the table", "[registry]")
+TEST_CASE("targets: a view updated by deltas equals the table", "[registry]")
 {
-    rc::prop("any announcements, any deltas left out", [] {
+    rc::prop("any announcements, with deltas skipped", [] {
         target_table table;
         target_view view;
         const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 400));
@@ -116,7 +117,7 @@
 
 namespace {
 
-target_record lifeOf(std::uint64_t startedMs, std::uint64_t sequence, target_state state = target_state::Ready)
+target_record incarnationOf(std::uint64_t startedMs, std::uint64_t sequence, target_state state = target_state::Ready)
 {
     target_record record = announced("1", sequence, state);
     record.startedMs = startedMs;
@@ -125,58 +126,59 @@
 
 } // namespace
 
-TEST_CASE("target lives: a later one replaces the record, whatever became of the one before", "[registry]")
+TEST_CASE("target incarnations: a later one replaces the record in any state", "[registry]")
 {
     const auto state = GENERATE(target_state::Ready, target_state::Draining, target_state::Lost, target_state::Gone);
     target_table table;
-    auto first = lifeOf(100, 50);
+    auto first = incarnationOf(100, 50);
     first.layers = { 3, 9 };
     table.apply(first);
     auto marked = first;
     marked.state = state;
     marked.sequence = 51;
     table.apply(marked);
-    CHECK(table.apply(lifeOf(200, 1)));
+    CHECK(table.apply(incarnationOf(200, 1)));
     CHECK(table.find("1")->incarnation() == target_incarnation("1", 200));
     CHECK(table.find("1")->state == target_state::Ready);
     CHECK(table.find("1")->layers.isEmpty());
     CHECK(table.find("1")->sequence == 1);
-    // Late words of the life before, of every kind.
+    // Stale announcements of the earlier incarnation, in every state.
     for (const auto late : { target_state::Ready, target_state::Draining, target_state::Lost, target_state::Gone })
-        CHECK_FALSE(table.apply(lifeOf(100, 99, late)));
+        CHECK_FALSE(table.apply(incarnationOf(100, 99, late)));
     CHECK(table.find("1")->state == target_state::Ready);
 }
 
-TEST_CASE("target lives: a last word that names none is of the life that is known", "[registry]")
+TEST_CASE("target incarnations: leaving without a start time refers to the known one", "[registry]")
 {
     target_table table;
-    table.apply(lifeOf(200, 5));
+    table.apply(incarnationOf(200, 5));
     target_record leave;
     leave.id = "1";
     leave.state = target_state::Gone;
     CHECK(table.apply(leave));
     CHECK(table.find("1")->state == target_state::Gone);
     CHECK(table.find("1")->incarnation() == target_incarnation("1", 200));
-    CHECK(table.find("1")->service == "s"); // what else was known of it stays
-    CHECK_FALSE(table.apply(lifeOf(200, 6)));
-    CHECK(table.apply(lifeOf(300, 1)));
+    CHECK(table.find("1")->service == "s"); // other fields are kept
+    CHECK_FALSE(table.apply(incarnationOf(200, 6)));
+    CHECK(table.apply(incarnationOf(300, 1)));
 }
 
-TEST_CASE("target lives: an earlier start is taken only when the life known is over", "[registry]")
+TEST_CASE("target incarnations: an earlier start is accepted only when the known one is gone or lost", "[registry]")
 {
     target_table table;
-    table.apply(lifeOf(200, 5));
-    CHECK_FALSE(table.apply(lifeOf(100, 9)));
-    table.apply(lifeOf(200, 6, target_state::Lost));
-    CHECK_FALSE(table.apply(lifeOf(100, 9, target_state::Gone)));
-    CHECK(table.apply(lifeOf(100, 9)));
+    table.apply(incarnationOf(200, 5));
+    CHECK_FALSE(table.apply(incarnationOf(100, 9)));
+    table.apply(incarnationOf(200, 6, target_state::Lost));
+    CHECK_FALSE(table.apply(incarnationOf(100, 9, target_state::Gone)));
+    CHECK(table.apply(incarnationOf(100, 9)));
     CHECK(table.find("1")->state == target_state::Ready);
 }
 
-TEST_CASE("target lives: the first word of an earlier life doesn't take an address from a later one", "[registry]")
+TEST_CASE(
+    "target incarnations: the first announcement of an earlier one doesn't take a later one's address", "[registry]")
 {
     target_table table;
-    auto later = lifeOf(200, 1);
+    auto later = incarnationOf(200, 1);
     table.apply(later);
     auto late = announced("2", 1);
     late.address = later.address;
@@ -189,41 +191,41 @@
     CHECK(table.find("1")->state == target_state::Gone);
 }
 
-TEST_CASE("target lives: in any order of words, the newest life alone stands in the end", "[registry]")
+TEST_CASE("target incarnations: only the newest remains, in any order of announcements", "[registry]")
 {
-    rc::prop("lives, late words, marks of the controllers, deltas left out", [] {
-        constexpr std::uint64_t mostLives = 4;
+    rc::prop("any incarnations, stale announcements, states set by controllers, and skipped deltas", [] {
+        constexpr std::uint64_t maxIncarnations = 4;
         target_table table;
         target_view view;
-        const auto words = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 4 * 4 * 6 * 2));
+        const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 4 * 4 * 6 * 2));
         std::uint64_t newest = 1;
-        for (const int word : words) {
-            const auto state = static_cast<target_state>(word % 4);
-            const std::uint64_t life = 1 + static_cast<std::uint64_t>(word / 4) % mostLives;
-            newest = std::max(newest, life);
-            auto record = lifeOf(life * 100, static_cast<std::uint64_t>(word / 16 % 6), state);
-            record.layers = { static_cast<std::uint32_t>(life), static_cast<std::uint32_t>(life + 5) };
+        for (const int step : steps) {
+            const auto state = static_cast<target_state>(step % 4);
+            const std::uint64_t number = 1 + static_cast<std::uint64_t>(step / 4) % maxIncarnations;
+            newest = std::max(newest, number);
+            auto record = incarnationOf(number * 100, static_cast<std::uint64_t>(step / 16 % 6), state);
+            record.layers = { static_cast<std::uint32_t>(number), static_cast<std::uint32_t>(number + 5) };
             const auto* known = table.find("1");
-            // Controllers take an earlier start only from a target that answers, which an earlier life doesn't.
+            // Controllers accept an earlier start only from a target that responds; an earlier incarnation doesn't.
             const bool isEarlier = known != nullptr && record.startedMs < known->startedMs;
             if (state == target_state::Lost && known != nullptr)
-                record.startedMs = known->startedMs; // marks are made from what is known
+                record.startedMs = known->startedMs; // controllers mark the known incarnation
             if (!isEarlier || !isGoneOrLost(*known))
                 table.apply(record);
-            if (word % 3 == 0)
+            if (step % 3 == 0)
                 RC_ASSERT(view.apply(table.changesSince(view.revision())));
         }
-        // It is restarted once more, announces itself, and then holds layers.
-        auto last = lifeOf((newest + 1) * 100, 1);
+        // The target restarts once more, announces itself, and then loads layers.
+        auto last = incarnationOf((newest + 1) * 100, 1);
         RC_ASSERT(table.apply(last));
         RC_ASSERT(table.find("1")->layers.isEmpty());
         last.sequence = 2;
         last.layers = { 7, 8 };
         table.apply(last);
-        for (const int word : words) {
-            auto late = lifeOf((1 + static_cast<std::uint64_t>(word / 4) % mostLives) * 100, 90);
-            late.state = static_cast<target_state>(word % 4);
-            RC_ASSERT(!table.apply(late));
+        for (const int step : steps) {
+            auto stale = incarnationOf((1 + static_cast<std::uint64_t>(step / 4) % maxIncarnations) * 100, 90);
+            stale.state = static_cast<target_state>(step % 4);
+            RC_ASSERT(!table.apply(stale));
         }
         RC_ASSERT(view.apply(table.changesSince(view.revision())));
         RC_ASSERT(view.records() == table.records());
@@ -233,16 +235,16 @@
     });
 }
 
-TEST_CASE("plan: room for requests bounds the layers", "[registry]")
+TEST_CASE("layer plan: memory for requests limits the layers", "[registry]")
 {
     CHECK(layersThatFit({ 21600, 1750, 7375, 64000 }) == 9);
     CHECK(layersThatFit({ 21600, 1750, 7375, 0 }) == 12);
     CHECK(layersThatFit({ 1000, 1750, 7375, 0 }) == 0);
 }
 
-TEST_CASE("plan: a domain gets whole chains while its targets suffice, whoever is lost", "[registry]")
+TEST_CASE("layer plan: a domain has complete chains while its targets suffice, after any losses", "[registry]")
 {
-    rc::prop("any targets, any losses one after the other", [] {
+    rc::prop("any targets, lost one after another", [] {
         constexpr std::uint32_t layers = 80;
         const auto capacities = *rc::gen::container<std::vector<std::uint32_t>>(rc::gen::inRange<std::uint32_t>(1, 33));
         const auto less = *rc::gen::inRange<std::uint32_t>(0, 6);
@@ -252,17 +254,17 @@
             targets.push_back({ std::to_string(targets.size()), targets.size() % 2 == 0 ? "a" : "b", capacity,
                 std::max(capacity, less + 1) - less, {}, true });
         }
-        const auto comfortableIn = [&targets](const std::string& domain) {
+        const auto preferredLayersIn = [&targets](const std::string& domain) {
             return std::accumulate(targets.begin(), targets.end(), 0U, [&](std::uint32_t sum, const plan_target& one) {
                 return sum + (one.failureDomain == domain ? one.preferredLayers : 0);
             });
         };
-        settle(targets, layers);
+        runPlanner(targets, layers);
         for (const std::string domain : { "a", "b" })
-            RC_ASSERT(comfortableIn(domain) < layers || leastHolders(targets, domain, layers) >= 1);
+            RC_ASSERT(preferredLayersIn(domain) < layers || minHolders(targets, domain, layers) >= 1);
         while (!targets.empty()) {
             targets.erase(targets.begin() + *rc::gen::inRange<std::ptrdiff_t>(0, std::ssize(targets)));
-            settle(targets, layers);
+            runPlanner(targets, layers);
             for (const auto& target : targets) {
                 RC_ASSERT(target.heldLayers.size() <= target.capacity);
                 RC_ASSERT(target.heldLayers.end <= layers);
@@ -271,7 +273,7 @@
     });
 }
 
-TEST_CASE("plan: a gap is filled by the smallest spare that fills it", "[registry]")
+TEST_CASE("layer plan: the smallest sufficient redundant target fills a gap", "[registry]")
 {
     std::vector<plan_target> targets {
         { "big", "a", 40, 40, { 0, 40 }, true },
@@ -284,7 +286,8 @@
     CHECK(steps.front() == layer_assignment { "spareSmall", { 70, 80 }, true });
 }
 
-TEST_CASE("plan: without a spare a gap's neighbours grow into it, by what each has left, and cut nothing", "[registry]")
+TEST_CASE(
+    "layer plan: without a redundant target, adjacent targets extend into a gap by their spare capacity", "[registry]")
 {
     std::vector<plan_target> targets {
         { "below", "a", 36, 30, { 0, 30 }, true },
@@ -293,14 +296,14 @@
     };
     CHECK(planLayers(targets, 80)
         == std::vector<layer_assignment> { { "below", { 0, 36 }, false }, { "above", { 36, 79 }, false } });
-    targets[0].capacity = 35; // one layer too few: nobody grows in vain
+    targets[0].capacity = 35; // one layer too few: no target is extended
     CHECK(planLayers(targets, 80).empty());
     targets[0].capacity = 60;
-    targets[1].canTakeOrder = false; // has an order already
+    targets[1].canTakeOrder = false; // has a pending order
     CHECK(planLayers(targets, 80) == std::vector<layer_assignment> { { "below", { 0, 39 }, false } });
 }
 
-TEST_CASE("plan: a new target goes where the holders have the least room", "[registry]")
+TEST_CASE("layer plan: a new target goes where the holders have the least capacity", "[registry]")
 {
     const std::vector<plan_target> targets {
         { "first", "a", 40, 40, { 0, 40 }, true },
@@ -310,29 +313,29 @@
     CHECK(planLayers(targets, 80) == std::vector<layer_assignment> { { "new", { 40, 60 }, false } });
 }
 
-TEST_CASE("plan: room is what is left once chains and spares are held", "[registry]")
+TEST_CASE("layer plan: memory beyond chains and redundant layers goes to tokens", "[registry]")
 {
-    // Each has 100 MB for 10 MB layers and 1 kB a token and layer: 10 layers at no tokens, 5 at 10,000.
-    const auto domainOf = [](std::size_t count, double leastTokens) {
-        return std::vector<memory_requirements>(count, { 100, 10, 1000, leastTokens });
+    // Each has 100 MB, 10 MB per layer and 1 kB per token and layer: 10 layers without tokens, 5 with 10,000 tokens.
+    const auto domainOf = [](std::size_t count, double minTokens) {
+        return std::vector<memory_requirements>(count, { 100, 10, 1000, minTokens });
     };
     const auto layersAt = [](const std::vector<memory_requirements>& domain, double tokens) {
         auto one = domain.front();
         one.tokens = tokens;
         return layersThatFit(one) * domain.size();
     };
-    const auto spare = domainOf(4, 1000); // 36 layers at the least room: one chain of 20, and half a chain to spare
-    CHECK(layersAt(spare, preferredTokens(spare, 20)) >= 30);
-    CHECK(preferredTokens(spare, 20) > 1000);
-    CHECK(layersAt(spare, preferredTokens(spare, 20) + 500) < 30);
-    const auto two = domainOf(5, 1000); // 45 layers: two whole chains
+    const auto redundant = domainOf(4, 1000); // 36 layers at the minimum: one chain of 20 and half a second one
+    CHECK(layersAt(redundant, preferredTokens(redundant, 20)) >= 30);
+    CHECK(preferredTokens(redundant, 20) > 1000);
+    CHECK(layersAt(redundant, preferredTokens(redundant, 20) + 500) < 30);
+    const auto two = domainOf(5, 1000); // 45 layers: two complete chains
     CHECK(layersAt(two, preferredTokens(two, 20)) >= 40);
-    const auto few = domainOf(3, 1000); // 27 layers: less than a chain and a half
+    const auto few = domainOf(3, 1000); // 27 layers: less than one and a half chains
     CHECK(preferredTokens(few, 20) == 1000);
     CHECK(preferredTokens({}, 20) == 0);
 }
 
-TEST_CASE("plan: a target with an order under way gets no other one", "[registry]")
+TEST_CASE("layer plan: a target with a pending order gets no other one", "[registry]")
 {
     const std::vector<plan_target> targets { { "1", "a", 80, 80, {}, false } };
     CHECK(planLayers(targets, 80).empty());
