--- a/include/buckthornrail/registry/gateway_sessions.hpp
+++ b/include/buckthornrail/registry/gateway_sessions.hpp
@@ -1,9 +1,8 @@
 /// @file
-/// @brief What gateways tell of their work and are told of each other's, with their sessions spread over all
-/// controllers.
+/// @brief Exchange of load and retry usage between gateways whose sessions are spread over all controllers.
 ///
-/// Controllers that follow report to the leader in sums; the leader answers with the sums of all others. So a
-/// gateway's heartbeat costs the controller that it has its session with, and no other.
+/// Followers report the totals of their sessions to the leader, which answers with the totals of all other controllers.
+/// A gateway's heartbeat is thus processed only by the controller that has its session.
 #pragma once
 
 #include "buckthornrail/registry/gateway_table.hpp"
@@ -12,65 +11,66 @@
 
 namespace buckthornrail::registry {
 
-/// A gateway's session, or a link to a member, at one controller. Never 0.
+/// Identifies a gateway's session, or a link to another controller, at one controller. Never 0.
 using session_number = std::uint64_t;
 
-/// A gateway's heartbeat, as far as other gateways have to do with it.
+/// The part of a gateway's heartbeat that concerns other gateways.
 struct gateway_heartbeat {
     gateway_usage usage;
-    std::uint32_t openAttempts = 0; ///< under way at targets
-    std::uint64_t targetRevision = 0; ///< of the table that `loads` fits
+    std::uint32_t openAttempts = 0; ///< in flight at targets
+    std::uint64_t targetRevision = 0; ///< of the target table that `loads` refers to
     target_loads loads;
 };
 
-/// Sums over some sessions.
+/// Totals over a set of sessions.
 struct session_totals {
     std::uint32_t gateways = 0;
-    std::uint32_t openAttempts = 0;
-    std::uint64_t targetRevision = 0; ///< of the table that `loads` fits
-    target_loads loads; ///< empty: not told
+    std::uint32_t openAttempts = 0; ///< in flight at targets
+    std::uint64_t targetRevision = 0; ///< of the target table that `loads` refers to
+    target_loads loads; ///< empty: unknown
 };
 
-/// A controller that follows, to the leader.
+/// A follower's report to the leader.
 struct member_report {
     std::uint64_t sequence = 0;
     session_totals sums; ///< of all its sessions
-    std::vector<gateway_usage> lives; ///< heard since the last report, or in one that was never answered
+    std::vector<gateway_usage> lives; ///< gateways with a heartbeat since the last report, or not yet acknowledged
 };
 
-/// What earlier processes of a gateway had spent; see gateway_table::earlierRetries.
+/// Retries that earlier processes of a gateway had spent; see gateway_table::earlierRetries.
 struct earlier_retries {
     std::string gateway;
     retry_counts spent;
 };
 
-/// Which one of the gateways counted a gateway is.
+/// A gateway's index among the live gateways in order of their ids.
 struct gateway_ordinal {
     std::string gateway;
     std::uint32_t ordinal = 0;
 };
 
-/// The leader's answer.
+/// The leader's answer to a member_report.
 struct fleet_report {
     std::uint64_t answers = 0; ///< sequence of the report
-    session_totals others; ///< all sessions but those of the controller that reported
-    std::uint32_t budgetSharers = 0; ///< gateways that may have spent of the budget of repeats; 0: not known yet
-    std::vector<earlier_retries> earlier; ///< for those lives in the report that asked
-    std::vector<gateway_ordinal> ordinals; ///< of all lives in the report, among the sharers
+    session_totals others; ///< of all sessions except the reporting controller's
+    std::uint32_t budgetSharers = 0; ///< number of gateways that may have spent from the retry budget; 0: unknown
+    std::vector<earlier_retries> earlier; ///< for the reported gateways whose own count isn't complete, where known
+    std::vector<gateway_ordinal> ordinals; ///< of all reported gateways, among those that share the budget
     std::vector<limit_report> limits; ///< that the controller lacks
 };
 
-/// What one gateway is told of the others.
+/// What a gateway is told about the others.
 struct fleet_summary {
-    std::uint32_t gateways = 1; ///< with a session now, itself included
-    std::uint32_t budgetSharers = 0; ///< 0: not known, or not known to include it
-    std::optional<std::uint32_t> ordinal; ///< which one of the sharers it is; nothing: not known
-    std::optional<retry_counts> earlier; ///< spent by processes before it; nothing: not known, or not wanted
-    std::uint32_t othersOpenAttempts = 0;
-    target_loads othersLoads; ///< empty: not told
+    std::uint32_t gateways = 1; ///< with an open session, including itself
+    std::uint32_t budgetSharers = 0; ///< gateways that share the retry budget; 0: unknown, or may not include it
+    std::optional<std::uint32_t> ordinal; ///< its index among those gateways; nothing: unknown
+    std::optional<retry_counts> earlier; ///< spent by its earlier processes; nothing: unknown or not needed
+    std::uint32_t othersOpenAttempts = 0; ///< in flight at targets
+    target_loads othersLoads; ///< empty: unknown
 };
 
-/// @brief Kept by each controller from heartbeats and reports; soft state. Callers pass the time in.
+/// @brief A controller's gateway sessions and its knowledge of the other controllers' sessions, from heartbeats and
+/// reports; soft state. Callers pass the current time in.
 /// @ingroup registry
 class gateway_sessions {
 public:
@@ -79,47 +79,53 @@
     {
     }
 
-    /// @brief This controller begins to lead, or leads no more.
-    void begin(bool leads, steady_time now);
+    /// @brief Drops what other controllers reported when this controller becomes the leader or a follower.
+    /// @param isLeader whether it is the leader now
+    void begin(bool isLeader, steady_time now);
+    /// @brief Records a gateway's heartbeat.
+    /// @param table current targets; loads that refer to another revision are ignored
     void recordHeartbeat(
         session_number session, const gateway_heartbeat& heartbeat, const target_table& table, steady_time now);
-    /// @brief A session or a link to a member has ended.
+    /// @brief Removes a session, or a link to a member, that has ended.
     void forget(session_number session);
 
-    /// @brief What a controller that follows tells the leader.
+    /// @brief At a follower: makes the next report to the leader.
     [[nodiscard]] member_report report(const target_table& table);
-    /// @brief At the leader: takes a member's report. @param member number of the link that it came over
+    /// @brief At the leader: records a member's report and makes the answer, without limits.
+    /// @param member number of the link that the report came over
     [[nodiscard]] fleet_report answer(
         session_number member, const member_report& report, const target_table& table, steady_time now);
-    /// @brief At the member: takes the leader's answer.
+    /// @brief At a follower: applies the leader's answer. Outdated answers are ignored.
     void applyLeaderAnswer(const fleet_report& answer, const target_table& table);
 
-    /// @brief What a gateway is told. @param session one that was heard
+    /// @brief What the gateway of a session is told about the others.
+    /// @param session one with a recorded heartbeat; a default summary is returned otherwise
     [[nodiscard]] fleet_summary summaryFor(session_number session, const target_table& table, steady_time now) const;
 
 private:
     struct gateway_entry {
         gateway_heartbeat heartbeat;
-        bool isUnreported = false; ///< heard since the last report
-        std::uint64_t reportedIn = 0; ///< first report with its life that may have been answered; 0: none yet
-        std::optional<retry_counts> earlier; ///< as the leader answered for that life
-        std::optional<std::uint32_t> ordinal; ///< the same
+        bool isUnreported = false; ///< has a heartbeat since the last report
+        std::uint64_t reportedIn = 0; ///< report whose answer confirms that the leader counts this incarnation; 0: none
+        std::optional<retry_counts> earlier; ///< from the leader's answer for this incarnation
+        std::optional<std::uint32_t> ordinal; ///< from the leader's answer for this incarnation
     };
 
-    /// @return sums of the sessions here, without loads
-    [[nodiscard]] session_totals ownSums() const;
+    /// @return totals of this controller's sessions, without loads
+    [[nodiscard]] session_totals ownTotals() const;
+    /// @brief Whether the leader has answered a report with this gateway's incarnation, and so counts it.
     [[nodiscard]] bool isCounted(const gateway_entry& one) const;
 
-    bool m_leads = false;
+    bool m_isLeader = false;
     std::map<session_number, gateway_entry> m_sessions;
-    std::uint32_t m_openAttempts = 0; ///< of these sessions
-    std::map<session_number, session_totals> m_members; ///< at the leader; loads are on the board
-    session_totals m_elsewhere; ///< at a member: all other controllers' sessions, as told last
-    std::uint32_t m_budgetSharers = 0; ///< at a member, as told last
+    std::uint32_t m_openAttempts = 0; ///< total of m_sessions
+    std::map<session_number, session_totals> m_members; ///< at the leader, by link; their loads are in m_loads
+    session_totals m_otherControllers; ///< at a follower: all other controllers' sessions, from the last answer
+    std::uint32_t m_budgetSharers = 0; ///< at a follower, from the last answer
     std::uint64_t m_reported = 0; ///< sequence of the last report
     std::uint64_t m_answered = 0; ///< highest sequence that was answered
-    load_table m_loads; ///< by session, by member, and under `elsewhere`
-    gateway_table m_gatewayTable; ///< at the leader
+    load_table m_loads; ///< by session, by member link, and at a follower under `otherControllers`
+    gateway_table m_gatewayTable; ///< used at the leader
 };
 
 } // namespace buckthornrail::registry
--- a/include/buckthornrail/registry/gateway_table.hpp
+++ b/include/buckthornrail/registry/gateway_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Which gateways share the budget of repeats, and what each has spent, as far as a leader can know.
+/// @brief The gateways that share the retry budget, and the retries that each has spent, as known to the leader.
 #pragma once
 
 #include "buckthornrail/core/clock.hpp"
@@ -13,35 +13,38 @@
 
 namespace buckthornrail::registry {
 
-/// Repeats of one service that a gateway has spent in its window.
+/// Retries of one service's requests that a gateway has spent within its budget's window.
 struct service_retries {
     std::string service;
-    std::uint32_t repeats = 0;
+    std::uint32_t repeats = 0; ///< number of retries
 
     bool operator==(const service_retries&) const = default;
 };
 
 using retry_counts = std::vector<service_retries>;
 
-/// What a gateway's heartbeat says of it.
+/// A gateway's use of the retry budget, from its heartbeat.
 struct gateway_usage {
     std::string id;
-    std::uint64_t incarnation = 0; ///< drawn by each process at its start
-    retry_counts spent;
-    bool isComplete = false; ///< `spent` holds all of the window, also what earlier processes spent
+    std::uint64_t incarnation = 0; ///< random number that each process draws at its start
+    retry_counts spent; ///< within the budget's window
+    bool isComplete = false; ///< `spent` covers the whole window, including earlier processes
 };
 
 struct gateway_table_options {
-    /// As long as the longest window of repeats that is usual: a gateway counts for so long after its last word.
+    /// A gateway counts as live for this long after its last heartbeat. As long as the longest usual window of a retry
+    /// budget, since a gateway that has ended may have spent its part until then.
     milliseconds window { 10000 };
-    /// A leader says nothing of the number before: every living gateway has found it by then, within about a second.
+    /// A new leader reports no number of gateways during this time. All live gateways connect to it within about a
+    /// second.
     milliseconds settlingPeriod { 2000 };
-    /// What a process spent is known when it was heard so shortly before the next one; a restart takes one to two
-    /// seconds.
+    /// Maximum time between the last heartbeat of a process and the first one of the next for the retries of the former
+    /// to count as known. A restart takes one to two seconds.
     milliseconds restartTime { 3000 };
 };
 
-/// @brief Kept by the leader from heartbeats; soft state. Callers pass the time in.
+/// @brief Live gateways and their spent retries. The leader fills it from heartbeats; soft state. Callers pass the
+/// current time in.
 /// @ingroup registry
 class gateway_table {
 public:
@@ -50,23 +53,24 @@
     {
     }
 
-    /// @brief This controller begins to lead: it has heard nothing yet.
+    /// @brief Clears the table and starts the settling period when this controller becomes the leader.
     void begin(steady_time now);
-    void recordHeartbeat(const gateway_usage& one, steady_time now);
-    /// @brief Gateways heard within the window. @return 0: not known yet
+    /// @brief Records a heartbeat, and drops gateways whose window has passed.
+    void recordHeartbeat(const gateway_usage& usage, steady_time now);
+    /// @brief Number of gateways with a heartbeat within the window. @return 0 during the settling period
     [[nodiscard]] std::size_t count(steady_time now) const;
-    /// @brief The gateways counted, in order of their ids. The place of each is its number among them.
+    /// @brief Ids of the live gateways in ascending order. A gateway's index is its ordinal.
     [[nodiscard]] std::vector<std::string> liveGateways(steady_time now) const;
-    /// @brief What earlier processes of a gateway had spent within the window when the one heard last started.
-    /// @return nothing when it isn't known, or `spent` holds it already
+    /// @brief Retries that earlier processes of a gateway had spent within the window when its current one started.
+    /// @return nothing when unknown, or when the gateway's own count includes them
     [[nodiscard]] std::optional<retry_counts> earlierRetries(const std::string& id) const;
 
 private:
     struct entry {
         gateway_usage last;
-        std::optional<retry_counts> earlier; ///< by the processes before it; nothing: not known
-        steady_time restartDeadline {}; ///< a next process that is heard until then follows at once
-        steady_time deadline {};
+        std::optional<retry_counts> earlier; ///< spent by earlier processes; nothing: unknown
+        steady_time restartDeadline {}; ///< a new process that reports before it succeeds the last one directly
+        steady_time deadline {}; ///< the gateway counts as live before it
     };
 
     gateway_table_options m_options;
--- a/src/buckthornrail/registry/gateway_sessions.cpp
+++ b/src/buckthornrail/registry/gateway_sessions.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Sums of sessions, and how they travel between leader and members.
+/// @brief Totals of gateway sessions, exchanged between leader and followers.
 #include "buckthornrail/registry/gateway_sessions.hpp"
 
 #include <algorithm>
@@ -8,14 +8,15 @@
 namespace buckthornrail::registry {
 namespace {
 
-/// Stands on the board for what the leader told of all other controllers.
-constexpr session_number elsewhere = 0;
+/// Key in the load table of the other controllers' loads, as the leader reported them.
+constexpr session_number otherControllers = 0;
 
-/// @param living sorted, with that gateway
-std::uint32_t ordinalIn(const std::vector<std::string>& living, const std::string& gateway)
+/// @return a gateway's index among the live gateways
+/// @param liveIds sorted ids, including the gateway's
+std::uint32_t ordinalIn(const std::vector<std::string>& liveIds, const std::string& gateway)
 {
-    const auto at = std::lower_bound(living.begin(), living.end(), gateway);
-    return static_cast<std::uint32_t>(at - living.begin());
+    const auto at = std::lower_bound(liveIds.begin(), liveIds.end(), gateway);
+    return static_cast<std::uint32_t>(at - liveIds.begin());
 }
 
 void add(session_totals& sum, const session_totals& more)
@@ -26,17 +27,17 @@
 
 } // namespace
 
-void gateway_sessions::begin(bool leads, steady_time now)
+void gateway_sessions::begin(bool isLeader, steady_time now)
 {
-    m_leads = leads;
+    m_isLeader = isLeader;
     m_gatewayTable.begin(now);
     for (const auto& [member, sums] : m_members)
         m_loads.forget(member);
     m_members.clear();
-    m_loads.forget(elsewhere);
-    m_elsewhere = {};
+    m_loads.forget(otherControllers);
+    m_otherControllers = {};
     m_budgetSharers = 0;
-    m_answered = m_reported; // what is under way is another leader's to answer
+    m_answered = m_reported; // answers to reports in flight come from an earlier leader
     for (auto& [number, one] : m_sessions)
         one.reportedIn = 0;
 }
@@ -56,7 +57,7 @@
     one.isUnreported = true;
     if (heartbeat.targetRevision == table.revision())
         m_loads.update(session, table, heartbeat.loads);
-    if (m_leads)
+    if (m_isLeader)
         m_gatewayTable.recordHeartbeat(heartbeat.usage, now);
 }
 
@@ -68,7 +69,7 @@
     m_loads.forget(session);
 }
 
-session_totals gateway_sessions::ownSums() const
+session_totals gateway_sessions::ownTotals() const
 {
     return { static_cast<std::uint32_t>(m_sessions.size()), m_openAttempts, 0, {} };
 }
@@ -82,15 +83,15 @@
 {
     member_report made;
     made.sequence = ++m_reported;
-    made.sums = ownSums();
+    made.sums = ownTotals();
     made.sums.targetRevision = table.revision();
-    made.sums.loads = m_loads.othersOf(elsewhere, table);
+    made.sums.loads = m_loads.othersOf(otherControllers, table);
     for (auto& [number, one] : m_sessions) {
         const bool wasCounted = isCounted(one);
         if (!std::exchange(one.isUnreported, false) && wasCounted)
             continue;
         made.lives.push_back(one.heartbeat.usage);
-        // A report that is lost takes its lives with it: they are known to be counted once a later one is answered.
+        // Reports may be lost, so the usage is repeated until the latest report that contains it is answered.
         if (!wasCounted)
             one.reportedIn = made.sequence;
     }
@@ -105,15 +106,15 @@
     m_members[member] = report.sums;
     if (report.sums.targetRevision == table.revision())
         m_loads.update(member, table, report.sums.loads);
-    for (const auto& life : report.lives)
-        m_gatewayTable.recordHeartbeat(life, now);
-    const auto living = m_gatewayTable.liveGateways(now);
-    for (const auto& life : report.lives) {
-        made.ordinals.push_back({ life.id, ordinalIn(living, life.id) });
-        if (auto spent = m_gatewayTable.earlierRetries(life.id))
-            made.earlier.push_back({ life.id, std::move(*spent) });
+    for (const auto& usage : report.lives)
+        m_gatewayTable.recordHeartbeat(usage, now);
+    const auto liveIds = m_gatewayTable.liveGateways(now);
+    for (const auto& usage : report.lives) {
+        made.ordinals.push_back({ usage.id, ordinalIn(liveIds, usage.id) });
+        if (auto spent = m_gatewayTable.earlierRetries(usage.id))
+            made.earlier.push_back({ usage.id, std::move(*spent) });
     }
-    made.others = ownSums();
+    made.others = ownTotals();
     for (const auto& [number, sums] : m_members) {
         if (number != member)
             add(made.others, sums);
@@ -126,13 +127,13 @@
 
 void gateway_sessions::applyLeaderAnswer(const fleet_report& answer, const target_table& table)
 {
-    if (m_leads || answer.answers <= m_answered || answer.answers > m_reported)
-        return; // of an earlier leader, or overtaken
+    if (m_isLeader || answer.answers <= m_answered || answer.answers > m_reported)
+        return; // from an earlier leader, or older than one already applied
     m_answered = answer.answers;
-    m_elsewhere = answer.others;
+    m_otherControllers = answer.others;
     m_budgetSharers = answer.budgetSharers;
     if (answer.others.targetRevision == table.revision())
-        m_loads.update(elsewhere, table, answer.others.loads);
+        m_loads.update(otherControllers, table, answer.others.loads);
     for (const auto& earlier : answer.earlier) {
         for (auto& [number, one] : m_sessions) {
             if (one.heartbeat.usage.id == earlier.gateway && isCounted(one))
@@ -156,20 +157,21 @@
     if (found == m_sessions.end())
         return made;
     const auto& one = found->second;
-    session_totals all = ownSums();
-    add(all, m_elsewhere);
+    session_totals all = ownTotals();
+    add(all, m_otherControllers);
     for (const auto& [number, sums] : m_members)
         add(all, sums);
     made.gateways = all.gateways;
     made.othersOpenAttempts = all.openAttempts - one.heartbeat.openAttempts;
     made.othersLoads = m_loads.othersOf(session, table);
-    if (m_leads) {
+    if (m_isLeader) {
         made.budgetSharers = static_cast<std::uint32_t>(m_gatewayTable.count(now));
         made.ordinal = ordinalIn(m_gatewayTable.liveGateways(now), one.heartbeat.usage.id);
         made.earlier = m_gatewayTable.earlierRetries(one.heartbeat.usage.id);
         return made;
     }
-    // A number that leaves this gateway out would let all parts sum up to more than the whole.
+    // Gateways divide the budget by this number. One that doesn't include this gateway would let the parts add up to
+    // more than the whole budget.
     if (isCounted(one)) {
         made.budgetSharers = m_budgetSharers;
         made.ordinal = one.ordinal;
--- a/src/buckthornrail/registry/gateway_sessions_test.cpp
+++ b/src/buckthornrail/registry/gateway_sessions_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What gateways are told of each other, with their sessions spread over controllers.
+/// @brief Tests of what gateways are told about each other with sessions at several controllers.
 #include "buckthornrail/registry/gateway_sessions.hpp"
 
 #include "support/target_tables.hpp"
@@ -24,7 +24,7 @@
 
 steady_time at(int ms) { return steady_time {} + milliseconds(ms); }
 
-/// A leader and a member that reports to it over a link.
+/// A leader and a follower that reports to it over a link.
 struct two_controllers {
     gateway_sessions leader;
     gateway_sessions member;
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST_CASE("gateway sessions: gateways at two controllers are told of each other's work", "[gateway_sessions]")
+TEST_CASE("gateway sessions: gateways at two controllers receive each other's load", "[gateway_sessions]")
 {
     two_controllers both;
     both.leader.recordHeartbeat(1, heartbeat("g-1", 11, 5, both.table, { 10, 0 }), both.table, at(100));
@@ -62,7 +62,7 @@
     CHECK(both.leader.summaryFor(1, both.table, at(3000)).othersLoads == target_loads { 0, 0 });
 }
 
-TEST_CASE("gateway sessions: nobody is told a number of sharers that leaves itself out", "[gateway_sessions]")
+TEST_CASE("gateway sessions: a reported number of budget sharers includes its receiver", "[gateway_sessions]")
 {
     two_controllers both;
     both.leader.recordHeartbeat(1, heartbeat("g-1", 11, 0, both.table), both.table, at(2000));
@@ -72,21 +72,21 @@
 
     both.member.recordHeartbeat(2, heartbeat("g-3", 13, 0, both.table), both.table, at(2200));
     CHECK(both.member.summaryFor(2, both.table, at(2200)).budgetSharers == 0);
-    SECTION("the report with its life is lost, a later one is answered")
+    SECTION("the report with its incarnation is lost, a later one is answered")
     {
         (void)both.member.report(both.table);
         CHECK(both.member.summaryFor(2, both.table, at(2300)).budgetSharers == 0);
         both.exchange(2400);
         CHECK(both.member.summaryFor(2, both.table, at(2450)).budgetSharers == 3);
     }
-    SECTION("an answer to an earlier report comes late")
+    SECTION("a late answer to an earlier report")
     {
         const auto early = both.member.report(both.table);
         (void)both.member.report(both.table);
         both.member.applyLeaderAnswer(both.leader.answer(memberLink, early, both.table, at(2400)), both.table);
         CHECK(both.member.summaryFor(2, both.table, at(2450)).budgetSharers == 0);
     }
-    SECTION("a later process of a gateway that was counted")
+    SECTION("a new process of a gateway that was counted")
     {
         both.exchange(2300);
         both.member.recordHeartbeat(2, heartbeat("g-3", 14, 0, both.table), both.table, at(2400));
@@ -94,8 +94,7 @@
     }
 }
 
-TEST_CASE("gateway sessions: a gateway that starts again is told what was spent before, at any controller",
-    "[gateway_sessions]")
+TEST_CASE("gateway sessions: a restarted gateway receives its earlier retries at any controller", "[gateway_sessions]")
 {
     two_controllers both;
     auto before = heartbeat("g-1", 11, 0, both.table);
@@ -107,12 +106,12 @@
     both.exchange(3100);
     REQUIRE(both.member.summaryFor(1, both.table, at(3200)).earlier);
     CHECK(both.member.summaryFor(1, both.table, at(3200)).earlier->front().repeats == 6);
-    // Once it counts for itself there is nothing to tell.
+    // Once its own count is complete, the earlier retries are no longer sent.
     both.member.recordHeartbeat(1, heartbeat("g-1", 12, 0, both.table), both.table, at(13200));
     CHECK_FALSE(both.member.summaryFor(1, both.table, at(13200)).earlier);
 }
 
-TEST_CASE("gateway sessions: a new leader's board begins anew", "[gateway_sessions]")
+TEST_CASE("gateway sessions: a new leader starts without other controllers' sessions", "[gateway_sessions]")
 {
     two_controllers both;
     both.leader.recordHeartbeat(1, heartbeat("g-1", 11, 5, both.table, { 10, 0 }), both.table, at(2000));
@@ -124,17 +123,17 @@
     both.member.begin(true, at(3000));
     both.member.applyLeaderAnswer(late, both.table);
     const auto summary = both.member.summaryFor(1, both.table, at(3100));
-    CHECK(summary.budgetSharers == 0); // it has heard of nobody else yet
+    CHECK(summary.budgetSharers == 0); // the settling period isn't over
     CHECK(summary.othersOpenAttempts == 0);
     CHECK(summary.othersLoads == target_loads { 0, 0 });
-    // The one that led reports now.
+    // The former leader reports now.
     both.leader.applyLeaderAnswer(
         both.member.answer(memberLink, both.leader.report(both.table), both.table, at(3200)), both.table);
     CHECK(both.member.summaryFor(1, both.table, at(3300)).othersOpenAttempts == 5);
     CHECK(both.leader.summaryFor(1, both.table, at(3300)).othersOpenAttempts == 3);
 }
 
-TEST_CASE("gateway sessions: loads at another revision of the table aren't added up", "[gateway_sessions]")
+TEST_CASE("gateway sessions: loads of another target table revision are ignored", "[gateway_sessions]")
 {
     two_controllers both;
     const auto older = both.table;
@@ -149,7 +148,8 @@
 
 namespace {
 
-/// Controllers of which any may lead, gateways that move between them, and reports and answers that are lost or late.
+/// Simulates controllers that take turns as the leader, gateways that move between them, and reports and answers that
+/// are lost or delayed.
 class controller_simulation {
 public:
     static constexpr int controllers = 3;
@@ -184,7 +184,7 @@
                 continue;
             const auto summary = m_controllers[one.controller].summaryFor(one.session, m_table, at(m_ms));
             RC_ASSERT(summary.othersLoads.size() == m_table.records().size());
-            // Whoever is told a number is known to the leader of that moment, and counted in it.
+            // A gateway that receives a number must have been recorded by a leader, so the number includes it.
             if (summary.budgetSharers != 0)
                 RC_ASSERT(m_known.contains({ gateway, one.incarnation }));
         }
@@ -243,7 +243,7 @@
         const auto answer = m_controllers[m_leader].answer(memberLink + controller, report, m_table, at(m_ms));
         m_answers.push_back({ controller, answer });
         if (*rc::gen::inRange(0, 4) == 0)
-            return; // late
+            return; // delayed
         for (const auto& [to, one] : std::exchange(m_answers, {}))
             m_controllers[to].applyLeaderAnswer(one, m_table);
     }
@@ -252,7 +252,7 @@
     std::array<gateway_sessions, controllers> m_controllers;
     std::array<gateway_state, gateways> m_gateways;
     std::vector<std::pair<int, fleet_report>> m_answers;
-    std::set<std::pair<int, std::uint64_t>> m_known; ///< gateways' lives that some leader has heard
+    std::set<std::pair<int, std::uint64_t>> m_known; ///< incarnations that some leader has recorded
     session_number m_sessions = 0;
     int m_leader = 0;
     int m_ms = 0;
@@ -262,7 +262,7 @@
 
 TEST_CASE("gateway sessions: any interleaving of leaders, members and gateways", "[gateway_sessions][property]")
 {
-    rc::prop("a gateway is told no number of sharers before a leader has heard it", [] {
+    rc::prop("a gateway receives no number of budget sharers before a leader has recorded it", [] {
         controller_simulation world;
         for (int count = *rc::gen::inRange(10, 200); count > 0; --count) {
             world.step();
@@ -271,8 +271,8 @@
     });
 }
 
-// Guards against two gateways that take themselves for the same one of those that share a limit.
-TEST_CASE("gateway sessions: each gateway counted is told which one of them it is", "[gateway_sessions]")
+// Guards against two gateways with the same ordinal, which would use the same part of a shared limit.
+TEST_CASE("gateway sessions: each counted gateway receives its own ordinal", "[gateway_sessions]")
 {
     two_controllers both;
     both.leader.recordHeartbeat(1, heartbeat("g-1", 11, 0, both.table), both.table, at(2000));
--- a/src/buckthornrail/registry/gateway_table.cpp
+++ b/src/buckthornrail/registry/gateway_table.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Gateways by their heartbeats.
+/// @brief Gateways and their spent retries, from heartbeats.
 #include "buckthornrail/registry/gateway_table.hpp"
 
 #include <algorithm>
@@ -19,9 +19,10 @@
     }
 }
 
-/// What a gateway had spent in all when its last process was heard last. Repeats that have left the window since are
-/// counted all the same: too many, never too few.
-std::optional<retry_counts> allSpent(const gateway_usage& last, const std::optional<retry_counts>& earlier)
+/// Retries that all processes of a gateway had spent at its last heartbeat. Includes retries that have left the window
+/// since, so the number may be too high but never too low.
+/// @return nothing when unknown
+std::optional<retry_counts> totalSpent(const gateway_usage& last, const std::optional<retry_counts>& earlier)
 {
     if (last.isComplete)
         return last.spent;
@@ -40,15 +41,15 @@
     m_settledAt = now + m_options.settlingPeriod;
 }
 
-void gateway_table::recordHeartbeat(const gateway_usage& one, steady_time now)
+void gateway_table::recordHeartbeat(const gateway_usage& usage, steady_time now)
 {
     std::erase_if(m_gateways, [now](const auto& item) { return now >= item.second.deadline; });
-    auto& known = m_gateways[one.id];
-    if (known.last.incarnation != one.incarnation) {
-        const bool follows = now < known.restartDeadline;
-        known.earlier = follows ? allSpent(known.last, known.earlier) : std::nullopt;
+    auto& known = m_gateways[usage.id];
+    if (known.last.incarnation != usage.incarnation) {
+        const bool isDirectSuccessor = now < known.restartDeadline;
+        known.earlier = isDirectSuccessor ? totalSpent(known.last, known.earlier) : std::nullopt;
     }
-    known.last = one;
+    known.last = usage;
     known.restartDeadline = now + m_options.restartTime;
     known.deadline = now + m_options.window;
 }
--- a/src/buckthornrail/registry/gateway_table_test.cpp
+++ b/src/buckthornrail/registry/gateway_table_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief How many gateways share the budget of repeats, and what a gateway's earlier processes had spent.
+/// @brief Tests of the number of live gateways and of the retries spent by a gateway's earlier processes.
 #include "buckthornrail/registry/gateway_table.hpp"
 
 #include <catch2/catch.hpp>
@@ -18,12 +18,12 @@
 
 } // namespace
 
-TEST_CASE("gateway table: a new leader says no number before all gateways have found it", "[registry]")
+TEST_CASE("gateway table: a new leader reports no number during the settling period", "[registry]")
 {
     const gateway_table_options periods;
     gateway_table gateways;
     gateways.recordHeartbeat(usageOf("a", 1, 0, true), start);
-    CHECK(gateways.count(start) == 0); // it has never led
+    CHECK(gateways.count(start) == 0); // not the leader yet
     gateways.begin(start);
     gateways.recordHeartbeat(usageOf("a", 1, 0, true), start);
     CHECK(gateways.count(start) == 0);
@@ -31,7 +31,7 @@
     CHECK(gateways.count(start + periods.settlingPeriod) == 2);
 }
 
-TEST_CASE("gateway table: a gateway counts for a window after its last word, once", "[registry]")
+TEST_CASE("gateway table: a gateway counts once, for a window after its last heartbeat", "[registry]")
 {
     const gateway_table_options periods;
     gateway_table gateways;
@@ -44,7 +44,7 @@
     CHECK(gateways.count(later + periods.window) == 1);
 }
 
-TEST_CASE("gateway table: what earlier processes spent is told to the next one, when it is known", "[registry]")
+TEST_CASE("gateway table: the retries spent by earlier processes are reported when known", "[registry]")
 {
     const gateway_table_options periods;
     const milliseconds soon { 1500 };
@@ -52,12 +52,12 @@
     gateways.begin(start);
     const auto earlier = [&gateways] { return gateways.earlierRetries("a"); };
 
-    SECTION("one that was never heard")
+    SECTION("no earlier heartbeat")
     {
         gateways.recordHeartbeat(usageOf("a", 1, 0, false), start);
         CHECK_FALSE(earlier());
     }
-    SECTION("one process after another")
+    SECTION("several processes in succession")
     {
         gateways.recordHeartbeat(usageOf("a", 1, 7, true), start);
         CHECK_FALSE(earlier());
@@ -65,28 +65,28 @@
         CHECK(earlier() == retry_counts { { "s", 7 } });
         gateways.recordHeartbeat(usageOf("a", 2, 3, false), start + soon);
         CHECK(earlier() == retry_counts { { "s", 7 } });
-        // Ended before it was told: both count.
+        // It ended before it received the earlier count: both are added.
         gateways.recordHeartbeat(usageOf("a", 3, 0, false), start + 2 * soon);
         CHECK(earlier() == retry_counts { { "s", 10 } });
-        // Once told, its own count holds them.
+        // Once it has received the earlier count, its own includes them.
         gateways.recordHeartbeat(usageOf("a", 3, 11, true), start + 2 * soon);
         CHECK_FALSE(earlier());
         gateways.recordHeartbeat(usageOf("a", 4, 0, false), start + 3 * soon);
         CHECK(earlier() == retry_counts { { "s", 11 } });
     }
-    SECTION("one that wasn't heard for a while before it was started anew")
+    SECTION("a pause in heartbeats before the restart")
     {
         gateways.recordHeartbeat(usageOf("a", 1, 7, true), start);
         gateways.recordHeartbeat(usageOf("a", 2, 0, false), start + periods.restartTime);
         CHECK_FALSE(earlier());
     }
-    SECTION("one that followed one of which that wasn't known")
+    SECTION("an earlier process whose own earlier retries were unknown")
     {
         gateways.recordHeartbeat(usageOf("a", 1, 2, false), start);
         gateways.recordHeartbeat(usageOf("a", 2, 0, false), start + soon);
         CHECK_FALSE(earlier());
     }
-    SECTION("a leader that has just been elected")
+    SECTION("a newly elected leader")
     {
         gateways.recordHeartbeat(usageOf("a", 1, 7, true), start);
         gateways.begin(start + soon);
