--- a/src/buckthornrail/registry/limit_table.cpp
+++ b/src/buckthornrail/registry/limit_table.cpp
@@ -1,43 +1,44 @@
 /// @file
-/// @brief The newest of what was heard of each target's limit.
+/// @brief Merging of rate limit reports by age.
 #include "buckthornrail/registry/limit_table.hpp"
 
 namespace buckthornrail::registry {
 
 void limit_table::merge(
-    std::span<const limit_report> news, limit_source source, const target_table& table, steady_time now)
+    std::span<const limit_report> reports, limit_source source, const target_table& table, steady_time now)
 {
-    if (news.empty())
+    if (reports.empty())
         return;
     std::erase_if(m_entries, [&](const auto& item) {
         const auto* record = table.find(item.first.id);
-        const bool isOfLife = record != nullptr && record->incarnation() == item.first;
-        return !isOfLife || now >= item.second.heardAt + m_options.retention;
+        const bool isCurrent = record != nullptr && record->incarnation() == item.first;
+        return !isCurrent || now >= item.second.receivedAt + m_options.retention;
     });
-    for (const auto& one : news) {
-        const auto* record = table.find(one.target.id);
-        if (record == nullptr || record->incarnation() != one.target)
+    for (const auto& report : reports) {
+        const auto* record = table.find(report.target.id);
+        if (record == nullptr || record->incarnation() != report.target)
             continue;
-        const steady_time heardAt = now - milliseconds(one.ageMs);
-        const auto known = m_entries.find(one.target);
+        const steady_time receivedAt = now - milliseconds(report.ageMs);
+        const auto known = m_entries.find(report.target);
         if (known != m_entries.end()) {
-            // On its way round the same news seems a little younger each time: only what is plainly newer is told on.
-            const bool isSame = known->second.perSecond == one.perSecond;
-            if (heardAt <= known->second.heardAt + (isSame ? m_options.refreshInterval : milliseconds(0)))
+            // Ages don't count transit, so a report that returns through other controllers looks slightly newer each
+            // time. Requiring a minimum difference for an unchanged limit keeps it from circulating forever.
+            const bool isSame = known->second.perSecond == report.perSecond;
+            if (receivedAt <= known->second.receivedAt + (isSame ? m_options.refreshInterval : milliseconds(0)))
                 continue;
         }
-        m_entries[one.target] = { one.perSecond, heardAt, ++m_revision, source };
+        m_entries[report.target] = { report.perSecond, receivedAt, ++m_revision, source };
     }
 }
 
 template <typename Predicate>
-std::vector<limit_report> limit_table::collect(steady_time now, const Predicate& isWanted) const
+std::vector<limit_report> limit_table::collect(steady_time now, const Predicate& isIncluded) const
 {
     std::vector<limit_report> found;
     for (const auto& [target, one] : m_entries) {
-        if (!isWanted(one) || now >= one.heardAt + m_options.retention)
+        if (!isIncluded(one) || now >= one.receivedAt + m_options.retention)
             continue;
-        found.push_back({ target, one.perSecond, static_cast<std::uint32_t>(between(one.heardAt, now).count()) });
+        found.push_back({ target, one.perSecond, static_cast<std::uint32_t>(between(one.receivedAt, now).count()) });
     }
     return found;
 }
--- a/src/buckthornrail/registry/limit_table_test.cpp
+++ b/src/buckthornrail/registry/limit_table_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Limits that targets have named, as they exchange between gateways and controllers.
+/// @brief Tests of rate limits exchanged between gateways and controllers.
 #include "buckthornrail/registry/limit_table.hpp"
 
 #include "support/target_tables.hpp"
@@ -14,7 +14,7 @@
 
 steady_time at(int ms) { return steady_time {} + std::chrono::hours(1) + milliseconds(ms); }
 
-/// A leader, and two controllers that follow, each with a gateway's session.
+/// A leader and two followers, each with a gateway's session. Reports start at follower `near`.
 struct three_controllers {
     target_table table = tableOf({ "a", "b" });
     limit_table leader;
@@ -31,23 +31,23 @@
 
 } // namespace
 
-// Guards against a limit that only the gateway heeds which heard it.
-TEST_CASE("limit table: what one gateway heard reaches all controllers, with its age", "[limit_table]")
+// Guards against a limit that only the gateway respects that received it.
+TEST_CASE("limit table: a report from one gateway reaches all controllers, with its age", "[limit_table]")
 {
     three_controllers all;
     all.near.merge(std::vector<limit_report> { { "a", 2.5, 100 } }, limit_source::Downstream, all.table, at(1000));
     all.exchange(1200);
-    const auto told = all.far.changesSince(0, at(1300));
-    REQUIRE(told.size() == 1);
-    CHECK(told.front().target == "a");
-    CHECK(told.front().perSecond == 2.5);
-    CHECK(told.front().ageMs >= 398); // the way there isn't counted
-    CHECK(told.front().ageMs <= 400);
+    const auto received = all.far.changesSince(0, at(1300));
+    REQUIRE(received.size() == 1);
+    CHECK(received.front().target == "a");
+    CHECK(received.front().perSecond == 2.5);
+    CHECK(received.front().ageMs >= 398); // transit isn't counted
+    CHECK(received.front().ageMs <= 400);
     CHECK(all.far.changesForLeader(0, at(1300)).empty());
 }
 
-// Guards against news that go round for ever, a little younger each time.
-TEST_CASE("limit table: news that come back change nothing", "[limit_table]")
+// Guards against reports that circulate forever, looking slightly newer each time.
+TEST_CASE("limit table: a report that returns to its sender has no effect", "[limit_table]")
 {
     three_controllers all;
     all.near.merge(std::vector<limit_report> { { "a", 2.5, 0 } }, limit_source::Downstream, all.table, at(0));
@@ -58,7 +58,7 @@
     CHECK(all.near.revision() + all.leader.revision() + all.far.revision() == revisions);
 }
 
-TEST_CASE("limit table: the newest that was heard counts, not the last that came", "[limit_table]")
+TEST_CASE("limit table: the report with the latest time wins, not the last to arrive", "[limit_table]")
 {
     limit_table limits;
     const auto table = tableOf({ "a" });
@@ -67,12 +67,11 @@
     CHECK(limits.limits(at(1100)).front().perSecond == 2.0);
     limits.merge(std::vector<limit_report> { { "a", std::nullopt, 0 } }, limit_source::Downstream, table, at(1200));
     CHECK(limits.limits(at(1200)).empty());
-    CHECK(limits.changesSince(1, at(1200)).size() == 1); // that it is over is told as well
+    CHECK(limits.changesSince(1, at(1200)).size() == 1); // the end of a limit is forwarded too
 }
 
-// Guards against limits of a life that is over, and against entries without bound.
-TEST_CASE(
-    "limit table: only targets of the table are held, in the life that it knows, and not for ever", "[limit_table]")
+// Guards against limits of an earlier incarnation and against unbounded growth.
+TEST_CASE("limit table: stores only current incarnations of known targets, and drops old reports", "[limit_table]")
 {
     limit_table limits;
     const auto table = tableOf({ "a" });
