--- a/include/buckthornrail/registry/lease_table.hpp
+++ b/include/buckthornrail/registry/lease_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Leases of many holders, of which few end at any moment.
+/// @brief Leases of many holders, with cheap checks for expired ones.
 #pragma once
 
 #include "buckthornrail/core/clock.hpp"
@@ -13,20 +13,21 @@
 
 namespace buckthornrail::registry {
 
-/// @brief Finds the leases that have ended without looking at the others: a check of 3,000 targets twenty times a
-/// second took a third of a small machine.
+/// @brief Finds expired leases without visiting the others: visiting all of 3,000 targets twenty times a second took a
+/// third of a small machine's processor time. Callers pass the current time in.
 /// @ingroup registry
 class lease_table {
 public:
-    /// @brief Sets the end of a lease, earlier or later than before.
+    /// @brief Sets the deadline of a lease, which may be earlier than before. Starts the lease if there is none.
     void renew(const std::string& holder, steady_time deadline);
-    /// @brief Begins a lease, unless there is one.
+    /// @brief Starts a lease. Has no effect if the holder already has one.
     void begin(const std::string& holder, steady_time deadline);
-    /// @brief Ends all leases silently.
+    /// @brief Removes all leases without reporting them as expired.
     void clear();
-    /// @brief Takes leases that have ended out of the table, those that ended first before others.
-    /// @param most so many at a time; the rest stay
-    [[nodiscard]] std::vector<std::string> takeEnded(steady_time now, std::size_t most);
+    /// @brief Removes expired leases from the table.
+    /// @param maxCount maximum number to remove; the rest stay for the next call
+    /// @return their holders, roughly in order of their deadlines
+    [[nodiscard]] std::vector<std::string> takeEnded(steady_time now, std::size_t maxCount);
 
 private:
     struct check {
@@ -36,7 +37,7 @@
     };
 
     std::map<std::string, steady_time> m_deadlines;
-    /// One a holder at least; a check that comes before the end of a lease that was renewed is put off.
+    /// At least one per lease. A renewed lease keeps its earlier check, which is rescheduled when it comes due.
     std::priority_queue<check, std::vector<check>, std::greater<>> m_checks;
 };
 
--- a/include/buckthornrail/registry/load_table.hpp
+++ b/include/buckthornrail/registry/load_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What gateways tell each other, through the controllers, of their work at targets.
+/// @brief Load that gateways put on targets, exchanged through the controllers.
 #pragma once
 
 #include "buckthornrail/registry/target_record.hpp"
@@ -8,30 +8,35 @@
 
 namespace buckthornrail::registry {
 
-/// Key-value memory that open attempts need at each target of a table, in the table's order and in thousands of tokens
-/// times layers: 58 targets take about 100 bytes of a message.
+/// Key-value memory that open attempts need at each target of a target table, in the table's order. The unit is a
+/// thousand tokens times layers, which keeps messages small: 58 targets take about 100 bytes.
 using target_loads = std::vector<std::uint32_t>;
 
-/// Tables of more targets aren't told of: each message would grow with them, and there are as many as gateways.
+/// Larger target tables are left out of load reports, since each of the messages, one per gateway, would grow with
+/// them.
 inline constexpr std::size_t maxTargetsInLoadReport = 400;
 
-/// @brief Sums up what the sessions have told last. Soft state: a new leader has heard nothing yet.
+/// @brief Totals of the loads that sessions reported last. Soft state: it is empty on a new leader.
 /// @ingroup registry
 class load_table {
 public:
-    /// @brief Replaces what a session told before. A row that doesn't fit the table changes nothing.
+    /// @brief Replaces a session's loads. Has no effect when their number differs from the table's or the table is too
+    /// large.
     /// @param session number of the session
-    void update(std::uint64_t session, const target_table& table, std::span<const std::uint32_t> row);
+    /// @param table targets that the loads refer to
+    /// @param loads one value per target, see target_loads
+    void update(std::uint64_t session, const target_table& table, std::span<const std::uint32_t> loads);
+    /// @brief Removes a session's loads.
     void forget(std::uint64_t session);
-    /// @brief Work of all other sessions at the table's targets; empty when the table is too large.
+    /// @return the loads of all other sessions at the table's targets; empty when the table is too large
     [[nodiscard]] target_loads othersOf(std::uint64_t session, const target_table& table) const;
 
 private:
-    /// By id, since the table's order changes with its targets.
-    using sums = std::map<std::string, std::uint64_t>;
+    /// By target id, since positions in the target table change when targets come and go.
+    using loads_by_id = std::map<std::string, std::uint64_t>;
 
-    std::map<std::uint64_t, sums> m_told;
-    sums m_total;
+    std::map<std::uint64_t, loads_by_id> m_sessions;
+    loads_by_id m_total;
 };
 
 } // namespace buckthornrail::registry
--- a/src/buckthornrail/registry/lease_table.cpp
+++ b/src/buckthornrail/registry/lease_table.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Leases by the time of their next check.
+/// @brief Leases ordered by their next check.
 #include "buckthornrail/registry/lease_table.hpp"
 
 namespace buckthornrail::registry {
@@ -24,15 +24,15 @@
     m_checks = {};
 }
 
-std::vector<std::string> lease_table::takeEnded(steady_time now, std::size_t most)
+std::vector<std::string> lease_table::takeEnded(steady_time now, std::size_t maxCount)
 {
     std::vector<std::string> ended;
-    while (!m_checks.empty() && m_checks.top().at <= now && ended.size() < most) {
+    while (!m_checks.empty() && m_checks.top().at <= now && ended.size() < maxCount) {
         const std::string holder = m_checks.top().holder;
         m_checks.pop();
         const auto known = m_deadlines.find(holder);
         if (known == m_deadlines.end())
-            continue; // an earlier check found it
+            continue; // already taken by an earlier check
         if (known->second > now) {
             m_checks.push({ known->second, holder });
             continue;
--- a/src/buckthornrail/registry/lease_table_test.cpp
+++ b/src/buckthornrail/registry/lease_table_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Leases that are renewed, put off and ended.
+/// @brief Tests of starting, renewing and expiring leases.
 #include "buckthornrail/registry/lease_table.hpp"
 
 #include <algorithm>
@@ -17,11 +17,11 @@
 
 } // namespace
 
-TEST_CASE("lease table: a lease ends once, at its last end", "[lease_table]")
+TEST_CASE("lease table: a lease expires once, at its latest deadline", "[lease_table]")
 {
     lease_table table;
     table.begin("a", at(100));
-    table.begin("a", at(900)); // it has begun
+    table.begin("a", at(900)); // ignored: the lease exists
     table.begin("b", at(200));
     table.renew("b", at(400));
     CHECK(table.takeEnded(at(99), all).empty());
@@ -30,12 +30,12 @@
     CHECK(table.takeEnded(at(400), all) == std::vector<std::string> { "b" });
     CHECK(table.takeEnded(at(9000), all).empty());
     table.renew("a", at(9100));
-    table.renew("a", at(9050)); // earlier than before
+    table.renew("a", at(9050)); // an earlier deadline
     CHECK(table.takeEnded(at(9060), all) == std::vector<std::string> { "a" });
     CHECK(table.takeEnded(at(9200), all).empty());
 }
 
-TEST_CASE("lease table: no more than asked for at a time", "[lease_table]")
+TEST_CASE("lease table: returns at most the requested number", "[lease_table]")
 {
     lease_table table;
     for (int number = 0; number < 5; ++number)
@@ -44,9 +44,9 @@
     CHECK(table.takeEnded(at(50), 3) == std::vector<std::string> { "3", "4" });
 }
 
-TEST_CASE("lease table: finds what a look at every lease finds", "[lease_table][property]")
+TEST_CASE("lease table: agrees with a full scan", "[lease_table][property]")
 {
-    rc::prop("the same leases end as in a plain map", [] {
+    rc::prop("the same leases expire as in a plain map", [] {
         lease_table table;
         std::map<std::string, steady_time> plain;
         int now = 0;
--- a/src/buckthornrail/registry/load_table.cpp
+++ b/src/buckthornrail/registry/load_table.cpp
@@ -1,34 +1,34 @@
 /// @file
-/// @brief Sums of work at targets.
+/// @brief Totals of loads at targets.
 #include "buckthornrail/registry/load_table.hpp"
 
 namespace buckthornrail::registry {
 
-void load_table::update(std::uint64_t session, const target_table& table, std::span<const std::uint32_t> row)
+void load_table::update(std::uint64_t session, const target_table& table, std::span<const std::uint32_t> loads)
 {
     const auto& records = table.records();
-    if (row.size() != records.size() || records.size() > maxTargetsInLoadReport)
+    if (loads.size() != records.size() || records.size() > maxTargetsInLoadReport)
         return;
     forget(session);
-    auto& own = m_told[session];
-    auto work = row.begin();
+    auto& own = m_sessions[session];
+    auto load = loads.begin();
     for (const auto& [id, record] : records) {
-        if (*work > 0) {
-            own[id] = *work;
-            m_total[id] += *work;
+        if (*load > 0) {
+            own[id] = *load;
+            m_total[id] += *load;
         }
-        ++work;
+        ++load;
     }
 }
 
 void load_table::forget(std::uint64_t session)
 {
-    const auto known = m_told.extract(session);
+    const auto known = m_sessions.extract(session);
     if (!known)
         return;
-    for (const auto& [id, work] : known.mapped()) {
+    for (const auto& [id, load] : known.mapped()) {
         const auto total = m_total.find(id);
-        total->second -= work;
+        total->second -= load;
         if (total->second == 0)
             m_total.erase(total);
     }
@@ -36,20 +36,20 @@
 
 target_loads load_table::othersOf(std::uint64_t session, const target_table& table) const
 {
-    target_loads row;
+    target_loads loads;
     const auto& records = table.records();
     if (records.size() > maxTargetsInLoadReport)
-        return row;
-    row.reserve(records.size());
-    const auto own = m_told.find(session);
+        return loads;
+    loads.reserve(records.size());
+    const auto own = m_sessions.find(session);
     for (const auto& [id, record] : records) {
         const auto total = m_total.find(id);
         std::uint64_t others = total == m_total.end() ? 0 : total->second;
-        if (own != m_told.end() && own->second.contains(id))
+        if (own != m_sessions.end() && own->second.contains(id))
             others -= own->second.at(id);
-        row.push_back(static_cast<std::uint32_t>(others));
+        loads.push_back(static_cast<std::uint32_t>(others));
     }
-    return row;
+    return loads;
 }
 
 } // namespace buckthornrail::registry
--- a/src/buckthornrail/registry/load_table_test.cpp
+++ b/src/buckthornrail/registry/load_table_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Sums of what sessions tell of their work.
+/// @brief Tests of the load totals of other sessions.
 #include "buckthornrail/registry/load_table.hpp"
 
 #include <catch2/catch.hpp>
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("loads: a session is told of all others' work, and not of its own", "[registry]")
+TEST_CASE("load table: a session gets the loads of all others without its own", "[registry]")
 {
     const auto table = tableOf({ "a", "b" });
     load_table loads;
@@ -43,7 +43,7 @@
     CHECK(loads.othersOf(1, table) == target_loads { 0, 0 });
 }
 
-TEST_CASE("loads: rows follow targets that come between, and rows of another length say nothing", "[registry]")
+TEST_CASE("load table: loads stay with their targets in a changed table, and a wrong length is ignored", "[registry]")
 {
     auto table = tableOf({ "a", "c" });
     load_table loads;
@@ -53,28 +53,28 @@
     CHECK(loads.othersOf(2, table) == target_loads { 5, 0, 6 });
 }
 
-TEST_CASE("loads: what is told last counts, in any order of telling and forgetting", "[registry]")
+TEST_CASE("load table: the last update of each session counts", "[registry]")
 {
-    rc::prop("any steps", [] {
+    rc::prop("any order of updates and removals", [] {
         constexpr std::size_t targets = 3;
         const auto table = tableOf({ "a", "b", "c" });
         load_table loads;
-        std::map<std::uint64_t, target_loads> told;
+        std::map<std::uint64_t, target_loads> latest;
         const auto steps = *rc::gen::container<std::vector<std::uint32_t>>(rc::gen::inRange<std::uint32_t>(0, 1000));
         for (const auto step : steps) {
             const std::uint64_t session = step % 4;
             if (step % 5 == 0) {
                 loads.forget(session);
-                told.erase(session);
+                latest.erase(session);
                 continue;
             }
             const target_loads row { step % 7, step % 11, step % 13 };
             loads.update(session, table, row);
-            told[session] = row;
+            latest[session] = row;
         }
         for (std::uint64_t session = 0; session < 5; ++session) {
             target_loads expected(targets, 0);
-            for (const auto& [other, row] : told) {
+            for (const auto& [other, row] : latest) {
                 for (std::size_t at = 0; other != session && at < targets; ++at)
                     expected[at] += row[at];
             }
