--- /dev/null
+++ b/include/buckthornrail/registry/gateway_sessions.hpp
@@ -0,0 +1,131 @@
+/// @file
+/// @brief Exchange of load and retry usage between gateways whose sessions are spread over all controllers.
+///
+/// Followers report the totals of their sessions to the leader, which answers with the totals of all other controllers.
+/// A gateway's heartbeat is thus processed only by the controller that has its session.
+#pragma once
+
+#include "buckthornrail/registry/gateway_table.hpp"
+#include "buckthornrail/registry/limit_table.hpp"
+#include "buckthornrail/registry/load_table.hpp"
+
+namespace buckthornrail::registry {
+
+/// Identifies a gateway's session, or a link to another controller, at one controller. Never 0.
+using session_number = std::uint64_t;
+
+/// The part of a gateway's heartbeat that concerns other gateways.
+struct gateway_heartbeat {
+    gateway_usage usage;
+    std::uint32_t openAttempts = 0; ///< in flight at targets
+    std::uint64_t targetRevision = 0; ///< of the target table that `loads` refers to
+    target_loads loads;
+};
+
+/// Totals over a set of sessions.
+struct session_totals {
+    std::uint32_t gateways = 0;
+    std::uint32_t openAttempts = 0; ///< in flight at targets
+    std::uint64_t targetRevision = 0; ///< of the target table that `loads` refers to
+    target_loads loads; ///< empty: unknown
+};
+
+/// A follower's report to the leader.
+struct member_report {
+    std::uint64_t sequence = 0;
+    session_totals sums; ///< of all its sessions
+    std::vector<gateway_usage> lives; ///< gateways with a heartbeat since the last report, or not yet acknowledged
+};
+
+/// Retries that earlier processes of a gateway had spent; see gateway_table::earlierRetries.
+struct earlier_retries {
+    std::string gateway;
+    retry_counts spent;
+};
+
+/// A gateway's index among the live gateways in order of their ids.
+struct gateway_ordinal {
+    std::string gateway;
+    std::uint32_t ordinal = 0;
+};
+
+/// The leader's answer to a member_report.
+struct fleet_report {
+    std::uint64_t answers = 0; ///< sequence of the report
+    session_totals others; ///< of all sessions except the reporting controller's
+    std::uint32_t budgetSharers = 0; ///< number of gateways that may have spent from the retry budget; 0: unknown
+    std::vector<earlier_retries> earlier; ///< for the reported gateways whose own count isn't complete, where known
+    std::vector<gateway_ordinal> ordinals; ///< of all reported gateways, among those that share the budget
+    std::vector<limit_report> limits; ///< that the controller lacks
+};
+
+/// What a gateway is told about the others.
+struct fleet_summary {
+    std::uint32_t gateways = 1; ///< with an open session, including itself
+    std::uint32_t budgetSharers = 0; ///< gateways that share the retry budget; 0: unknown, or may not include it
+    std::optional<std::uint32_t> ordinal; ///< its index among those gateways; nothing: unknown
+    std::optional<retry_counts> earlier; ///< spent by its earlier processes; nothing: unknown or not needed
+    std::uint32_t othersOpenAttempts = 0; ///< in flight at targets
+    target_loads othersLoads; ///< empty: unknown
+};
+
+/// @brief A controller's gateway sessions and its knowledge of the other controllers' sessions, from heartbeats and
+/// reports; soft state. Callers pass the current time in.
+/// @ingroup registry
+class gateway_sessions {
+public:
+    explicit gateway_sessions(const gateway_table_options& gatewayTable = {})
+        : m_gatewayTable(gatewayTable)
+    {
+    }
+
+    /// @brief Drops what other controllers reported when this controller becomes the leader or a follower.
+    /// @param isLeader whether it is the leader now
+    void begin(bool isLeader, steady_time now);
+    /// @brief Records a gateway's heartbeat.
+    /// @param table current targets; loads that refer to another revision are ignored
+    void recordHeartbeat(
+        session_number session, const gateway_heartbeat& heartbeat, const target_table& table, steady_time now);
+    /// @brief Removes a session, or a link to a member, that has ended.
+    void forget(session_number session);
+
+    /// @brief At a follower: makes the next report to the leader.
+    [[nodiscard]] member_report report(const target_table& table);
+    /// @brief At the leader: records a member's report and makes the answer, without limits.
+    /// @param member number of the link that the report came over
+    [[nodiscard]] fleet_report answer(
+        session_number member, const member_report& report, const target_table& table, steady_time now);
+    /// @brief At a follower: applies the leader's answer. Outdated answers are ignored.
+    void applyLeaderAnswer(const fleet_report& answer, const target_table& table);
+
+    /// @brief What the gateway of a session is told about the others.
+    /// @param session one with a recorded heartbeat; a default summary is returned otherwise
+    [[nodiscard]] fleet_summary summaryFor(session_number session, const target_table& table, steady_time now) const;
+
+private:
+    struct gateway_entry {
+        gateway_heartbeat heartbeat;
+        bool isUnreported = false; ///< has a heartbeat since the last report
+        std::uint64_t reportedIn = 0; ///< report whose answer confirms that the leader counts this incarnation; 0: none
+        std::optional<retry_counts> earlier; ///< from the leader's answer for this incarnation
+        std::optional<std::uint32_t> ordinal; ///< from the leader's answer for this incarnation
+    };
+
+    /// @return totals of this controller's sessions, without loads
+    [[nodiscard]] session_totals ownTotals() const;
+    /// @brief Whether the leader has answered a report with this gateway's incarnation, and so counts it.
+    [[nodiscard]] bool isCounted(const gateway_entry& one) const;
+
+    bool m_isLeader = false;
+    std::map<session_number, gateway_entry> m_sessions;
+    std::uint32_t m_openAttempts = 0; ///< total of m_sessions
+    std::map<session_number, session_totals> m_members; ///< at the leader, by link; their loads are in m_loads
+    session_totals m_otherControllers; ///< at a follower: all other controllers' sessions, from the last answer
+    std::uint32_t m_budgetSharers = 0; ///< at a follower, from the last answer
+    std::uint64_t m_reported = 0; ///< sequence of the last report
+    std::uint64_t m_answered = 0; ///< highest sequence that was answered
+    load_table m_loads; ///< by session, by member link, and at a follower under `otherControllers`
+    gateway_table m_gatewayTable; ///< used at the leader
+};
+
+} // namespace buckthornrail::registry
--- a/src/app/gateway/gateway.cpp
+++ b/src/app/gateway/gateway.cpp
@@ -160,7 +160,7 @@
             { { "gateways", std::to_string(update.budgetSharers) }, { "before", std::to_string(before) } });
 }
 
-void gateway_role::onLimits(const std::vector<registry::limit_news>& news)
+void gateway_role::onLimits(const std::vector<registry::limit_report>& news)
 {
     for (const auto& change : m_context.pool.mergeRemoteLimits(news, steadyNow())) {
         telemetry::logEvent(event_code::TargetPushback,
--- a/src/buckthornrail/gateway/target_pool_load.cpp
+++ b/src/buckthornrail/gateway/target_pool_load.cpp
@@ -137,10 +137,10 @@
     }
 }
 
-registry::load_row target_pool::loads() const
+registry::target_loads target_pool::loads() const
 {
-    registry::load_row row;
-    if (m_targets.size() > registry::mostTargetsTold)
+    registry::target_loads row;
+    if (m_targets.size() > registry::maxTargetsInLoadReport)
         return row;
     row.reserve(m_targets.size());
     for (const auto& [id, target] : m_targets)
--- /dev/null
+++ b/src/buckthornrail/registry/gateway_sessions_test.cpp
@@ -0,0 +1,291 @@
+/// @file
+/// @brief Tests of what gateways are told about each other with sessions at several controllers.
+#include "buckthornrail/registry/gateway_sessions.hpp"
+
+#include "support/target_tables.hpp"
+
+#include <catch2/catch.hpp>
+#include <rapidcheck/catch.h>
+#include <set>
+
+using namespace buckthornrail;
+using namespace buckthornrail::registry;
+using test_support::tableOf;
+
+namespace {
+
+constexpr session_number memberLink = 900;
+
+gateway_heartbeat heartbeat(const std::string& gateway, std::uint64_t incarnation, std::uint32_t open,
+    const target_table& table, target_loads loads = {}, bool isComplete = true)
+{
+    return { { gateway, incarnation, {}, isComplete }, open, table.revision(), std::move(loads) };
+}
+
+steady_time at(int ms) { return steady_time {} + milliseconds(ms); }
+
+/// A leader and a follower that reports to it over a link.
+struct two_controllers {
+    gateway_sessions leader;
+    gateway_sessions member;
+    target_table table = tableOf({ "a", "b" });
+
+    two_controllers() { leader.begin(true, at(0)); }
+    void exchange(int ms)
+    {
+        member.applyLeaderAnswer(leader.answer(memberLink, member.report(table), table, at(ms)), table);
+    }
+};
+
+} // namespace
+
+TEST_CASE("gateway sessions: gateways at two controllers receive each other's load", "[gateway_sessions]")
+{
+    two_controllers both;
+    both.leader.recordHeartbeat(1, heartbeat("g-1", 11, 5, both.table, { 10, 0 }), both.table, at(100));
+    both.member.recordHeartbeat(1, heartbeat("g-2", 12, 3, both.table, { 1, 2 }), both.table, at(100));
+    both.member.recordHeartbeat(2, heartbeat("g-3", 13, 4, both.table, { 0, 7 }), both.table, at(100));
+    both.exchange(200);
+
+    const auto first = both.leader.summaryFor(1, both.table, at(3000));
+    CHECK(first.gateways == 3);
+    CHECK(first.othersOpenAttempts == 7);
+    CHECK(first.othersLoads == target_loads { 1, 9 });
+    CHECK(first.budgetSharers == 3);
+    const auto second = both.member.summaryFor(1, both.table, at(3000));
+    CHECK(second.gateways == 3);
+    CHECK(second.othersOpenAttempts == 9);
+    CHECK(second.othersLoads == target_loads { 10, 7 });
+
+    both.leader.forget(memberLink);
+    CHECK(both.leader.summaryFor(1, both.table, at(3000)).othersOpenAttempts == 0);
+    CHECK(both.leader.summaryFor(1, both.table, at(3000)).othersLoads == target_loads { 0, 0 });
+}
+
+TEST_CASE("gateway sessions: a reported number of budget sharers includes its receiver", "[gateway_sessions]")
+{
+    two_controllers both;
+    both.leader.recordHeartbeat(1, heartbeat("g-1", 11, 0, both.table), both.table, at(2000));
+    both.member.recordHeartbeat(1, heartbeat("g-2", 12, 0, both.table), both.table, at(2100));
+    both.exchange(2150);
+    CHECK(both.member.summaryFor(1, both.table, at(2200)).budgetSharers == 2);
+
+    both.member.recordHeartbeat(2, heartbeat("g-3", 13, 0, both.table), both.table, at(2200));
+    CHECK(both.member.summaryFor(2, both.table, at(2200)).budgetSharers == 0);
+    SECTION("the report with its incarnation is lost, a later one is answered")
+    {
+        (void)both.member.report(both.table);
+        CHECK(both.member.summaryFor(2, both.table, at(2300)).budgetSharers == 0);
+        both.exchange(2400);
+        CHECK(both.member.summaryFor(2, both.table, at(2450)).budgetSharers == 3);
+    }
+    SECTION("a late answer to an earlier report")
+    {
+        const auto early = both.member.report(both.table);
+        (void)both.member.report(both.table);
+        both.member.applyLeaderAnswer(both.leader.answer(memberLink, early, both.table, at(2400)), both.table);
+        CHECK(both.member.summaryFor(2, both.table, at(2450)).budgetSharers == 0);
+    }
+    SECTION("a new process of a gateway that was counted")
+    {
+        both.exchange(2300);
+        both.member.recordHeartbeat(2, heartbeat("g-3", 14, 0, both.table), both.table, at(2400));
+        CHECK(both.member.summaryFor(2, both.table, at(2400)).budgetSharers == 0);
+    }
+}
+
+TEST_CASE("gateway sessions: a restarted gateway receives its earlier retries at any controller", "[gateway_sessions]")
+{
+    two_controllers both;
+    auto before = heartbeat("g-1", 11, 0, both.table);
+    before.usage.spent = { { "s", 6 } };
+    both.leader.recordHeartbeat(1, before, both.table, at(2000));
+    both.leader.forget(1);
+    both.member.recordHeartbeat(1, heartbeat("g-1", 12, 0, both.table, {}, false), both.table, at(3000));
+    CHECK_FALSE(both.member.summaryFor(1, both.table, at(3000)).earlier);
+    both.exchange(3100);
+    REQUIRE(both.member.summaryFor(1, both.table, at(3200)).earlier);
+    CHECK(both.member.summaryFor(1, both.table, at(3200)).earlier->front().repeats == 6);
+    // Once its own count is complete, the earlier retries are no longer sent.
+    both.member.recordHeartbeat(1, heartbeat("g-1", 12, 0, both.table), both.table, at(13200));
+    CHECK_FALSE(both.member.summaryFor(1, both.table, at(13200)).earlier);
+}
+
+TEST_CASE("gateway sessions: a new leader starts without other controllers' sessions", "[gateway_sessions]")
+{
+    two_controllers both;
+    both.leader.recordHeartbeat(1, heartbeat("g-1", 11, 5, both.table, { 10, 0 }), both.table, at(2000));
+    both.member.recordHeartbeat(1, heartbeat("g-2", 12, 3, both.table, { 1, 2 }), both.table, at(2000));
+    both.exchange(2100);
+    const auto inFlight = both.member.report(both.table);
+    const auto late = both.leader.answer(memberLink, inFlight, both.table, at(2200));
+    both.leader.begin(false, at(3000));
+    both.member.begin(true, at(3000));
+    both.member.applyLeaderAnswer(late, both.table);
+    const auto summary = both.member.summaryFor(1, both.table, at(3100));
+    CHECK(summary.budgetSharers == 0); // the settling period isn't over
+    CHECK(summary.othersOpenAttempts == 0);
+    CHECK(summary.othersLoads == target_loads { 0, 0 });
+    // The former leader reports now.
+    both.leader.applyLeaderAnswer(
+        both.member.answer(memberLink, both.leader.report(both.table), both.table, at(3200)), both.table);
+    CHECK(both.member.summaryFor(1, both.table, at(3300)).othersOpenAttempts == 5);
+    CHECK(both.leader.summaryFor(1, both.table, at(3300)).othersOpenAttempts == 3);
+}
+
+TEST_CASE("gateway sessions: loads of another target table revision are ignored", "[gateway_sessions]")
+{
+    two_controllers both;
+    const auto older = both.table;
+    both.table = tableOf({ "a", "b", "c" });
+    both.member.recordHeartbeat(1, heartbeat("g-2", 12, 3, older, { 1, 2 }), older, at(2000));
+    both.leader.recordHeartbeat(1, heartbeat("g-1", 11, 5, both.table, { 1, 1, 1 }), both.table, at(2000));
+    const auto report = both.member.report(older);
+    both.member.applyLeaderAnswer(both.leader.answer(memberLink, report, both.table, at(2100)), older);
+    CHECK(both.leader.summaryFor(1, both.table, at(2100)).othersLoads == target_loads { 0, 0, 0 });
+    CHECK(both.member.summaryFor(1, older, at(2100)).othersLoads == target_loads { 0, 0 });
+}
+
+namespace {
+
+/// Simulates controllers that take turns as the leader, gateways that move between them, and reports and answers that
+/// are lost or delayed.
+class controller_simulation {
+public:
+    static constexpr int controllers = 3;
+    static constexpr int gateways = 5;
+
+    controller_simulation() { lead(0); }
+
+    void step()
+    {
+        m_ms += *rc::gen::inRange(1, 120);
+        switch (*rc::gen::inRange(0, 6)) {
+        case 0:
+            return move(*rc::gen::inRange(0, gateways));
+        case 1:
+            return restart(*rc::gen::inRange(0, gateways));
+        case 2:
+            return report(*rc::gen::inRange(0, controllers));
+        case 3:
+            if (*rc::gen::inRange(0, 8) == 0)
+                lead(*rc::gen::inRange(0, controllers));
+            return;
+        default:
+            return beat(*rc::gen::inRange(0, gateways));
+        }
+    }
+
+    void check()
+    {
+        for (int gateway = 0; gateway < gateways; ++gateway) {
+            const auto& one = m_gateways[gateway];
+            if (!one.hasHeartbeat)
+                continue;
+            const auto summary = m_controllers[one.controller].summaryFor(one.session, m_table, at(m_ms));
+            RC_ASSERT(summary.othersLoads.size() == m_table.records().size());
+            // A gateway that receives a number must have been recorded by a leader, so the number includes it.
+            if (summary.budgetSharers != 0)
+                RC_ASSERT(m_known.contains({ gateway, one.incarnation }));
+        }
+    }
+
+private:
+    struct gateway_state {
+        int controller = 0;
+        session_number session = 0;
+        std::uint64_t incarnation = 1;
+        bool hasHeartbeat = false;
+    };
+
+    void lead(int controller)
+    {
+        m_controllers[m_leader].begin(false, at(m_ms));
+        m_leader = controller;
+        m_controllers[m_leader].begin(true, at(m_ms));
+    }
+
+    void beat(int gateway)
+    {
+        auto& one = m_gateways[gateway];
+        if (one.session == 0)
+            one.session = ++m_sessions;
+        one.hasHeartbeat = true;
+        const target_loads loads { 1, static_cast<std::uint32_t>(gateway) };
+        m_controllers[one.controller].recordHeartbeat(one.session,
+            heartbeat("g" + std::to_string(gateway), one.incarnation, 1, m_table, loads), m_table, at(m_ms));
+        if (one.controller == m_leader)
+            m_known.insert({ gateway, one.incarnation });
+    }
+
+    void move(int gateway)
+    {
+        auto& one = m_gateways[gateway];
+        m_controllers[one.controller].forget(one.session);
+        one = { *rc::gen::inRange(0, controllers), 0, one.incarnation, false };
+    }
+
+    void restart(int gateway)
+    {
+        move(gateway);
+        ++m_gateways[gateway].incarnation;
+    }
+
+    void report(int controller)
+    {
+        if (controller == m_leader)
+            return;
+        const auto report = m_controllers[controller].report(m_table);
+        if (*rc::gen::inRange(0, 4) == 0)
+            return; // lost
+        for (const auto& usage : report.lives)
+            m_known.insert({ usage.id[1] - '0', usage.incarnation });
+        const auto answer = m_controllers[m_leader].answer(memberLink + controller, report, m_table, at(m_ms));
+        m_answers.push_back({ controller, answer });
+        if (*rc::gen::inRange(0, 4) == 0)
+            return; // delayed
+        for (const auto& [to, one] : std::exchange(m_answers, {}))
+            m_controllers[to].applyLeaderAnswer(one, m_table);
+    }
+
+    target_table m_table = tableOf({ "a", "b" });
+    std::array<gateway_sessions, controllers> m_controllers;
+    std::array<gateway_state, gateways> m_gateways;
+    std::vector<std::pair<int, fleet_report>> m_answers;
+    std::set<std::pair<int, std::uint64_t>> m_known; ///< incarnations that some leader has recorded
+    session_number m_sessions = 0;
+    int m_leader = 0;
+    int m_ms = 0;
+};
+
+} // namespace
+
+TEST_CASE("gateway sessions: any interleaving of leaders, members and gateways", "[gateway_sessions][property]")
+{
+    rc::prop("a gateway receives no number of budget sharers before a leader has recorded it", [] {
+        controller_simulation world;
+        for (int count = *rc::gen::inRange(10, 200); count > 0; --count) {
+            world.step();
+            world.check();
+        }
+    });
+}
+
+// Guards against two gateways with the same ordinal, which would use the same part of a shared limit.
+TEST_CASE("gateway sessions: each counted gateway receives its own ordinal", "[gateway_sessions]")
+{
+    two_controllers both;
+    both.leader.recordHeartbeat(1, heartbeat("g-1", 11, 0, both.table), both.table, at(2000));
+    both.member.recordHeartbeat(1, heartbeat("g-3", 13, 0, both.table), both.table, at(2000));
+    both.member.recordHeartbeat(2, heartbeat("g-2", 12, 0, both.table), both.table, at(2000));
+    CHECK_FALSE(both.member.summaryFor(1, both.table, at(2000)).ordinal);
+    both.exchange(2100);
+    std::set<std::uint32_t> ordinals;
+    for (const auto& summary : { both.leader.summaryFor(1, both.table, at(2200)),
+             both.member.summaryFor(1, both.table, at(2200)), both.member.summaryFor(2, both.table, at(2200)) }) {
+        CHECK(summary.budgetSharers == 3);
+        REQUIRE(summary.ordinal);
+        ordinals.insert(*summary.ordinal);
+    }
+    CHECK(ordinals == std::set<std::uint32_t> { 0, 1, 2 });
+}
