--- a/src/app/gateway/gateway_document_test.cpp
+++ b/src/app/gateway/gateway_document_test.cpp
@@ -44,13 +44,13 @@
     explicit registry_side(const versioned_text& first)
         : m_newest(first)
     {
-        m_feed.follow(m_newest);
+        m_feed.update(m_newest);
     }
 
     void publish(versioned_text next)
     {
         m_newest = std::move(next);
-        m_feed.follow(m_newest);
+        m_feed.update(m_newest);
     }
 
     /// @brief What a gateway lacks, taken over. @return slices
--- a/src/app/gateway/gateway_session_test.cpp
+++ b/src/app/gateway/gateway_session_test.cpp
@@ -144,7 +144,7 @@
     }
     const versioned_text published { 4, text + "]}" };
     document_feed feed(platform::controlDialect());
-    feed.follow(published);
+    feed.update(published);
     const auto slices = feed.messagesFrom(0, published);
     REQUIRE(slices.size() > 5);
     std::unique_ptr<link::link_hub> controller;
--- a/src/app/registry/document_feed.cpp
+++ b/src/app/registry/document_feed.cpp
@@ -44,7 +44,7 @@
         std::move(*part) };
 }
 
-void document_feed::follow(const versioned_text& committed)
+void document_feed::update(const versioned_text& committed)
 {
     if (committed.version == m_marks.version())
         return;
--- a/src/app/registry/document_feed.hpp
+++ b/src/app/registry/document_feed.hpp
@@ -22,7 +22,7 @@
     }
 
     /// @brief Takes the committed document over; does nothing when it is held already.
-    void follow(const versioned_text& committed);
+    void update(const versioned_text& committed);
     /// @brief Encoded messages that bring a gateway to the newest version, in order.
     /// @param held version that it has in force
     /// @param newest the text that was followed last
--- a/src/app/registry/layer_orders.cpp
+++ b/src/app/registry/layer_orders.cpp
@@ -44,7 +44,7 @@
 
 } // namespace
 
-layer_orders::layer_orders(link::event_loop& loop, const gateway::control_dialect& dialect, target_rests& rests)
+layer_orders::layer_orders(link::event_loop& loop, const gateway::control_dialect& dialect, target_backoffs& rests)
     : m_loop(loop)
     , m_dialect(dialect)
     , m_rests(rests)
--- a/src/app/registry/layer_orders.hpp
+++ b/src/app/registry/layer_orders.hpp
@@ -2,7 +2,7 @@
 /// @brief Carries out the plan of layers: orders to targets, fenced, one at a time each, with the state read before.
 #pragma once
 
-#include "app/registry/target_rests.hpp"
+#include "app/registry/target_backoffs.hpp"
 #include "app/shared/process.hpp"
 #include "buckthornrail/gateway/dialect.hpp"
 #include "buckthornrail/net/http_service.hpp"
@@ -15,7 +15,7 @@
 /// @brief Lives on the loop thread of the controller that leads.
 class layer_orders {
 public:
-    layer_orders(link::event_loop& loop, const gateway::control_dialect& dialect, target_rests& rests);
+    layer_orders(link::event_loop& loop, const gateway::control_dialect& dialect, target_backoffs& rests);
 
     /// @brief This controller leads from now on. @param fence higher than that of any earlier leader
     void begin(std::uint64_t fence, steady_time now);
@@ -58,7 +58,7 @@
 
     link::event_loop& m_loop;
     const gateway::control_dialect& m_dialect;
-    target_rests& m_rests;
+    target_backoffs& m_rests;
     bool m_active = false;
     std::uint64_t m_fence = 0;
     steady_time m_settledAt {}; ///< no plan before: targets that start together are planned together
--- a/src/app/registry/registry.cpp
+++ b/src/app/registry/registry.cpp
@@ -305,7 +305,7 @@
 
 const std::vector<gateway::service>& registry_role::services()
 {
-    m_feed.follow(m_state.document());
+    m_feed.update(m_state.document());
     return m_feed.services();
 }
 
--- a/src/app/registry/registry.hpp
+++ b/src/app/registry/registry.hpp
@@ -133,7 +133,7 @@
     std::unique_ptr<link::link_hub> m_hub;
     std::unique_ptr<replicated_log> m_log;
     std::unique_ptr<net::http_service> m_control;
-    target_rests m_rests;
+    target_backoffs m_rests;
     layer_orders m_orders;
     target_watch m_watch;
     std::uint64_t m_loggedRevision = 0; ///< changes of targets up to it are in the log
--- a/src/app/registry/registry_sessions.cpp
+++ b/src/app/registry/registry_sessions.cpp
@@ -228,7 +228,7 @@
 
 void registry_role::sendSlices(link::channel_number channel, const session& one)
 {
-    m_feed.follow(m_state.document());
+    m_feed.update(m_state.document());
     const auto messages = m_feed.messagesFrom(one.documentVersion, m_state.document());
     std::size_t bytes = 0;
     for (const auto* message : messages) {
--- a/src/app/registry/target_rests.cpp
+++ b/src/app/registry/target_backoffs.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// @brief Rest by target, until a deadline.
-#include "app/registry/target_rests.hpp"
+#include "app/registry/target_backoffs.hpp"
 
 #include "buckthornrail/telemetry/log.hpp"
 
@@ -8,7 +8,7 @@
 
 namespace buckthornrail::app {
 
-bool target_rests::heard(const registry::target_incarnation& target, net::call_outcome outcome,
+bool target_backoffs::heard(const registry::target_incarnation& target, net::call_outcome outcome,
     const net::whole_response& response, steady_time now)
 {
     std::erase_if(m_until, [now](const auto& item) { return now >= item.second; });
@@ -24,13 +24,13 @@
     return true;
 }
 
-steady_time target_rests::until(const registry::target_incarnation& target) const
+steady_time target_backoffs::until(const registry::target_incarnation& target) const
 {
     const auto found = m_until.find(target);
     return found == m_until.end() ? steady_time {} : found->second;
 }
 
-bool target_rests::isResting(const registry::target_incarnation& target, steady_time now) const
+bool target_backoffs::isResting(const registry::target_incarnation& target, steady_time now) const
 {
     return now < until(target);
 }
--- a/src/app/registry/target_rests.hpp
+++ b/src/app/registry/target_backoffs.hpp
@@ -10,9 +10,9 @@
 namespace buckthornrail::app {
 
 /// @brief Whoever calls targets asks here first, and tells what they answer. Lives on the loop thread.
-class target_rests {
+class target_backoffs {
 public:
-    explicit target_rests(const gateway::control_dialect& dialect)
+    explicit target_backoffs(const gateway::control_dialect& dialect)
         : m_dialect(dialect)
     {
     }
--- a/src/app/registry/target_watch.cpp
+++ b/src/app/registry/target_watch.cpp
@@ -20,7 +20,7 @@
 } // namespace
 
 target_watch::target_watch(link::event_loop& loop, const gateway::control_dialect& dialect,
-    const registry::target_table& targets, target_rests& rests, milliseconds heartbeatPeriod,
+    const registry::target_table& targets, target_backoffs& rests, milliseconds heartbeatPeriod,
     target_watch_callbacks callbacks)
     : m_loop(loop)
     , m_dialect(dialect)
--- a/src/app/registry/target_watch.hpp
+++ b/src/app/registry/target_watch.hpp
@@ -2,7 +2,7 @@
 /// @brief Which targets are still there: leases renewed by announcements, and a question before one counts as lost.
 #pragma once
 
-#include "app/registry/target_rests.hpp"
+#include "app/registry/target_backoffs.hpp"
 #include "app/shared/process.hpp"
 #include "buckthornrail/gateway/dialect.hpp"
 #include "buckthornrail/link/message.hpp"
@@ -23,7 +23,7 @@
 class target_watch {
 public:
     target_watch(link::event_loop& loop, const gateway::control_dialect& dialect, const registry::target_table& targets,
-        target_rests& rests, milliseconds heartbeatPeriod, target_watch_callbacks callbacks);
+        target_backoffs& rests, milliseconds heartbeatPeriod, target_watch_callbacks callbacks);
 
     /// @brief A target has announced itself. An announcement of a life before the one known, or a late one, renews
     /// nothing. @return false when this isn't the leader and can't tell it
@@ -53,7 +53,7 @@
     link::event_loop& m_loop;
     const gateway::control_dialect& m_dialect;
     const registry::target_table& m_targets;
-    target_rests& m_rests;
+    target_backoffs& m_rests;
     milliseconds m_heartbeatPeriod;
     target_watch_callbacks m_callbacks;
     /// By id: there is one life under it, and a later one begins with a whole lease.
--- a/tools/bench_document.cpp
+++ b/tools/bench_document.cpp
@@ -78,7 +78,7 @@
 {
     const auto text = documentOf(firstVersion, state.range(0), -1);
     app::document_feed feed(platform::controlDialect());
-    feed.follow(text);
+    feed.update(text);
     const auto slices = slicesFrom(feed, 0, text);
     double longest = 0;
     for (auto _ : state) {
@@ -101,7 +101,7 @@
 {
     app::document_feed feed(platform::controlDialect());
     auto text = documentOf(firstVersion, state.range(0), -1);
-    feed.follow(text);
+    feed.update(text);
     app::gateway_document held(platform::controlDialect());
     for (const auto& slice : slicesFrom(feed, 0, text))
         (void)held.take(slice);
@@ -111,7 +111,7 @@
         state.PauseTiming();
         ++version;
         text = documentOf(version, state.range(0), state.range(0) / 2);
-        feed.follow(text);
+        feed.update(text);
         const auto slices = slicesFrom(feed, version - 1, text);
         state.ResumeTiming();
         for (const auto& slice : slices)
@@ -124,14 +124,14 @@
 {
     app::document_feed feed(platform::controlDialect());
     const std::vector<versioned_text> texts { documentOf(2, state.range(0), 3), documentOf(3, state.range(0), 3) };
-    feed.follow(texts[0]);
+    feed.update(texts[0]);
     std::uint64_t version = 3;
     for (auto _ : state) {
         state.PauseTiming();
         versioned_text next { ++version, texts[version % 2].text };
         state.ResumeTiming();
         // The text's own version repeats, so that each call is a change of one route.
-        feed.follow(next);
+        feed.update(next);
     }
 }
 
