--- a/src/app/registry/document_feed.cpp
+++ b/src/app/registry/document_feed.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Cutting, comparing and encoding the document.
+/// @brief Splits the document into slices, compares versions and encodes the changes.
 #include "app/registry/document_feed.hpp"
 
 #include "buckthornrail/compression/text_patch.hpp"
@@ -10,10 +10,10 @@
 namespace buckthornrail::app {
 namespace {
 
-/// Gateways lag by one version as a rule, by a few where changes come in quick succession.
-constexpr std::size_t keptSteps = 8;
-/// Bytes that a slice may come to: as many as a message between processes.
-constexpr std::size_t longestSlice = 32U << 20U;
+/// Gateways usually lag by one version, and by a few when changes come in quick succession.
+constexpr std::size_t maxChanges = 8;
+/// Largest decompressed slice: the size limit of a message between processes.
+constexpr std::size_t maxSliceBytes = 32U << 20U;
 
 std::vector<std::string> encodeAll(const std::vector<document::change_slice>& slices)
 {
@@ -34,7 +34,7 @@
 
 tl::expected<document::change_slice, failure> unpackSlice(const link::document_slice& packed)
 {
-    const auto bytes = compression::applyPatch({}, packed.patch, longestSlice);
+    const auto bytes = compression::applyPatch({}, packed.patch, maxSliceBytes);
     if (!bytes)
         return tl::make_unexpected(bytes.error());
     auto part = link::decodeChange(*bytes);
@@ -59,13 +59,13 @@
     const std::uint64_t from = m_marks.version();
     auto messages = encodeAll(m_marks.follow(*outline));
     if (from == 0) {
-        m_whole = std::move(messages);
+        m_fullDocument = std::move(messages);
         return;
     }
-    m_whole.clear();
-    m_steps.push_back({ from, std::move(messages) });
-    if (m_steps.size() > keptSteps)
-        m_steps.pop_front();
+    m_fullDocument.clear();
+    m_changes.push_back({ from, std::move(messages) });
+    if (m_changes.size() > maxChanges)
+        m_changes.pop_front();
 }
 
 void document_feed::readRest(const std::string& rest)
@@ -87,19 +87,20 @@
     std::vector<const std::string*> messages;
     if (held >= m_marks.version())
         return messages;
-    auto next = std::find_if(m_steps.begin(), m_steps.end(), [held](const step& one) { return one.from == held; });
-    if (next != m_steps.end() && held != 0) {
-        for (; next != m_steps.end(); ++next) {
+    auto next = std::find_if(
+        m_changes.begin(), m_changes.end(), [held](const version_change& one) { return one.from == held; });
+    if (next != m_changes.end() && held != 0) {
+        for (; next != m_changes.end(); ++next) {
             for (const auto& message : next->messages)
                 messages.push_back(&message);
         }
         return messages;
     }
-    if (m_whole.empty()) {
+    if (m_fullDocument.empty()) {
         if (const auto outline = m_dialect.cutDocument(newest.text))
-            m_whole = encodeAll(document::slicesOf(*outline));
+            m_fullDocument = encodeAll(document::slicesOf(*outline));
     }
-    for (const auto& message : m_whole)
+    for (const auto& message : m_fullDocument)
         messages.push_back(&message);
     return messages;
 }
--- a/src/app/registry/document_feed.hpp
+++ b/src/app/registry/document_feed.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What a registry sends gateways of the document: each change made and encoded once, for all of them.
+/// @brief Document updates that a registry sends to gateways: each change is computed and encoded once for all of them.
 #pragma once
 
 #include "app/registry/registry_state.hpp"
@@ -7,13 +7,13 @@
 
 namespace buckthornrail::app {
 
-/// @brief Packs a slice for its way to a gateway.
+/// @brief Encodes and compresses a slice for a gateway.
 link::document_slice packSlice(const document::change_slice& slice);
 
-/// @brief Unpacks a slice. @return MalformedMessage when it is damaged
+/// @brief Decompresses and decodes a slice. @return MalformedMessage when it is damaged
 tl::expected<document::change_slice, failure> unpackSlice(const link::document_slice& packed);
 
-/// @brief Lives on the loop thread.
+/// @brief Used on the loop thread only.
 class document_feed {
 public:
     explicit document_feed(const gateway::control_dialect& dialect)
@@ -21,19 +21,20 @@
     {
     }
 
-    /// @brief Takes the committed document over; does nothing when it is held already.
+    /// @brief Takes over the committed document; does nothing when that version is already held.
     void update(const versioned_text& committed);
     /// @brief Encoded messages that bring a gateway to the newest version, in order.
-    /// @param held version that it has in force
-    /// @param newest the text that was followed last
+    /// @param held version that the gateway has
+    /// @param newest the text last passed to update()
+    /// @return pointers that stay valid until the next call of update()
     [[nodiscard]] std::vector<const std::string*> messagesFrom(std::uint64_t held, const versioned_text& newest);
     [[nodiscard]] std::uint64_t version() const { return m_marks.version(); }
     /// @brief Services of the newest version.
     [[nodiscard]] const std::vector<gateway::service>& services() const { return m_rest.services; }
 
 private:
-    /// A version's change against the one before.
-    struct step {
+    /// The change from one version to the next.
+    struct version_change {
         std::uint64_t from = 0;
         std::vector<std::string> messages;
     };
@@ -42,8 +43,8 @@
 
     const gateway::control_dialect& m_dialect;
     document::marks m_marks;
-    std::deque<step> m_steps; ///< each begins where the one before ends; the last ends at the newest version
-    std::vector<std::string> m_whole; ///< the newest version; empty: not asked for yet
+    std::deque<version_change> m_changes; ///< consecutive; the last one leads to the newest version
+    std::vector<std::string> m_fullDocument; ///< the newest version; empty: not requested yet
     std::string m_restText;
     gateway::document_rest m_rest;
 };
--- a/src/app/registry/layer_orders.cpp
+++ b/src/app/registry/layer_orders.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Giving orders for layers.
+/// @brief Plans layers and sends the orders.
 #include "app/registry/layer_orders.hpp"
 
 #include <algorithm>
@@ -7,33 +7,33 @@
 namespace buckthornrail::app {
 namespace {
 
-/// After the last new target, or a change of leader, for so long nothing is planned. Targets of a fresh system announce
+/// Planning waits this long after the last new target or a change of leader. The targets of a new system announce
 /// themselves within about half a second of each other.
-constexpr milliseconds settleTime { 500 };
-/// Targets called at once, a connection each. A fresh system's 3,000 targets called together took three quarters of the
-/// connections that a process may have; so many at a time are through in a tenth of a second.
-constexpr std::ptrdiff_t mostCalls = 256;
-/// A call to a target; a live one answers within a few milliseconds.
-constexpr milliseconds callPatience { 800 };
-/// An order that failed is tried again after so long.
-constexpr milliseconds retryPause { 700 };
-/// An order without effect for so long is given up and planned anew: ten layers load in 2 s, a whole accelerator in 7
-/// s, and several loads at once share the weight store.
-constexpr milliseconds orderPatience { 20000 };
-/// Requests of usual size that a target should hold in memory beside its layers. A failure domain's whole traffic is
-/// about 60 at once at the usual load, half as much again while another domain's chain is broken, and each is in every
-/// target of its path: the target with the least room bounds them all.
-constexpr double sequencesInMemory = 68;
+constexpr milliseconds settleDelay { 500 };
+/// Each call uses a connection. Calling the 3,000 targets of a new system all at once took three quarters of the
+/// connections that a process may open; a batch of this size completes in a tenth of a second.
+constexpr std::ptrdiff_t maxConcurrentCalls = 256;
+/// Timeout of a call to a target; a live target answers within a few milliseconds.
+constexpr milliseconds callTimeout { 800 };
+/// Delay before the next attempt to send an order.
+constexpr milliseconds retryDelay { 700 };
+/// An order that isn't carried out in this time is given up and planned anew. Ten layers load in 2 s and a whole
+/// accelerator in 7 s, but concurrent loads share the bandwidth of the weight store.
+constexpr milliseconds orderTimeout { 20000 };
+/// Concurrent requests of usual size that a target should have memory for beside its layers. A failure domain runs
+/// about 60 at the usual load, and half as many more while the chain of another domain is broken. Each request occupies
+/// every target of its path, so the target with the least free memory limits them all.
+constexpr double sequencesPerTarget = 68;
 
 std::string rangeText(const registry::layer_range& range)
 {
     return std::to_string(range.first) + "-" + std::to_string(range.end);
 }
 
-/// What a target's accelerator must have room for at the least; no memory for an unknown one.
+/// Least memory needs of a target. The memory size is 0 for an unknown accelerator.
 registry::memory_needs needsOf(const registry::target_record& record, const gateway::layered_engine& engine)
 {
-    const double tokens = sequencesInMemory * (engine.usualPromptTokens + engine.usualAnswerTokens);
+    const double tokens = sequencesPerTarget * (engine.usualPromptTokens + engine.usualAnswerTokens);
     const double tokenBytesPerLayer = engine.tokenBytes / std::max(engine.layers, 1U);
     for (const auto& kind : engine.kinds) {
         if (kind.name == record.accelerator)
@@ -44,78 +44,79 @@
 
 } // namespace
 
-layer_orders::layer_orders(link::event_loop& loop, const gateway::control_dialect& dialect, target_backoffs& rests)
+layer_orders::layer_orders(link::event_loop& loop, const gateway::control_dialect& dialect, target_backoffs& backoffs)
     : m_loop(loop)
     , m_dialect(dialect)
-    , m_rests(rests)
+    , m_backoffs(backoffs)
 {
 }
 
-void layer_orders::begin(std::uint64_t fence, steady_time now)
+void layer_orders::startLeading(std::uint64_t fence, steady_time now)
 {
-    m_active = true;
+    m_isLeading = true;
     m_isPlanDue = true;
     m_fence = fence;
-    m_settledAt = now + settleTime;
+    m_planNotBefore = now + settleDelay;
 }
 
-void layer_orders::end()
+void layer_orders::stopLeading()
 {
-    m_active = false;
-    for (auto& [id, order] : m_open) {
+    m_isLeading = false;
+    for (auto& [id, order] : m_openOrders) {
         if (order.call)
             order.call->cancel();
     }
-    m_open.clear();
+    m_openOrders.clear();
 }
 
-void layer_orders::step(const registry::target_table& targets, const std::vector<gateway::service>& services,
+void layer_orders::update(const registry::target_table& targets, const std::vector<gateway::service>& services,
     std::uint64_t version, steady_time now)
 {
-    if (!m_active)
+    if (!m_isLeading)
         return;
-    if (targets.records().size() > m_knownTargets)
-        m_settledAt = std::max(m_settledAt, now + settleTime);
-    m_knownTargets = targets.records().size();
-    settle(targets, now);
-    if (now < m_settledAt)
+    if (targets.records().size() > m_knownTargetCount)
+        m_planNotBefore = std::max(m_planNotBefore, now + settleDelay);
+    m_knownTargetCount = targets.records().size();
+    closeFinishedOrders(targets, now);
+    if (now < m_planNotBefore)
         return;
-    const plan_basis basis { targets.revision(), version };
-    if (m_isPlanDue || basis != m_planned) {
-        m_planned = basis;
+    const plan_inputs inputs { targets.revision(), version };
+    if (m_isPlanDue || inputs != m_plannedInputs) {
+        m_plannedInputs = inputs;
         m_isPlanDue = false;
         for (const auto& service : services) {
-            if (service.engine && service.engine->layers > 0 && plan(targets, service, now))
+            if (service.engine && service.engine->layers > 0 && planService(targets, service, now))
                 m_isPlanDue = true;
         }
     }
-    proceed(targets, now);
+    startCalls(targets, now);
 }
 
-void layer_orders::proceed(const registry::target_table& targets, steady_time now)
+void layer_orders::startCalls(const registry::target_table& targets, steady_time now)
 {
-    auto calls = std::count_if(m_open.begin(), m_open.end(), [](const auto& item) { return item.second.call; });
-    for (auto& [id, order] : m_open) {
-        if (calls >= mostCalls)
+    auto calls
+        = std::count_if(m_openOrders.begin(), m_openOrders.end(), [](const auto& item) { return item.second.call; });
+    for (auto& [id, order] : m_openOrders) {
+        if (calls >= maxConcurrentCalls)
             return;
         const auto* record = targets.find(id);
-        if (record == nullptr || order.isSent || order.call || now < order.nextTry)
+        if (record == nullptr || order.isAccepted || order.call || now < order.nextAttemptAt)
             continue;
-        if (m_rests.isResting(order.target, now))
+        if (m_backoffs.isBackingOff(order.target, now))
             continue;
-        ask(*record, order, now);
+        requestReport(*record, order, now);
         ++calls;
     }
 }
 
-void layer_orders::settle(const registry::target_table& targets, steady_time now)
+void layer_orders::closeFinishedOrders(const registry::target_table& targets, steady_time now)
 {
-    std::erase_if(m_open, [&](auto& item) {
+    std::erase_if(m_openOrders, [&](auto& item) {
         auto& order = item.second;
         const auto* record = targets.find(item.first);
         const bool isGone = record == nullptr || record->state != registry::target_state::Ready
             || record->incarnation() != order.target;
-        const bool isDone = !isGone && order.isSent && record->layers == order.layers;
+        const bool isDone = !isGone && order.isAccepted && record->layers == order.layers;
         if (!isGone && !isDone && now < order.deadline)
             return false;
         telemetry::logEvent(event_code::LayersSettled,
@@ -131,7 +132,7 @@
     });
 }
 
-bool layer_orders::plan(const registry::target_table& targets, const gateway::service& service, steady_time now)
+bool layer_orders::planService(const registry::target_table& targets, const gateway::service& service, steady_time now)
 {
     const auto& engine = *service.engine;
     const auto isPlanned = [&service](const registry::target_record& record) {
@@ -142,52 +143,52 @@
         if (isPlanned(record))
             domains[record.failureDomain].push_back(needsOf(record, engine));
     }
-    std::map<std::string, double> comfortable;
+    std::map<std::string, double> comfortableTokens;
     for (const auto& [domain, accelerators] : domains)
-        comfortable[domain] = registry::comfortableTokens(accelerators, engine.layers);
+        comfortableTokens[domain] = registry::comfortableTokens(accelerators, engine.layers);
     std::vector<registry::plan_target> candidates;
     for (const auto& [id, record] : targets.records()) {
         if (!isPlanned(record))
             continue;
-        const auto open = m_open.find(id);
-        const bool isSettled = open == m_open.end();
+        const auto open = m_openOrders.find(id);
+        const bool isSettled = open == m_openOrders.end();
         auto needs = needsOf(record, engine);
         const std::uint32_t capacity = std::min(engine.layers, registry::layersThatFit(needs));
-        needs.tokens = comfortable[record.failureDomain];
-        const std::uint32_t most = std::min(capacity, registry::layersThatFit(needs));
-        candidates.push_back(
-            { id, record.failureDomain, capacity, most, isSettled ? record.layers : open->second.layers, isSettled });
+        needs.tokens = comfortableTokens[record.failureDomain];
+        const std::uint32_t comfortableLayers = std::min(capacity, registry::layersThatFit(needs));
+        candidates.push_back({ id, record.failureDomain, capacity, comfortableLayers,
+            isSettled ? record.layers : open->second.layers, isSettled });
     }
     const auto steps = registry::planLayers(candidates, service.engine->layers);
     for (const auto& step : steps)
-        m_open[step.id] = { targets.find(step.id)->incarnation(), step.layers, now + orderPatience, now, step.isUrgent,
-            false, nullptr };
+        m_openOrders[step.id] = { targets.find(step.id)->incarnation(), step.layers, now + orderTimeout, now,
+            step.isUrgent, false, nullptr };
     return !steps.empty();
 }
 
-void layer_orders::ask(const registry::target_record& record, open_order& order, steady_time now)
+void layer_orders::requestReport(const registry::target_record& record, open_order& order, steady_time now)
 {
     order.call = net::http_call::start(m_loop, record.address, { m_dialect.writeReportCall(record.id), {} },
-        now + callPatience, [this, record](net::call_outcome outcome, const net::whole_response& response) {
+        now + callTimeout, [this, record](net::call_outcome outcome, const net::whole_response& response) {
             onReport(record, outcome, response);
         });
 }
 
-layer_orders::open_order* layer_orders::orderOf(const registry::target_record& record)
+layer_orders::open_order* layer_orders::findOrder(const registry::target_record& record)
 {
-    const auto found = m_open.find(record.id);
-    return found == m_open.end() || found->second.target != record.incarnation() ? nullptr : &found->second;
+    const auto found = m_openOrders.find(record.id);
+    return found == m_openOrders.end() || found->second.target != record.incarnation() ? nullptr : &found->second;
 }
 
 void layer_orders::onReport(
     const registry::target_record& record, net::call_outcome outcome, const net::whole_response& response)
 {
-    auto* order = orderOf(record);
+    auto* order = findOrder(record);
     if (order == nullptr)
         return;
     order->call = nullptr;
-    order->nextTry = steadyNow() + retryPause;
-    if (m_rests.heard(order->target, outcome, response, steadyNow()))
+    order->nextAttemptAt = steadyNow() + retryDelay;
+    if (m_backoffs.recordResponse(order->target, outcome, response, steadyNow()))
         return;
     if (outcome != net::call_outcome::Answered || response.head.status != 200) {
         telemetry::logEvent(event_code::ReportReceived,
@@ -201,45 +202,46 @@
         return;
     }
     if (report->startedMs != 0 && report->startedMs != record.startedMs)
-        return; // another life answers, which hasn't announced itself here yet
+        return; // from another incarnation, which hasn't announced itself here yet
     if (report->isBusy)
-        return; // an order is being carried out, perhaps an earlier leader's: its end is waited for
+        return; // wait until the current order, perhaps one of an earlier leader, is carried out
     if (report->layers == order->layers) {
-        order->isSent = true;
+        order->isAccepted = true;
         return;
     }
-    give(record, *report);
+    sendOrder(record, *report);
 }
 
-void layer_orders::give(const registry::target_record& record, const gateway::target_report& report)
+void layer_orders::sendOrder(const registry::target_record& record, const gateway::target_report& report)
 {
-    auto& order = m_open.at(record.id);
+    auto& order = m_openOrders.at(record.id);
     telemetry::logEvent(event_code::LayersOrdered,
         { { "target", text(record.incarnation()) }, { "layers", rangeText(order.layers) },
             { "held", rangeText(report.layers) }, { "fence", std::to_string(m_fence) },
             { "revision", std::to_string(report.revision) } });
     const auto [head, body]
         = m_dialect.writeOrder({ record.id, order.layers, m_fence, report.revision, order.isUrgent });
-    order.call = net::http_call::start(m_loop, record.address, { head, body }, steadyNow() + callPatience,
-        [this, record](
-            net::call_outcome outcome, const net::whole_response& response) { onTaken(record, outcome, response); });
+    order.call = net::http_call::start(m_loop, record.address, { head, body }, steadyNow() + callTimeout,
+        [this, record](net::call_outcome outcome, const net::whole_response& response) {
+            onOrderAnswered(record, outcome, response);
+        });
 }
 
-void layer_orders::onTaken(
+void layer_orders::onOrderAnswered(
     const registry::target_record& record, net::call_outcome outcome, const net::whole_response& response)
 {
-    auto* open = orderOf(record);
-    if (open == nullptr)
+    auto* found = findOrder(record);
+    if (found == nullptr)
         return;
-    auto& order = *open;
+    auto& order = *found;
     order.call = nullptr;
-    order.nextTry = steadyNow() + retryPause;
-    (void)m_rests.heard(order.target, outcome, response, steadyNow());
-    const bool isTaken = outcome == net::call_outcome::Answered && response.head.status < 300;
-    // Without an answer the order may have been taken; the next report tells, and its count guards against a second
-    // one.
-    order.isSent = isTaken;
-    if (isTaken)
+    order.nextAttemptAt = steadyNow() + retryDelay;
+    (void)m_backoffs.recordResponse(order.target, outcome, response, steadyNow());
+    const bool wasAccepted = outcome == net::call_outcome::Answered && response.head.status < 300;
+    // Without an answer the order may still have been accepted. The next report shows that, and the expected revision
+    // keeps the target from accepting it twice.
+    order.isAccepted = wasAccepted;
+    if (wasAccepted)
         return;
     telemetry::logEvent(event_code::LayersSettled,
         { { "target", record.id }, { "layers", rangeText(order.layers) }, { "outcome", "not_taken" },
--- a/src/app/registry/registry.cpp
+++ b/src/app/registry/registry.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief A registry's start, its operators' calls and its ticks; see registry_targets and registry_sessions.
+/// @brief The registry's start, operator calls and ticks. registry_targets, registry_sessions and registry_quarantine
+/// hold the rest of the class.
 #include "app/registry/registry.hpp"
 
 #include "app/shared/control_answer.hpp"
@@ -12,12 +13,13 @@
 namespace {
 
 constexpr milliseconds tickPeriod { 50 };
-/// A first member waits so long for word of an existing log before it forms one.
-constexpr milliseconds formPause { 300 };
-/// Changes of the table that are logged one by one, when they come at once: half a second's lines.
-constexpr std::uint64_t mostRecordsLogged = 200;
+/// Time that the first member waits to hear of an existing log before it forms one.
+constexpr milliseconds bootstrapDelay { 300 };
+/// Target changes of one commit that are logged one by one; more get one summary line. The log takes this many lines in
+/// half a second.
+constexpr std::uint64_t maxRecordsLogged = 200;
 constexpr std::string_view quarantinePath = "/quarantine";
-constexpr std::size_t leastVoters = 2; ///< what is acknowledged stands on two disks
+constexpr std::size_t minVoters = 2; ///< so that an acknowledged document is stored on two disks
 
 } // namespace
 
@@ -28,15 +30,15 @@
     , m_dialect(dialect)
     , m_metrics(metrics)
     , m_feed(dialect)
-    , m_rests(dialect)
-    , m_orders(loop, dialect, m_rests)
-    , m_watch(loop, dialect, m_state.targets(), m_rests, milliseconds(settings.targetHeartbeatMs),
+    , m_backoffs(dialect)
+    , m_orders(loop, dialect, m_backoffs)
+    , m_watch(loop, dialect, m_state.targets(), m_backoffs, milliseconds(settings.targetHeartbeatMs),
           target_watch_callbacks {
               [this] { return m_log->isLeader(); },
               [this](const link::target_heard& heard) {
                   if (!m_log->reachesLeader())
                       return false;
-                  m_unreported.heard.push_back(heard);
+                  m_pendingReport.heard.push_back(heard);
                   return true;
               },
               [this](const registry::target_record& lost) { submitTargets({ lost }, [](bool) {}); },
@@ -61,7 +63,7 @@
                 m_log->onClosed(channel);
                 m_sessions.erase(channel);
                 m_board.forget(channel);
-                m_memberLimitsTold.erase(channel);
+                m_memberLimitsSent.erase(channel);
             },
             [this](link::channel_number channel, const std::string& bytes) { onMessage(channel, bytes); },
             [this](link::channel_number channel) { m_log->onProgress(channel); },
@@ -81,54 +83,54 @@
     m_log = std::make_unique<replicated_log>(m_loop, *m_hub, m_state, std::move(options));
     m_log->changed = [this] { onChanged(); };
     m_log->leadershipChanged = [this](bool leads) {
-        m_watch.forget();
+        m_watch.resetLeases();
         m_board.begin(leads, steadyNow());
-        m_memberLimitsTold.clear();
+        m_memberLimitsSent.clear();
         m_quarantineClock.begin();
         if (leads)
-            m_orders.begin(m_log->replica().term(), steadyNow());
+            m_orders.startLeading(m_log->replica().term(), steadyNow());
         else
-            m_orders.end();
+            m_orders.stopLeading();
     };
     if (auto started = m_log->start(); !started)
         return started;
     if (m_hub->listen(m_settings.linkAddress) == 0)
         return tl::make_unexpected(failure { result_code::BadSettings, "can't listen on " + m_settings.linkAddress });
-    m_control = std::make_unique<net::http_service>(
-        m_loop, [this](const net::whole_request& request, const net::responder& respond) { onCall(request, respond); });
+    m_control = std::make_unique<net::http_service>(m_loop,
+        [this](const net::whole_request& request, const net::responder& respond) { onRequest(request, respond); });
     if (m_control->listen(m_settings.httpAddress) == 0)
         return tl::make_unexpected(failure { result_code::BadSettings, "can't listen on " + m_settings.httpAddress });
-    m_formDeadline = steadyNow() + formPause;
+    m_bootstrapAt = steadyNow() + bootstrapDelay;
     m_ticker = std::make_unique<periodic_task>(m_loop, tickPeriod, [this] { tick(); });
     return {};
 }
 
 void registry_role::stop(std::function<void()> done)
 {
-    constexpr milliseconds handOverPeriod { 300 };
+    constexpr milliseconds handoverPeriod { 300 };
     m_log->stop();
-    m_loop.runAt(steadyNow() + handOverPeriod, std::move(done));
+    m_loop.runAt(steadyNow() + handoverPeriod, std::move(done));
 }
 
-void registry_role::formWhenFirst()
+void registry_role::bootstrapIfFirst()
 {
     const bool isFirst = m_settings.bootstrap == "true" && !m_settings.controllers.empty()
         && m_settings.controllers.front() == m_settings.reachableAddress();
     const bool isBlank = m_log->replica().lastIndex() == 0 && m_log->replica().term() == 0;
-    if (!isFirst || !isBlank || steadyNow() < m_formDeadline || m_log->knowsOtherLog())
+    if (!isFirst || !isBlank || steadyNow() < m_bootstrapAt || m_log->knowsOtherLog())
         return;
     if (const auto formed = m_log->initialize(); !formed)
         telemetry::logEvent(event_code::MemberChanged, { { "reason", formed.error().reason } });
 }
 
-bool registry_role::isSafeToWrite() const
+bool registry_role::hasEnoughVoters() const
 {
     const auto& members = m_log->replica().members();
     const auto voters = std::count_if(members.begin(), members.end(), [](const auto& one) { return one.voter; });
-    return m_settings.controllers.size() < leastVoters || voters >= static_cast<std::ptrdiff_t>(leastVoters);
+    return m_settings.controllers.size() < minVoters || voters >= static_cast<std::ptrdiff_t>(minVoters);
 }
 
-void registry_role::onCall(const net::whole_request& request, const net::responder& respond)
+void registry_role::onRequest(const net::whole_request& request, const net::responder& respond)
 {
     if (request.head.target == "/metrics") {
         respond(net::plainResponse(200, m_metrics.text(), "text/plain"));
@@ -157,7 +159,7 @@
         const auto& unreadable = std::get<gateway::unreadable_call>(call);
         const std::string what = request.head.method + " " + request.head.target;
         if (unreadable.isRecord)
-            noteRefused(what, unreadable.reason);
+            logRefusedRecord(what, unreadable.reason);
         else
             logCall(what, unreadable.status, unreadable.reason);
         respond(errorResponse(unreadable.status, unreadable.reason));
@@ -176,29 +178,29 @@
         return;
     }
     const std::uint64_t version = call.version;
-    const auto settled = [this, version, text = call.text, respond] {
+    const auto respondCommitted = [this, version, text = call.text, respond] {
         const auto& held = m_state.document();
         const bool differs = held.version == version && held.text != text;
         const int status = differs ? conflict : 200;
         logCall("publish", status, "version " + std::to_string(version) + ", held " + std::to_string(held.version));
-        respond(differs ? errorResponse(conflict, "the version is held with other content")
+        respond(differs ? errorResponse(conflict, "this version is already published with different content")
                         : net::plainResponse(200, "{}"));
     };
     if (version <= m_state.document().version) {
-        settled();
+        respondCommitted();
         return;
     }
-    if (!isSafeToWrite()) {
-        logCall("publish", 503, "fewer than two members vote");
-        respond(errorResponse(503, "fewer than two members vote yet"));
+    if (!hasEnoughVoters()) {
+        logCall("publish", 503, "fewer than two voting members");
+        respond(errorResponse(503, "the cluster has fewer than two voting members"));
         return;
     }
     const std::string id = randomName();
     m_log->submit(
         id, encodePublish(id, { version, std::move(call.text) }),
-        [settled, respond](bool committed) {
+        [respondCommitted, respond](bool committed) {
             if (committed) {
-                settled();
+                respondCommitted();
                 return;
             }
             logCall("publish", 503, "not committed in time");
@@ -214,7 +216,7 @@
             const auto& held = m_state.document();
             if (!current || held.version == 0) {
                 logCall("read", 503, current ? "nothing published" : "not confirmed");
-                respond(errorResponse(503, "the newest document isn't known here"));
+                respond(errorResponse(503, "no document is published, or no quorum confirmed the newest one"));
                 return;
             }
             logCall("read", 200, "version " + std::to_string(held.version));
@@ -229,14 +231,14 @@
     const auto message = decodeOrClose(*m_hub, channel, bytes);
     if (!message || m_log->onMessage(channel, *message))
         return;
-    if (const auto* beat = std::get_if<link::gateway_beat>(&*message)) {
-        onBeat(channel, *beat);
+    if (const auto* heartbeat = std::get_if<link::gateway_beat>(&*message)) {
+        onHeartbeat(channel, *heartbeat);
     } else if (const auto* report = std::get_if<link::member_report>(&*message)) {
         onReport(channel, *report);
     } else if (const auto* answer = std::get_if<registry::fleet_report>(&*message)) {
         m_board.told(*answer, m_state.targets());
         m_limits.take(answer->limits, registry::limit_source::Leader, m_state.targets(), steadyNow());
-        m_answeredAt = steadyNow();
+        m_sumsReceivedAt = steadyNow();
     }
 }
 
@@ -248,9 +250,9 @@
         telemetry::logEvent(event_code::ProcessStoodStill,
             { { "ms", std::to_string(gap.count()) }, { "version", std::to_string(m_state.document().version) } },
             telemetry::severity::Warning);
-        m_watch.forget(); // targets announced themselves to somebody else meanwhile
+        m_watch.resetLeases(); // targets announced themselves to other controllers meanwhile
     }
-    formWhenFirst();
+    bootstrapIfFirst();
     std::erase_if(m_sessions, [this, now](const auto& item) {
         const bool isOver = now >= item.second.deadline;
         if (isOver) {
@@ -259,15 +261,15 @@
         }
         return isOver;
     });
-    followPlaces();
+    refreshPlaces();
     pushAll();
     confirmSessions();
-    noteWait();
+    notifyWaiting();
     reportToLeader();
     if (m_log->isLeader()) {
-        m_watch.step(now);
-        endQuarantineTerms();
-        m_orders.step(m_state.targets(), services(), m_feed.version(), now);
+        m_watch.probeExpired(now);
+        expireQuarantineTerms();
+        m_orders.update(m_state.targets(), services(), m_feed.version(), now);
     }
     m_metrics.gauge("is_leader", m_log->isLeader() ? 1 : 0);
     m_metrics.gauge("commit_index", static_cast<double>(m_log->replica().commitIndex()));
@@ -281,15 +283,17 @@
 void registry_role::onChanged()
 {
     const link::named_work work(m_loop, "committed change");
-    // Gateways are told before the acknowledgement goes out: the next leader may not be there to tell them in time.
+    // Gateways are updated before the change is acknowledged, since the next leader may not be
+    // elected in time to do it.
     pushAll();
     logQuarantine();
-    const std::uint64_t logged = std::exchange(m_loggedRevision, m_state.targets().revision());
-    if (m_loggedRevision - logged > mostRecordsLogged) {
-        // Read from disk, or taken over from a leader: the log would leave most lines out, and each costs its making.
+    const std::uint64_t logged = std::exchange(m_loggedTargetRevision, m_state.targets().revision());
+    if (m_loggedTargetRevision - logged > maxRecordsLogged) {
+        // The table was read from disk or received from a leader. The log would drop most of the lines, and building
+        // each one takes time.
         telemetry::logEvent(event_code::TargetChanged,
             { { "targets", std::to_string(m_state.targets().records().size()) },
-                { "revision", std::to_string(m_loggedRevision) }, { "before", std::to_string(logged) } });
+                { "revision", std::to_string(m_loggedTargetRevision) }, { "before", std::to_string(logged) } });
         return;
     }
     for (const auto& [id, record] : m_state.targets().records()) {
@@ -311,9 +315,9 @@
 
 std::optional<milliseconds> registry_role::ageOfSums() const
 {
-    if (m_log->isLeader() || m_answeredAt == steady_time {})
+    if (m_log->isLeader() || m_sumsReceivedAt == steady_time {})
         return std::nullopt;
-    return between(m_answeredAt, steadyNow());
+    return between(m_sumsReceivedAt, steadyNow());
 }
 
 std::vector<gateway::held_target> registry_role::heldTargets(steady_time now) const
@@ -327,8 +331,8 @@
         const auto target = record.incarnation();
         if (record.state == registry::target_state::Draining)
             held[target].isLeaving = true;
-        if (m_rests.isResting(target, now))
-            held[target].restLeft = between(now, m_rests.until(target));
+        if (m_backoffs.isBackingOff(target, now))
+            held[target].restLeft = between(now, m_backoffs.endOf(target));
     }
     std::vector<gateway::held_target> rows;
     for (auto& [target, row] : held) {
@@ -345,9 +349,10 @@
         + "\n";
     if (const auto age = ageOfSums())
         text += "sums_of_others_ms " + std::to_string(age->count()) + "\n";
-    for (const auto& [channel, one] : m_sessions)
-        text += "gateway " + one.instance + " document " + std::to_string(one.documentVersion) + " targets "
-            + std::to_string(one.targetRevision) + (one.isConfirmed ? " confirmed\n" : " waiting\n");
+    for (const auto& [channel, gatewaySession] : m_sessions)
+        text += "gateway " + gatewaySession.instance + " document " + std::to_string(gatewaySession.documentVersion)
+            + " targets " + std::to_string(gatewaySession.targetRevision)
+            + (gatewaySession.isConfirmed ? " confirmed\n" : " waiting\n");
     for (const auto& member : m_log->replica().members())
         text += "member " + member.address + (member.voter ? " voter\n" : " learner\n");
     for (const auto& [id, record] : m_state.targets().records()) {
--- a/src/app/registry/registry.hpp
+++ b/src/app/registry/registry.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The registry role: a controller before gateways that reach targets without sidecars.
+/// @brief The registry role: a controller that serves gateways whose targets have no sidecars.
 #pragma once
 
 #include "app/registry/document_feed.hpp"
@@ -12,7 +12,8 @@
 
 namespace buckthornrail::app {
 
-/// @brief Lives on the loop thread.
+/// @brief Replicates the document and the target table, and serves gateways, targets and operators. Runs on the loop
+/// thread.
 class registry_role {
 public:
     registry_role(link::event_loop& loop, const settings::settings& settings, const gateway::control_dialect& dialect,
@@ -21,29 +22,31 @@
     registry_role& operator=(const registry_role&) = delete;
     ~registry_role();
 
+    /// @return BadSettings when an address can't be listened on, or the failure to open the log
     tl::expected<void, failure> start();
+    /// @brief Stops the log and leaves time to hand leadership over. @param done called on the loop thread afterwards
     void stop(std::function<void()> done);
-    /// @brief Takes what may change while it runs: the controllers' addresses.
+    /// @brief Applies the settings that may change at run time: the addresses of the controllers.
     void reload(const settings::settings& changed) { m_log->setSeeds(changed.controllers); }
 
 private:
-    /// A gateway's session.
+    /// A gateway's session. Versions and revisions are the newest that the gateway holds or was sent.
     struct session {
         instance_id instance;
-        std::uint64_t documentVersion = 0; ///< that it holds, or was sent
-        bool takesSlices = false; ///< false: a gateway of the program before, which needs the text
+        std::uint64_t documentVersion = 0;
+        bool acceptsSlices = false; ///< false: an earlier version of the program, which needs the whole text
         std::uint64_t targetRevision = 0;
-        std::uint64_t waitingSequence = 0; ///< beat that wants an answer; 0: none
-        std::uint64_t quarantineRevision = 0; ///< of the standings that it was told
-        std::uint64_t quarantineBatch = 0; ///< number of its last batch that was taken
-        std::uint64_t placesTold = 0; ///< revision of m_places that it was told
-        std::uint64_t limitsTold = 0; ///< revision of m_limits that it was told
+        std::uint64_t pendingSequence = 0; ///< of the heartbeat to be answered; 0: none
+        std::uint64_t quarantineRevision = 0; ///< stage revision of the quarantine table
+        std::uint64_t quarantineBatch = 0; ///< number of the last batch that was accepted
+        std::uint64_t placesRevisionSent = 0; ///< of m_places
+        std::uint64_t limitsRevisionSent = 0; ///< of m_limits
         bool isConfirmed = false; ///< a quorum has confirmed this controller since the session began
         steady_time deadline {};
     };
 
-    /// Batches of gateways that go into the log together.
-    struct quarantine_gathering {
+    /// Batches of several gateways, submitted to the log as one command.
+    struct quarantine_submission {
         struct batch {
             link::channel_number channel = 0;
             std::uint64_t number = 0;
@@ -53,74 +56,83 @@
         std::vector<batch> batches;
     };
 
-    /// A round of the quorum that confirms what this controller holds, for all sessions whose beats came meanwhile.
+    /// A quorum round that confirms this controller's state, for all sessions whose heartbeats arrived since the last.
     struct confirmation_round {
-        std::uint64_t number = 0; ///< an answer to an earlier one is late
+        std::uint64_t number = 0; ///< a confirmation with an earlier number is ignored
         bool isOpen = false;
-        agreement::member_id leader = 0; ///< who was asked: another one knows nothing of it
-        std::map<link::channel_number, std::uint64_t> waiting; ///< beats to answer
-        steady_time noteAt {}; ///< gateways are told then that their answers wait for the quorum
+        agreement::member_id leader = 0; ///< that was asked; a new leader doesn't know of the round
+        std::map<link::channel_number, std::uint64_t> waiting; ///< sequence of the heartbeat to answer, by session
+        steady_time nextNoticeAt {}; ///< when gateways are next told that their answers wait for the quorum
     };
 
-    void onCall(const net::whole_request& request, const net::responder& respond);
+    void onRequest(const net::whole_request& request, const net::responder& respond);
     void onPublish(gateway::publish_call call, const net::responder& respond);
     void onRead(const net::responder& respond);
     void onAnnounce(const registry::target_record& record, const net::responder& respond);
-    /// @brief Puts a ready target's announcement into the log if it says something new.
-    void takeAnnouncement(const registry::target_record& record);
-    /// @brief Gateways heard targets say that they leave: they drain from now on, though they didn't announce it.
-    void takeLeaving(const std::vector<registry::target_incarnation>& targets);
+    /// @brief Submits the announcement of a ready target to the log if it changes the target's record.
+    void processAnnouncement(const registry::target_record& record);
+    /// @brief Marks targets as draining that told gateways, in their responses, that they are leaving.
+    void markDraining(const std::vector<registry::target_incarnation>& targets);
+    /// @brief Submits a record unless one of the same incarnation is in flight.
     void submitOnce(const registry::target_record& record);
-    /// @brief Counts a record that names no target to use, and logs it unless many come.
-    /// @param reason its field first, where one is unfit
-    void noteRefused(const std::string& what, const std::string& reason);
-    /// @brief Whether a service stands in the document in force; any does before the first one.
-    [[nodiscard]] bool isServiceNamed(const std::string& service);
+    /// @brief Counts a rejected record, and logs it at a limited rate.
+    /// @param reason starts with the name of the invalid field and a colon, if one field is to blame
+    void logRefusedRecord(const std::string& what, const std::string& reason);
+    /// @brief Whether the active document defines a service; true for any service while there is no document.
+    [[nodiscard]] bool isKnownService(const std::string& service);
     void onMessage(link::channel_number channel, const std::string& bytes);
-    void onBeat(link::channel_number channel, const link::gateway_beat& beat);
+    void onHeartbeat(link::channel_number channel, const link::gateway_beat& heartbeat);
     void onReport(link::channel_number channel, const link::member_report& report);
 
-    /// @brief Takes what a gateway has to say of requests that end targets.
-    void takeQuarantine(link::channel_number channel, session& one, const link::gateway_beat& beat);
-    /// @brief Puts what has gathered into the log, unless something is under way there.
+    /// @brief Queues the quarantine changes that a gateway reports, and skips batches that were queued before.
+    void queueQuarantineChanges(
+        link::channel_number channel, session& gatewaySession, const link::gateway_beat& heartbeat);
+    /// @brief Submits the queued changes to the log, unless an earlier submission is in flight.
     void submitQuarantine();
-    void onQuarantineSettled(const quarantine_gathering& gathered, bool committed);
-    /// @brief At the leader: ends terms.
-    void endQuarantineTerms();
+    void onQuarantineResult(const quarantine_submission& submission, bool committed);
+    /// @brief At the leader: queues the expiry of terms that have ended.
+    void expireQuarantineTerms();
+    /// @brief Logs quarantine entries whose stage has changed, and updates their metrics.
     void logQuarantine();
-    /// @brief Answers an operator who lists what is held against requests, or clears it.
+    /// @brief Lists or clears quarantine entries for an operator.
     void onQuarantineCall(const net::whole_request& request, const net::responder& respond);
     [[nodiscard]] std::string quarantinePage() const;
 
     void tick();
+    /// @brief Starts a quorum round for the heartbeats to be answered, unless one is open.
     void confirmSessions();
     void onConfirmed(std::uint64_t round, bool isCurrent);
-    /// @brief Ends a round that nobody will answer; its beats wait for the next.
-    void giveUpRound();
-    /// @brief Tells gateways whose answers wait for the quorum that this controller still reaches a leader.
-    void noteWait();
-    /// @brief Tells gateways what has changed; changes of the table that come in quick succession, together.
+    /// @brief Ends a round that failed; its heartbeats are answered after the next one.
+    void abandonRound();
+    /// @brief Tells gateways that this controller still reaches a leader while their answers wait for the quorum.
+    void notifyWaiting();
+    /// @brief Sends each gateway what has changed. Changes of the target table in quick succession are batched.
     void pushAll();
-    void followPlaces();
-    /// @return how old what is told of other registries' sessions is; nothing: it is this one's to know, or never told
+    /// @brief Updates the addresses of the members that gateways are sent.
+    void refreshPlaces();
+    /// @return age of the sums over the other controllers' sessions; nothing at the leader, or when none were received
     [[nodiscard]] std::optional<milliseconds> ageOfSums() const;
-    /// @brief Tells the leader what has come here, unless this one leads.
+    /// @brief Sends the pending report to the leader, unless this controller leads.
     void reportToLeader();
-    /// @param receipts of its batches that stand in the log now
-    void sendUpdate(link::channel_number channel, session& one, std::uint64_t sequence,
+    /// @param sequence of the heartbeat that it answers; 0: none
+    /// @param receipts for batches that have been committed
+    void sendUpdate(link::channel_number channel, session& gatewaySession, std::uint64_t sequence,
         std::vector<registry::quarantine_receipt> receipts = {});
-    /// @brief Sends a gateway what it lacks of the document, in slices.
-    void sendSlices(link::channel_number channel, const session& one);
-    void noteSent(link::channel_number channel, const session& one, std::size_t bytes);
+    /// @brief Sends a gateway the slices that bring it to the newest document.
+    void sendSlices(link::channel_number channel, const session& gatewaySession);
+    void logDocumentSent(link::channel_number channel, const session& gatewaySession, std::size_t bytes);
     void submitTargets(const std::vector<registry::target_record>& records, std::function<void(bool)> done);
     void onChanged();
-    void formWhenFirst();
-    /// @brief Services of the document in force.
+    /// @brief Forms a new log if this controller is the first seed, holds no log and has heard of none.
+    void bootstrapIfFirst();
+    /// @brief Services of the active document.
     [[nodiscard]] const std::vector<gateway::service>& services();
-    [[nodiscard]] bool isSafeToWrite() const;
-    /// @brief Where a target's next heartbeats go: to a controller of its own failure domain if there is one.
+    /// @brief Whether enough members vote for an acknowledged document to be stored on two disks. Always true when the
+    /// settings name fewer than two controllers.
+    [[nodiscard]] bool hasEnoughVoters() const;
+    /// @brief Address for a target's next heartbeats: a controller of its own failure domain if there is one.
     [[nodiscard]] std::string nextHeartbeatAddress(const registry::target_record& record) const;
-    /// @brief Targets that are limited or leaving, and those that asked this registry for rest.
+    /// @brief Targets that are rate-limited or draining, and those that requested a backoff from this controller.
     [[nodiscard]] std::vector<gateway::held_target> heldTargets(steady_time now) const;
     [[nodiscard]] net::whole_response statusPage() const;
 
@@ -133,38 +145,38 @@
     std::unique_ptr<link::link_hub> m_hub;
     std::unique_ptr<replicated_log> m_log;
     std::unique_ptr<net::http_service> m_control;
-    target_backoffs m_rests;
+    target_backoffs m_backoffs;
     layer_orders m_orders;
     target_watch m_watch;
-    std::uint64_t m_loggedRevision = 0; ///< changes of targets up to it are in the log
+    std::uint64_t m_loggedTargetRevision = 0; ///< of the target table; its changes up to it have been logged
     std::map<link::channel_number, session> m_sessions;
-    std::vector<link::controller_place> m_places; ///< of all members, to be told
-    std::uint64_t m_placesRevision = 0; ///< how often they have changed
-    registry::session_board m_board; ///< by channel number
+    std::vector<link::controller_place> m_places; ///< of all members, to be sent to gateways
+    std::uint64_t m_placesRevision = 0; ///< counts changes of m_places
+    registry::session_board m_board; ///< sessions are numbered by their channels
     registry::limit_board m_limits;
-    agreement::member_id m_reportedTo = 0; ///< leader that was told
-    std::uint64_t m_limitsReported = 0; ///< revision of m_limits that it was told
-    std::map<link::channel_number, std::uint64_t> m_memberLimitsTold; ///< at the leader: revision by link to a member
-    link::member_report m_unreported; ///< targets, for the leader
-    steady_time m_reportAt {};
-    steady_time m_answeredAt {}; ///< when the leader last told of all others' sums
-    steady_time m_tablePushAt {};
-    quarantine_gathering m_quarantineNext;
-    bool m_isQuarantineOpen = false; ///< a change of it is on its way into the log
+    agreement::member_id m_lastReportedLeader = 0; ///< leader that the last report went to
+    std::uint64_t m_limitsRevisionReported = 0; ///< of m_limits, in the last report
+    std::map<link::channel_number, std::uint64_t> m_memberLimitsSent; ///< revision of m_limits, by member link
+    link::member_report m_pendingReport; ///< events of targets, for the leader
+    steady_time m_nextReportAt {};
+    steady_time m_sumsReceivedAt {}; ///< when the leader last sent the sums of all other sessions
+    steady_time m_nextTablePushAt {};
+    quarantine_submission m_pendingQuarantine;
+    bool m_isQuarantineInFlight = false; ///< a submission hasn't been answered by the log yet
     registry::quarantine_clock m_quarantineClock;
-    std::uint64_t m_quarantineLogged = 0; ///< revision of the stages that were logged
-    std::set<request_fingerprint> m_quarantineNamed; ///< that were logged as in the table
-    std::set<registry::target_incarnation> m_submitted; ///< announcements on their way into the log
-    steady_time m_refusedLogAt {}; ///< no line for a refused record before
-    std::size_t m_refusedUnlogged = 0;
-    steady_time m_formDeadline {};
-    steady_time m_confirmAt {}; ///< no round before
+    std::uint64_t m_loggedStageRevision = 0; ///< stage changes up to it have been logged
+    std::set<request_fingerprint> m_loggedFingerprints; ///< fingerprints that were last logged as quarantined
+    std::set<registry::target_incarnation> m_announcementsInFlight; ///< submitted to the log and not committed yet
+    steady_time m_nextRefusalLogAt {}; ///< rejected records aren't logged before
+    std::size_t m_unloggedRefusals = 0;
+    steady_time m_bootstrapAt {};
+    steady_time m_nextConfirmAt {}; ///< no quorum round starts before
     confirmation_round m_round;
     standstill_watch m_standstill;
     std::unique_ptr<periodic_task> m_ticker;
 };
 
-/// @brief Runs the role until SIGTERM. @return the exit status
+/// @brief Runs the registry role until SIGTERM. @return the exit status of the process
 int runRegistry(const settings::settings& settings, const gateway::control_dialect& dialect);
 
 } // namespace buckthornrail::app
--- a/src/app/registry/registry_quarantine.cpp
+++ b/src/app/registry/registry_quarantine.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Requests that end targets, at a registry: what gateways report goes into the log; terms end by the leader's
-/// clock; operators list and clear.
+/// @brief Quarantine of requests that crash targets: gateways' reports are committed to the log, terms expire by the
+/// leader's clock, operators list and clear entries.
 #include "app/registry/registry.hpp"
 #include "app/shared/control_answer.hpp"
 #include "buckthornrail/link/state_json.hpp"
@@ -11,8 +11,9 @@
 namespace {
 
 constexpr std::string_view quarantinePath = "/quarantine";
-constexpr std::string_view everyEntry = "all";
-constexpr std::size_t mostLinesLogged = 50; ///< of one change: a lost failure domain makes suspects of hundreds
+constexpr std::string_view allEntries = "all";
+/// Lines per change: the loss of a failure domain makes hundreds of requests suspects.
+constexpr std::size_t maxLinesLogged = 50;
 
 template <typename Item> void append(std::vector<Item>& all, const std::vector<Item>& more)
 {
@@ -34,48 +35,49 @@
 
 } // namespace
 
-void registry_role::takeQuarantine(link::channel_number channel, session& one, const link::gateway_beat& beat)
+void registry_role::queueQuarantineChanges(
+    link::channel_number channel, session& gatewaySession, const link::gateway_beat& heartbeat)
 {
-    for (const auto& batch : beat.quarantine) {
-        if (batch.number <= one.quarantineBatch)
+    for (const auto& batch : heartbeat.quarantine) {
+        if (batch.number <= gatewaySession.quarantineBatch)
             continue;
-        one.quarantineBatch = batch.number;
-        auto& next = m_quarantineNext.change;
+        gatewaySession.quarantineBatch = batch.number;
+        auto& next = m_pendingQuarantine.change;
         append(next.crashes, batch.change.crashes);
         append(next.claims, batch.change.claims);
         append(next.ends, batch.change.ends);
         append(next.cleared, batch.change.cleared);
-        m_quarantineNext.batches.push_back({ channel, batch.number, batch.change.claims });
+        m_pendingQuarantine.batches.push_back({ channel, batch.number, batch.change.claims });
     }
     submitQuarantine();
 }
 
 void registry_role::submitQuarantine()
 {
-    if (m_isQuarantineOpen || (m_quarantineNext.change.isEmpty() && m_quarantineNext.batches.empty()))
+    if (m_isQuarantineInFlight || (m_pendingQuarantine.change.isEmpty() && m_pendingQuarantine.batches.empty()))
         return;
-    m_isQuarantineOpen = true;
-    auto gathered = std::exchange(m_quarantineNext, {});
+    m_isQuarantineInFlight = true;
+    auto submission = std::exchange(m_pendingQuarantine, {});
     const std::string id = randomName();
-    std::string bytes = encodeQuarantine(id, gathered.change);
+    std::string bytes = encodeQuarantine(id, submission.change);
     m_log->submit(
         id, std::move(bytes),
-        [this, gathered = std::move(gathered)](bool committed) {
-            m_isQuarantineOpen = false;
-            onQuarantineSettled(gathered, committed);
+        [this, submission = std::move(submission)](bool committed) {
+            m_isQuarantineInFlight = false;
+            onQuarantineResult(submission, committed);
             submitQuarantine();
         },
         callPatience);
 }
 
-void registry_role::onQuarantineSettled(const quarantine_gathering& gathered, bool committed)
+void registry_role::onQuarantineResult(const quarantine_submission& submission, bool committed)
 {
-    for (const auto& batch : gathered.batches) {
+    for (const auto& batch : submission.batches) {
         const auto found = m_sessions.find(batch.channel);
         if (found == m_sessions.end())
             continue;
         if (!committed) {
-            // The gateway sends it again; it may stand in the log by then, where the same change changes nothing.
+            // The gateway sends the batch again. If it has been committed by then, applying it twice changes nothing.
             found->second.quarantineBatch = std::min(found->second.quarantineBatch, batch.number - 1);
             continue;
         }
@@ -89,30 +91,30 @@
     }
 }
 
-void registry_role::endQuarantineTerms()
+void registry_role::expireQuarantineTerms()
 {
     const auto ended = m_quarantineClock.takeEnded(m_state.quarantine(), steadyNow());
-    for (const auto& one : ended) {
-        const auto& entry = *m_state.quarantine().find(one.fingerprint);
+    for (const auto& expiry : ended) {
+        const auto& entry = *m_state.quarantine().find(expiry.fingerprint);
         telemetry::logEvent(event_code::QuarantineTermEnded,
-            { { "fingerprint", text(one.fingerprint) }, { "stage", stageName(entry.stage) },
+            { { "fingerprint", text(expiry.fingerprint) }, { "stage", stageName(entry.stage) },
                 { "trial", entry.trial == 0 ? "none" : text(entry.trialTarget) },
                 { "term_ms", std::to_string(registry::termOf(entry).count()) } });
     }
-    append(m_quarantineNext.change.expired, ended);
+    append(m_pendingQuarantine.change.expired, ended);
     submitQuarantine();
 }
 
 void registry_role::logQuarantine()
 {
     const auto& table = m_state.quarantine();
-    if (m_quarantineLogged == table.stageRevision())
+    if (m_loggedStageRevision == table.stageRevision())
         return;
     std::size_t lines = 0;
     std::set<request_fingerprint> named;
     for (const auto& [fingerprint, entry] : table.entries()) {
         named.insert(fingerprint);
-        if (entry.stageRevision <= m_quarantineLogged || ++lines > mostLinesLogged)
+        if (entry.stageRevision <= m_loggedStageRevision || ++lines > maxLinesLogged)
             continue;
         telemetry::logEvent(event_code::QuarantineChanged,
             { { "fingerprint", text(fingerprint) }, { "stage", stageName(entry.stage) },
@@ -121,15 +123,15 @@
             entry.stage == registry::quarantine_stage::Proven ? telemetry::severity::Warning
                                                               : telemetry::severity::Info);
     }
-    for (const auto& fingerprint : m_quarantineNamed) {
-        if (named.contains(fingerprint) || ++lines > mostLinesLogged)
+    for (const auto& fingerprint : m_loggedFingerprints) {
+        if (named.contains(fingerprint) || ++lines > maxLinesLogged)
             continue;
         telemetry::logEvent(event_code::QuarantineChanged,
             { { "fingerprint", text(fingerprint) }, { "stage", stageName(registry::quarantine_stage::None) },
                 { "revision", std::to_string(table.stageRevision()) } });
     }
-    m_quarantineNamed = std::move(named);
-    m_quarantineLogged = table.stageRevision();
+    m_loggedFingerprints = std::move(named);
+    m_loggedStageRevision = table.stageRevision();
     std::map<registry::quarantine_stage, std::size_t> counts;
     for (const auto& [fingerprint, entry] : table.entries())
         ++counts[entry.stage];
@@ -171,12 +173,12 @@
     }
     name.remove_prefix(1);
     registry::quarantine_change change;
-    if (name == everyEntry) {
+    if (name == allEntries) {
         for (const auto& [fingerprint, entry] : m_state.quarantine().entries())
             change.cleared.push_back(fingerprint);
     } else if (const auto fingerprint = readFingerprint(name)) {
         if (m_state.quarantine().find(*fingerprint) == nullptr) {
-            refuse(notFound, "nothing is held against that request");
+            refuse(notFound, "no quarantine entry has this fingerprint");
             return;
         }
         change.cleared.push_back(*fingerprint);
--- a/src/app/registry/registry_sessions.cpp
+++ b/src/app/registry/registry_sessions.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Gateways' sessions at a registry: heartbeats, confirmation by a quorum, what is pushed.
+/// @brief Gateway sessions of the registry: heartbeats, confirmation by a quorum, pushed updates.
 #include "app/registry/registry.hpp"
 
 #include <algorithm>
@@ -8,80 +8,83 @@
 namespace buckthornrail::app {
 namespace {
 
-/// Heartbeats of gateways that came meanwhile are answered after one round of the quorum.
+/// Period of quorum rounds. One round confirms the answers to all heartbeats that arrived since the last.
 constexpr milliseconds confirmPeriod { 100 };
-constexpr milliseconds confirmPatience { 800 };
-/// A gateway that has said nothing for so long doesn't count.
+constexpr milliseconds confirmTimeout { 800 };
+/// A session without heartbeats for this long is closed.
 constexpr milliseconds sessionLifetime { 2000 };
 
-/// A round of the quorum that takes longer than so long is told of, and told again: gateways leave a controller that
-/// says nothing for 0.9 s, though it may only be waiting for members that are being sent a long entry.
-constexpr milliseconds notePeriod { 300 };
-/// Reports to the leader. What gateways tell of their loads ages by half of it on the way to gateways with sessions
-/// elsewhere, beside the 300 ms between their beats.
+/// Period of notices to gateways while a quorum round is open. Gateways leave a controller that is silent for 0.9 s,
+/// although it may only be waiting for members that are receiving a long entry.
+constexpr milliseconds noticePeriod { 300 };
+/// Period of reports to the leader. It delays the loads that gateways report to those with sessions at other
+/// controllers by half a period on average, in addition to the 300 ms between heartbeats.
 constexpr milliseconds reportPeriod { 100 };
-/// Suspicions kept while no leader can be told: as many as targets of a lost failure domain. Leases find the others.
-constexpr std::size_t mostUnreported = 1000;
-/// Changes of the table of targets are gathered for so long: 3,000 targets that announce themselves within a second
-/// would be as many updates for each gateway. A change that comes alone is told at once.
+/// Unreachable and leaving targets, of each kind, that are kept while no leader is reachable: as many as a lost failure
+/// domain has targets. Expired leases reveal the others.
+constexpr std::size_t maxPendingReports = 1000;
+/// Least time between pushes of the target table: 3,000 targets that announce themselves within a second would
+/// otherwise cause as many updates for each gateway. A single change is pushed at once.
 constexpr milliseconds tablePushPeriod { 50 };
 
 } // namespace
 
-void registry_role::onBeat(link::channel_number channel, const link::gateway_beat& beat)
+void registry_role::onHeartbeat(link::channel_number channel, const link::gateway_beat& heartbeat)
 {
-    auto& one = m_sessions[channel];
-    if (one.instance.empty()) {
-        telemetry::logEvent(event_code::SessionOpened, { { "gateway", beat.instance } });
-        one.quarantineRevision = beat.quarantineRevision;
+    auto& gatewaySession = m_sessions[channel];
+    if (gatewaySession.instance.empty()) {
+        telemetry::logEvent(event_code::SessionOpened, { { "gateway", heartbeat.instance } });
+        gatewaySession.quarantineRevision = heartbeat.quarantineRevision;
     }
-    one.instance = beat.instance;
-    one.takesSlices = beat.sliceVersion.has_value();
-    // What was sent over this channel arrives before anything sent later: a beat that crossed it on the way says less
-    // than the gateway will hold.
-    one.documentVersion = std::max(one.documentVersion, beat.sliceVersion.value_or(beat.documentVersion));
-    one.targetRevision = std::max(one.targetRevision, beat.targetRevision);
-    const registry::gateway_life life { beat.instance, beat.life, beat.repeats, beat.isRepeatsComplete };
-    m_board.heard(
-        channel, { life, beat.openAttempts, beat.targetRevision, beat.loads }, m_state.targets(), steadyNow());
-    m_limits.take(beat.limits, registry::limit_source::Below, m_state.targets(), steadyNow());
-    one.waitingSequence = beat.sequence;
-    one.deadline = steadyNow() + sessionLifetime;
-    takeQuarantine(channel, one, beat);
-    for (const auto& target : beat.darkTargets) {
+    gatewaySession.instance = heartbeat.instance;
+    gatewaySession.acceptsSlices = heartbeat.sliceVersion.has_value();
+    // Updates arrive in order over this channel, so a heartbeat that crossed one on the way names an older version than
+    // the gateway will hold.
+    gatewaySession.documentVersion
+        = std::max(gatewaySession.documentVersion, heartbeat.sliceVersion.value_or(heartbeat.documentVersion));
+    gatewaySession.targetRevision = std::max(gatewaySession.targetRevision, heartbeat.targetRevision);
+    const registry::gateway_life life { heartbeat.instance, heartbeat.life, heartbeat.repeats,
+        heartbeat.isRepeatsComplete };
+    m_board.heard(channel, { life, heartbeat.openAttempts, heartbeat.targetRevision, heartbeat.loads },
+        m_state.targets(), steadyNow());
+    m_limits.take(heartbeat.limits, registry::limit_source::Below, m_state.targets(), steadyNow());
+    gatewaySession.pendingSequence = heartbeat.sequence;
+    gatewaySession.deadline = steadyNow() + sessionLifetime;
+    queueQuarantineChanges(channel, gatewaySession, heartbeat);
+    for (const auto& target : heartbeat.darkTargets) {
         if (m_log->isLeader())
-            m_watch.suspect(target);
-        else if (m_unreported.darkTargets.size() < mostUnreported)
-            m_unreported.darkTargets.push_back(target);
+            m_watch.probeSuspect(target);
+        else if (m_pendingReport.darkTargets.size() < maxPendingReports)
+            m_pendingReport.darkTargets.push_back(target);
     }
-    auto& leaving = m_unreported.leavingTargets;
+    auto& leaving = m_pendingReport.leavingTargets;
     if (m_log->isLeader())
-        takeLeaving(beat.leavingTargets);
-    else if (leaving.size() < mostUnreported) // the others are told again with the next beat
-        leaving.insert(leaving.end(), beat.leavingTargets.begin(), beat.leavingTargets.end());
-    if (!m_unreported.darkTargets.empty() || !m_unreported.leavingTargets.empty())
-        m_reportAt = {}; // a lost target is known everywhere 0.3 s after the first gateway met it
+        markDraining(heartbeat.leavingTargets);
+    else if (leaving.size() < maxPendingReports) // the gateway repeats those left out in its next heartbeat
+        leaving.insert(leaving.end(), heartbeat.leavingTargets.begin(), heartbeat.leavingTargets.end());
+    if (!m_pendingReport.darkTargets.empty() || !m_pendingReport.leavingTargets.empty())
+        m_nextReportAt = {}; // so a lost target is known everywhere 0.3 s after the first gateway detects it
     if (m_log->reachesLeader())
         return; // answered after the next confirmation
-    one.isConfirmed = false;
+    gatewaySession.isConfirmed = false;
     link::gateway_update update;
-    update.sequence = beat.sequence;
+    update.sequence = heartbeat.sequence;
     m_hub->send(channel, link::encode(link::message(update)));
 }
 
 void registry_role::onReport(link::channel_number channel, const link::member_report& report)
 {
     if (!m_log->isLeader())
-        return; // whoever leads gets the next one
+        return; // the next report goes to the new leader
     for (const auto& target : report.heard)
-        m_watch.heard(target.id, { target.startedMs, target.sequence });
+        m_watch.onAnnouncement(target.id, { target.startedMs, target.sequence });
     for (const auto& target : report.darkTargets)
-        m_watch.suspect(target);
-    takeLeaving(report.leavingTargets);
+        m_watch.probeSuspect(target);
+    markDraining(report.leavingTargets);
     m_limits.take(report.limits, registry::limit_source::Below, m_state.targets(), steadyNow());
     auto answer = m_board.answer(channel, report.sessions, m_state.targets(), steadyNow());
-    auto& told = m_memberLimitsTold[channel];
-    answer.limits = m_limits.changesSince(std::exchange(told, m_limits.revision()), steadyNow());
+    auto& sentRevision = m_memberLimitsSent[channel];
+    answer.limits = m_limits.changesSince(std::exchange(sentRevision, m_limits.revision()), steadyNow());
     m_hub->send(channel, link::encode(link::message(answer)));
 }
 
@@ -89,17 +92,17 @@
 {
     const steady_time now = steadyNow();
     if (m_log->isLeader()) {
-        m_unreported = {};
+        m_pendingReport = {};
         return;
     }
-    if (now < m_reportAt || !m_log->reachesLeader())
+    if (now < m_nextReportAt || !m_log->reachesLeader())
         return;
-    m_reportAt = now + reportPeriod;
-    auto report = std::exchange(m_unreported, {});
+    m_nextReportAt = now + reportPeriod;
+    auto report = std::exchange(m_pendingReport, {});
     report.sessions = m_board.report(m_state.targets());
-    if (std::exchange(m_reportedTo, m_log->replica().leader()) != m_log->replica().leader())
-        m_limitsReported = 0;
-    report.limits = m_limits.changesForLeader(std::exchange(m_limitsReported, m_limits.revision()), now);
+    if (std::exchange(m_lastReportedLeader, m_log->replica().leader()) != m_log->replica().leader())
+        m_limitsRevisionReported = 0;
+    report.limits = m_limits.changesForLeader(std::exchange(m_limitsRevisionReported, m_limits.revision()), now);
     m_log->sendToLeader(link::message(std::move(report)));
 }
 
@@ -107,19 +110,18 @@
 {
     const steady_time now = steadyNow();
     if (m_round.isOpen && m_round.leader != m_log->replica().leader())
-        giveUpRound();
+        abandonRound();
     const bool anyWaits = std::any_of(
-        m_sessions.begin(), m_sessions.end(), [](const auto& item) { return item.second.waitingSequence != 0; });
-    if (!m_log->reachesLeader() || m_round.isOpen || !anyWaits || now < m_confirmAt)
+        m_sessions.begin(), m_sessions.end(), [](const auto& item) { return item.second.pendingSequence != 0; });
+    if (!m_log->reachesLeader() || m_round.isOpen || !anyWaits || now < m_nextConfirmAt)
         return;
-    m_confirmAt = now + confirmPeriod;
-    m_round = { m_round.number + 1, true, m_log->replica().leader(), {}, now + notePeriod };
-    for (auto& [channel, one] : m_sessions) {
-        if (one.waitingSequence != 0)
-            m_round.waiting[channel] = std::exchange(one.waitingSequence, 0);
+    m_nextConfirmAt = now + confirmPeriod;
+    m_round = { m_round.number + 1, true, m_log->replica().leader(), {}, now + noticePeriod };
+    for (auto& [channel, gatewaySession] : m_sessions) {
+        if (gatewaySession.pendingSequence != 0)
+            m_round.waiting[channel] = std::exchange(gatewaySession.pendingSequence, 0);
     }
-    m_log->confirm(
-        [this, number = m_round.number](bool isCurrent) { onConfirmed(number, isCurrent); }, confirmPatience);
+    m_log->confirm([this, number = m_round.number](bool isCurrent) { onConfirmed(number, isCurrent); }, confirmTimeout);
 }
 
 void registry_role::onConfirmed(std::uint64_t round, bool isCurrent)
@@ -127,7 +129,7 @@
     if (!m_round.isOpen || m_round.number != round)
         return;
     if (!isCurrent) {
-        giveUpRound();
+        abandonRound();
         return;
     }
     m_round.isOpen = false;
@@ -140,31 +142,32 @@
     }
 }
 
-void registry_role::giveUpRound()
+void registry_role::abandonRound()
 {
     m_round.isOpen = false;
     for (const auto& [channel, sequence] : std::exchange(m_round.waiting, {})) {
         const auto found = m_sessions.find(channel);
-        if (found != m_sessions.end() && found->second.waitingSequence == 0)
-            found->second.waitingSequence = sequence;
+        if (found != m_sessions.end() && found->second.pendingSequence == 0)
+            found->second.pendingSequence = sequence;
     }
 }
 
-void registry_role::noteWait()
+void registry_role::notifyWaiting()
 {
     const steady_time now = steadyNow();
-    // The leader is heard, by parts of long messages if by nothing else; and it hears its quorum as long as it leads.
-    if (!m_round.isOpen || now < m_round.noteAt || !m_log->reachesLeader())
+    // Even parts of a long message show that the leader is alive, and a leader steps down without contact to its
+    // quorum.
+    if (!m_round.isOpen || now < m_round.nextNoticeAt || !m_log->reachesLeader())
         return;
-    m_round.noteAt = now + notePeriod;
+    m_round.nextNoticeAt = now + noticePeriod;
     link::gateway_update update;
     update.waitsForQuorum = true;
     const std::string bytes = link::encode(link::message(update));
-    for (const auto& [channel, one] : m_sessions)
+    for (const auto& [channel, gatewaySession] : m_sessions)
         m_hub->send(channel, bytes);
 }
 
-void registry_role::followPlaces()
+void registry_role::refreshPlaces()
 {
     auto places = m_log->places();
     if (places == m_places)
@@ -176,34 +179,34 @@
 void registry_role::pushAll()
 {
     const steady_time now = steadyNow();
-    const bool tellsTable = now >= m_tablePushAt;
-    bool isTableTold = false;
-    for (auto& [channel, one] : m_sessions) {
-        const bool lacksTable = tellsTable && one.targetRevision < m_state.targets().revision();
-        const bool lacksDocument = one.documentVersion < m_state.document().version;
-        const bool lacksQuarantine = one.quarantineRevision != m_state.quarantine().stageRevision();
-        if (!one.isConfirmed || (!lacksTable && !lacksDocument && !lacksQuarantine))
+    const bool isTablePushDue = now >= m_nextTablePushAt;
+    bool isTablePushed = false;
+    for (auto& [channel, gatewaySession] : m_sessions) {
+        const bool lacksTable = isTablePushDue && gatewaySession.targetRevision < m_state.targets().revision();
+        const bool lacksDocument = gatewaySession.documentVersion < m_state.document().version;
+        const bool lacksQuarantine = gatewaySession.quarantineRevision != m_state.quarantine().stageRevision();
+        if (!gatewaySession.isConfirmed || (!lacksTable && !lacksDocument && !lacksQuarantine))
             continue;
-        isTableTold = isTableTold || lacksTable;
-        sendUpdate(channel, one, 0);
+        isTablePushed = isTablePushed || lacksTable;
+        sendUpdate(channel, gatewaySession, 0);
     }
-    if (isTableTold)
-        m_tablePushAt = now + tablePushPeriod;
+    if (isTablePushed)
+        m_nextTablePushAt = now + tablePushPeriod;
 }
 
-void registry_role::sendUpdate(link::channel_number channel, session& one, std::uint64_t sequence,
+void registry_role::sendUpdate(link::channel_number channel, session& gatewaySession, std::uint64_t sequence,
     std::vector<registry::quarantine_receipt> receipts)
 {
     const auto fleet = m_board.summaryFor(channel, m_state.targets(), steadyNow());
     link::gateway_update update;
     update.sequence = sequence;
     update.isServed = true;
-    if (one.takesSlices)
-        sendSlices(channel, one); // the update puts them in force
+    if (gatewaySession.acceptsSlices)
+        sendSlices(channel, gatewaySession); // the gateway activates them with the update
     else
-        update.document = m_state.documentUpdate(one.documentVersion);
-    update.targets = m_state.targetsUpdate(one.targetRevision);
-    if (std::exchange(one.placesTold, m_placesRevision) != m_placesRevision)
+        update.document = m_state.documentUpdate(gatewaySession.documentVersion);
+    update.targets = m_state.targetsUpdate(gatewaySession.targetRevision);
+    if (std::exchange(gatewaySession.placesRevisionSent, m_placesRevision) != m_placesRevision)
         update.controllers = m_places;
     update.gateways = std::max(fleet.gateways, 1U);
     update.budgetSharers = fleet.budgetSharers;
@@ -212,37 +215,38 @@
     update.othersOpenAttempts = fleet.othersOpenAttempts;
     update.othersLoads = fleet.othersLoads;
     update.ordinal = fleet.ordinal;
-    update.limits = m_limits.changesSince(std::exchange(one.limitsTold, m_limits.revision()), steadyNow());
+    update.limits
+        = m_limits.changesSince(std::exchange(gatewaySession.limitsRevisionSent, m_limits.revision()), steadyNow());
     const auto& quarantine = m_state.quarantine();
-    const std::uint64_t held = std::exchange(one.quarantineRevision, quarantine.stageRevision());
+    const std::uint64_t held = std::exchange(gatewaySession.quarantineRevision, quarantine.stageRevision());
     if (held != quarantine.stageRevision())
         update.quarantine.push_back(quarantine.changesSince(held));
     update.quarantineReceipts = std::move(receipts);
     const std::string bytes = link::encode(link::message(update));
     if (!update.document.empty())
-        noteSent(channel, one, bytes.size());
-    one.documentVersion = std::max(one.documentVersion, m_state.document().version);
-    one.targetRevision = m_state.targets().revision();
+        logDocumentSent(channel, gatewaySession, bytes.size());
+    gatewaySession.documentVersion = std::max(gatewaySession.documentVersion, m_state.document().version);
+    gatewaySession.targetRevision = m_state.targets().revision();
     m_hub->send(channel, bytes);
 }
 
-void registry_role::sendSlices(link::channel_number channel, const session& one)
+void registry_role::sendSlices(link::channel_number channel, const session& gatewaySession)
 {
     m_feed.update(m_state.document());
-    const auto messages = m_feed.messagesFrom(one.documentVersion, m_state.document());
+    const auto messages = m_feed.messagesFrom(gatewaySession.documentVersion, m_state.document());
     std::size_t bytes = 0;
     for (const auto* message : messages) {
         bytes += message->size();
         m_hub->send(channel, *message);
     }
     if (!messages.empty())
-        noteSent(channel, one, bytes);
+        logDocumentSent(channel, gatewaySession, bytes);
 }
 
-void registry_role::noteSent(link::channel_number channel, const session& one, std::size_t bytes)
+void registry_role::logDocumentSent(link::channel_number channel, const session& gatewaySession, std::size_t bytes)
 {
     telemetry::logEvent(event_code::DocumentSent,
-        { { "gateway", one.instance }, { "from", std::to_string(one.documentVersion) },
+        { { "gateway", gatewaySession.instance }, { "from", std::to_string(gatewaySession.documentVersion) },
             { "to", std::to_string(m_state.document().version) }, { "bytes", std::to_string(bytes) },
             { "waiting", std::to_string(m_hub->bytesWaiting(channel)) } });
 }
--- a/src/app/registry/registry_state.cpp
+++ b/src/app/registry/registry_state.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Commands of the registry, and its snapshot.
+/// @brief Commands and snapshots of the registry.
 #include "app/registry/registry_state.hpp"
 
 #include "buckthornrail/compression/text_patch.hpp"
@@ -12,13 +12,13 @@
 
 using nlohmann::json;
 
-/// Gateways lag by one version as a rule, by a few where changes come in quick succession; each text kept costs a tenth
-/// of its size in memory.
-constexpr std::size_t keptTexts = 6;
-/// Bytes that a document may have: as many as a message between processes.
-constexpr std::size_t longestDocument = 32U << 20U;
-/// The same of a change of the table of targets: 3,000 take 0.8 MB.
-constexpr std::size_t longestTable = longestDocument;
+/// Gateways usually lag by one version, and by a few when changes come in quick succession. Each kept document takes a
+/// tenth of its size in memory.
+constexpr std::size_t maxEarlierDocuments = 6;
+/// Largest document: the size limit of a message between processes.
+constexpr std::size_t maxDocumentBytes = 32U << 20U;
+/// Largest decompressed update of the target table; 3,000 targets take 0.8 MB.
+constexpr std::size_t maxTargetsUpdateBytes = maxDocumentBytes;
 
 std::string toBytes(const json& value)
 {
@@ -27,15 +27,15 @@
     return bytes;
 }
 
-/// Document of a command or a snapshot. Logs and snapshots of earlier programs hold the text itself.
-/// @throw json::exception or bad_expected_access when there is none
+/// Reads the document of a command or a snapshot. Logs and snapshots of earlier versions hold the uncompressed text.
+/// @throw json::exception or bad_expected_access when it is missing or damaged
 versioned_text readText(const json& from)
 {
     const auto version = from.at("version").get<std::uint64_t>();
     if (from.contains("text"))
         return { version, from.at("text").get<std::string>() };
     return { version,
-        compression::applyPatch({}, from.at("patch").get_ref<const std::string&>(), longestDocument).value() };
+        compression::applyPatch({}, from.at("patch").get_ref<const std::string&>(), maxDocumentBytes).value() };
 }
 
 } // namespace
@@ -46,11 +46,11 @@
         return {};
     if (update.from != 0 && update.from != held.version) {
         return tl::make_unexpected(failure { result_code::MalformedMessage,
-            "the change follows from version " + std::to_string(update.from) + ", held is "
+            "the update applies to version " + std::to_string(update.from) + ", held is version "
                 + std::to_string(held.version) });
     }
     auto text = compression::applyPatch(
-        update.from == 0 ? std::string_view() : std::string_view(held.text), update.patch, longestDocument);
+        update.from == 0 ? std::string_view() : std::string_view(held.text), update.patch, maxDocumentBytes);
     if (!text)
         return tl::make_unexpected(text.error());
     held = { update.to, std::move(*text) };
@@ -59,7 +59,7 @@
 
 tl::expected<registry::target_delta, failure> readTargetsUpdate(const link::text_update& update)
 {
-    const auto bytes = compression::applyPatch({}, update.patch, longestTable);
+    const auto bytes = compression::applyPatch({}, update.patch, maxTargetsUpdateBytes);
     if (!bytes)
         return tl::make_unexpected(bytes.error());
     return link::decodeDelta(*bytes);
@@ -68,7 +68,7 @@
 std::string registry_state::applyCommand(const std::string& bytes)
 {
     try {
-        // Told not to throw, the parser still does for a size that no memory holds.
+        // With exceptions disabled the parser would still throw for a size that exceeds the memory.
         const json command = json::from_cbor(bytes);
         if (command.contains("version")) {
             auto read = readText(command);
@@ -82,7 +82,7 @@
             m_quarantine.apply(command.at("quarantine").get<registry::quarantine_change>());
         return command.at("id").get<std::string>();
     } catch (const std::exception&) {
-        return {}; // the caller logs that the command can't be read
+        return {}; // the caller logs that the command is unreadable
     }
 }
 
@@ -91,10 +91,10 @@
     if (version <= m_document.version)
         return;
     if (m_document.version != 0)
-        m_earlier.push_back({ m_document.version, compression::makePatch({}, m_document.text) });
+        m_earlierDocuments.push_back({ m_document.version, compression::makePatch({}, m_document.text) });
     m_patches.clear();
-    if (m_earlier.size() > keptTexts)
-        m_earlier.pop_front();
+    if (m_earlierDocuments.size() > maxEarlierDocuments)
+        m_earlierDocuments.pop_front();
     m_document = { version, std::move(text) };
 }
 
@@ -114,7 +114,7 @@
 tl::expected<void, failure> registry_state::restoreState(const std::string& bytes)
 {
     m_document = {};
-    m_earlier.clear();
+    m_earlierDocuments.clear();
     m_patches.clear();
     m_targets = {};
     m_targetUpdates.clear();
@@ -122,16 +122,16 @@
     if (bytes.empty())
         return {};
     try {
-        const json whole = json::from_cbor(bytes);
-        m_document = readText(whole);
-        m_targets.restore(whole.at("targets").get<std::vector<registry::target_record>>(),
-            whole.at("revision").get<std::uint64_t>(), whole.at("pruned").get<std::uint64_t>());
+        const json snapshot = json::from_cbor(bytes);
+        m_document = readText(snapshot);
+        m_targets.restore(snapshot.at("targets").get<std::vector<registry::target_record>>(),
+            snapshot.at("revision").get<std::uint64_t>(), snapshot.at("pruned").get<std::uint64_t>());
         std::map<request_fingerprint, registry::quarantine_entry> quarantined;
-        for (const auto& row : whole.value("quarantine", json::array()))
+        for (const auto& row : snapshot.value("quarantine", json::array()))
             quarantined[row.at(0).get<request_fingerprint>()] = row.at(1).get<registry::quarantine_entry>();
-        m_quarantine.restore(std::move(quarantined), whole.value("quarantineRevision", std::uint64_t { 0 }));
-    } catch (const std::exception& fault) {
-        return tl::make_unexpected(failure { result_code::StorageCorrupt, fault.what() });
+        m_quarantine.restore(std::move(quarantined), snapshot.value("quarantineRevision", std::uint64_t { 0 }));
+    } catch (const std::exception& error) {
+        return tl::make_unexpected(failure { result_code::StorageCorrupt, error.what() });
     }
     return {};
 }
@@ -140,33 +140,33 @@
 {
     if (held >= m_document.version)
         return {};
-    const auto earlier
-        = std::find_if(m_earlier.begin(), m_earlier.end(), [held](const auto& one) { return one.version == held; });
-    const std::uint64_t from = earlier == m_earlier.end() ? 0 : held;
-    auto known = m_patches.find(from);
-    if (known == m_patches.end()) {
+    const auto earlier = std::find_if(
+        m_earlierDocuments.begin(), m_earlierDocuments.end(), [held](const auto& one) { return one.version == held; });
+    const std::uint64_t from = earlier == m_earlierDocuments.end() ? 0 : held;
+    auto cached = m_patches.find(from);
+    if (cached == m_patches.end()) {
         std::string base;
         if (from != 0)
-            base = compression::applyPatch({}, earlier->patch, longestDocument).value();
-        known = m_patches.emplace(from, compression::makePatch(base, m_document.text)).first;
+            base = compression::applyPatch({}, earlier->patch, maxDocumentBytes).value();
+        cached = m_patches.emplace(from, compression::makePatch(base, m_document.text)).first;
     }
-    return { { from, m_document.version, known->second } };
+    return { { from, m_document.version, cached->second } };
 }
 
 std::vector<link::text_update> registry_state::targetsUpdate(std::uint64_t held)
 {
     if (held == m_targets.revision())
         return {};
-    if (m_targetUpdatesTo != m_targets.revision())
+    if (m_targetUpdatesRevision != m_targets.revision())
         m_targetUpdates.clear();
-    m_targetUpdatesTo = m_targets.revision();
-    auto known = m_targetUpdates.find(held);
-    if (known == m_targetUpdates.end()) {
+    m_targetUpdatesRevision = m_targets.revision();
+    auto cached = m_targetUpdates.find(held);
+    if (cached == m_targetUpdates.end()) {
         const auto delta = m_targets.changesSince(held);
         std::string patch = compression::makePatch({}, link::encodeDelta(delta));
-        known = m_targetUpdates.emplace(held, link::text_update { delta.from, delta.to, std::move(patch) }).first;
+        cached = m_targetUpdates.emplace(held, link::text_update { delta.from, delta.to, std::move(patch) }).first;
     }
-    return { known->second };
+    return { cached->second };
 }
 
 std::string encodePublish(const std::string& id, const versioned_text& document)
--- a/src/app/registry/registry_state.hpp
+++ b/src/app/registry/registry_state.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The replicated state of the controllers before gateways: the published document and the targets.
+/// @brief State that the registry's controllers replicate: the published document, the targets and the quarantine.
 #pragma once
 
 #include "app/shared/replicated_log.hpp"
@@ -11,21 +11,22 @@
 
 namespace buckthornrail::app {
 
-/// A text under its version.
+/// A text and its version.
 struct versioned_text {
     std::uint64_t version = 0;
     std::string text;
 };
 
-/// @brief Takes an update over; an older one than what is held changes nothing.
-/// @return why it can't be: it doesn't follow from what is held, or is damaged
+/// @brief Applies an update; one that isn't newer than the held text changes nothing.
+/// @return MalformedMessage when the update is based on another version than the held one, or is damaged
 tl::expected<void, failure> applyTextUpdate(versioned_text& held, const link::text_update& update);
 
-/// @brief Reads a change of the table of targets.
+/// @brief Decodes an update of the target table.
 /// @return MalformedMessage when it is damaged
 tl::expected<registry::target_delta, failure> readTargetsUpdate(const link::text_update& update);
 
-/// @brief Deterministic. The highest version of the document is in force; others change nothing.
+/// @brief Deterministic state machine. The highest version of the document is active; publishing a lower or the same
+/// one changes nothing.
 class registry_state : public replicated_state {
 public:
     std::string applyCommand(const std::string& bytes) override;
@@ -35,15 +36,20 @@
     [[nodiscard]] const versioned_text& document() const { return m_document; }
     [[nodiscard]] const registry::target_table& targets() const { return m_targets; }
     [[nodiscard]] const registry::quarantine_table& quarantine() const { return m_quarantine; }
-    /// @brief What a receiver of that version lacks; nothing when it is current. Made once for all receivers.
+    /// @brief The update to the newest document, computed once for all receivers that hold the same version.
+    /// @param held the receiver's version; 0: none
+    /// @return one update; empty when the receiver is up to date
     [[nodiscard]] std::vector<link::text_update> documentUpdate(std::uint64_t held);
-    /// @brief The same of the table of targets, by revision. With 3,000 targets the whole table has 800 KB, and making
-    /// it for each of 300 gateways anew took a leader four seconds, in which it answered nobody.
+    /// @brief The update to the newest target table, computed once for all receivers that hold the same revision. With
+    /// 3,000 targets the whole table takes 800 KB; encoding it separately for each of 300 gateways blocked a leader for
+    /// four seconds.
+    /// @param held the receiver's revision
+    /// @return one update; empty when the receiver is up to date
     [[nodiscard]] std::vector<link::text_update> targetsUpdate(std::uint64_t held);
 
 private:
-    /// A text as a patch that stands for itself: a tenth of its size or less.
-    struct packed_text {
+    /// A text stored as a patch against the empty text: a tenth of its size or less.
+    struct compressed_text {
         std::uint64_t version = 0;
         std::string patch;
     };
@@ -51,19 +57,21 @@
     void publish(std::uint64_t version, std::string text);
 
     versioned_text m_document;
-    std::deque<packed_text> m_earlier; ///< not saved: only for short updates
-    std::map<std::uint64_t, std::string> m_patches; ///< to the document, by the version held; 0: none
+    std::deque<compressed_text> m_earlierDocuments; ///< bases of short updates; not part of a snapshot
+    std::map<std::uint64_t, std::string> m_patches; ///< to the newest document, by base version; 0: no base
     registry::target_table m_targets;
-    std::map<std::uint64_t, link::text_update> m_targetUpdates; ///< by the revision held; to m_targetUpdatesTo
-    std::uint64_t m_targetUpdatesTo = 0;
+    std::map<std::uint64_t, link::text_update> m_targetUpdates; ///< to m_targetUpdatesRevision, by base revision
+    std::uint64_t m_targetUpdatesRevision = 0;
     registry::quarantine_table m_quarantine;
 };
 
-/// @brief A command that publishes a document, compressed: it goes to each member and onto its disk. @param id unique
+/// @brief Encodes a command that publishes a document. The document is compressed, since the command is sent to every
+/// member and written to its disk.
+/// @param id unique
 std::string encodePublish(const std::string& id, const versioned_text& document);
-/// @brief A command that takes announcements into the table.
+/// @brief Encodes a command that applies announcements to the target table. @param id unique
 std::string encodeTargets(const std::string& id, const std::vector<registry::target_record>& records);
-/// @brief A command that changes what is held against requests.
+/// @brief Encodes a command that changes the quarantine. @param id unique
 std::string encodeQuarantine(const std::string& id, const registry::quarantine_change& change);
 
 } // namespace buckthornrail::app
--- a/src/app/registry/registry_state_test.cpp
+++ b/src/app/registry/registry_state_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The registry's replicated state: highest version, short updates, snapshots.
+/// @brief Tests of the registry's replicated state: versions, updates, snapshots and damaged input.
 #include "app/registry/registry_state.hpp"
 
 #include "buckthornrail/compression/text_patch.hpp"
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("registry state: the highest version is in force, others change nothing", "[registry]")
+TEST_CASE("registry state: the highest version is active, others change nothing", "[registry]")
 {
     registry_state state;
     CHECK(state.applyCommand(encodePublish("1", { 7, "seven" })) == "1");
@@ -40,7 +40,7 @@
     CHECK(state.applyCommand("no command").empty());
 }
 
-TEST_CASE("registry state: a snapshot holds it all, and an empty one nothing", "[registry]")
+TEST_CASE("registry state: a snapshot restores everything, an empty one resets the state", "[registry]")
 {
     registry_state state;
     registry::target_record record;
@@ -81,7 +81,7 @@
     });
 }
 
-TEST_CASE("registry state: an update that doesn't follow is refused, an old one ignored", "[registry]")
+TEST_CASE("registry state: an update with another base is rejected, an old one is ignored", "[registry]")
 {
     versioned_text held { 3, "abc" };
     CHECK_FALSE(applyTextUpdate(held, { 2, 4, makePatch("abb", "axc") }));
@@ -97,8 +97,7 @@
     CHECK(held.text == "axc");
 }
 
-TEST_CASE(
-    "registry state: a small change of a large document is told in few bytes, also two changes later", "[registry]")
+TEST_CASE("registry state: a small change of a large document takes few bytes, also two versions later", "[registry]")
 {
     const auto text = [](std::uint64_t version, int routes) {
         std::string whole = "{\"version\":" + std::to_string(version) + ",\"routes\":[";
@@ -120,7 +119,7 @@
     CHECK(state.documentUpdate(5).front().from == 0);
 }
 
-TEST_CASE("registry state: any receiver's table follows, whatever it has missed", "[registry]")
+TEST_CASE("registry state: every receiver's table catches up, whatever it has missed", "[registry]")
 {
     rc::prop("any changes, any receivers", [] {
         constexpr int receivers = 4;
@@ -147,20 +146,20 @@
     });
 }
 
-TEST_CASE("registry state: a damaged change of the table is refused", "[registry]")
+TEST_CASE("registry state: a damaged update of the target table is rejected", "[registry]")
 {
     registry_state state;
     registry::target_record record;
     record.id = "i-1";
     record.address = "10.0.0.1:80";
     state.applyCommand(encodeTargets("1", { record }));
-    const auto sound = state.targetsUpdate(0).front();
-    CHECK(readTargetsUpdate(sound).has_value());
-    rc::prop("any byte, any end", [&sound] {
-        auto damaged = sound;
-        damaged.patch.resize(*rc::gen::inRange<std::size_t>(0, sound.patch.size()));
+    const auto intact = state.targetsUpdate(0).front();
+    CHECK(readTargetsUpdate(intact).has_value());
+    rc::prop("any byte, any end", [&intact] {
+        auto damaged = intact;
+        damaged.patch.resize(*rc::gen::inRange<std::size_t>(0, intact.patch.size()));
         RC_ASSERT_FALSE(readTargetsUpdate(damaged).has_value());
-        // Whole frames of bytes that are no change, as another writer would send them.
+        // Intact frames whose content is no valid delta, as a faulty sender would produce them.
         auto bytes = link::encodeDelta(deltaOfOne());
         bytes[*rc::gen::inRange<std::size_t>(0, bytes.size())] = *rc::gen::arbitrary<char>();
         (void)readTargetsUpdate({ 0, 1, makePatch({}, bytes) });
@@ -170,7 +169,8 @@
     CHECK_FALSE(readTargetsUpdate({ 0, 1, makePatch({}, std::string(1000, '\x81')) }).has_value());
 }
 
-TEST_CASE("registry state: commands and snapshots that hold the text itself are read", "[registry]")
+TEST_CASE(
+    "registry state: commands and snapshots with the uncompressed text of earlier versions are read", "[registry]")
 {
     const nlohmann::json command { { "id", "1" }, { "version", 7 }, { "text", "seven" } };
     const nlohmann::json snapshot { { "version", 7 }, { "text", "seven" }, { "targets", nlohmann::json::array() },
@@ -189,16 +189,16 @@
     CHECK(other.document().text == "seven");
 }
 
-TEST_CASE("registry state: a command that names a size without measure is refused", "[registry]")
+TEST_CASE("registry state: a command that claims an enormous size is rejected", "[registry]")
 {
-    std::string mapOf(9, '\x62'); // 7 * 10^18 elements
+    std::string mapOf(9, '\x62'); // announces 7 * 10^18 elements
     mapOf.front() = '\xbb';
     registry_state state;
     CHECK(state.applyCommand(mapOf).empty());
     CHECK_FALSE(state.restoreState(mapOf));
 }
 
-TEST_CASE("registry state: damaged commands and snapshots are refused, and change nothing else", "[registry]")
+TEST_CASE("registry state: damaged commands and snapshots are rejected, and change nothing else", "[registry]")
 {
     rc::prop("any byte, any end", [] {
         registry::target_record record;
@@ -224,30 +224,30 @@
     });
 }
 
-TEST_CASE(
-    "registry state: what is held against requests survives a snapshot, and none of the program before", "[registry]")
+TEST_CASE("registry state: a snapshot keeps the quarantine; one of an earlier version without it leaves it empty",
+    "[registry]")
 {
-    request_fingerprint one;
-    one.bytes.fill(0xC3);
+    request_fingerprint fingerprint;
+    fingerprint.bytes.fill(0xC3);
     registry::quarantine_change change;
-    change.crashes = { { "a", { one } }, { "b", { one } } };
-    change.claims = { { one, 7, "c" } };
+    change.crashes = { { "a", { fingerprint } }, { "b", { fingerprint } } };
+    change.claims = { { fingerprint, 7, "c" } };
     registry_state state;
     CHECK(state.applyCommand(encodeQuarantine("id", change)) == "id");
     registry_state copy;
     REQUIRE(copy.restoreState(state.saveState()));
-    const auto* entry = copy.quarantine().find(one);
+    const auto* entry = copy.quarantine().find(fingerprint);
     REQUIRE(entry != nullptr);
     CHECK(entry->stage == registry::quarantine_stage::Held);
     CHECK(entry->trial == 7U);
     CHECK(copy.quarantine().revision() == state.quarantine().revision());
-    // The trial goes on to be one beside no other: the end of its target proves the request, at both.
+    // The trial still runs alone after the restore, so the end of its target proves the request on both replicas.
     registry::quarantine_change end;
-    end.crashes = { { "c", { one } } };
+    end.crashes = { { "c", { fingerprint } } };
     for (auto* each : { &state, &copy }) {
         CHECK(each->applyCommand(encodeQuarantine("end", end)) == "end");
-        CHECK(each->quarantine().find(one)->stage == registry::quarantine_stage::Proven);
-        CHECK(each->quarantine().find(one)->proofs == 1U);
+        CHECK(each->quarantine().find(fingerprint)->stage == registry::quarantine_stage::Proven);
+        CHECK(each->quarantine().find(fingerprint)->proofs == 1U);
     }
     auto earlier = nlohmann::json::from_cbor(state.saveState());
     earlier.erase("quarantine");
--- a/src/app/registry/registry_targets.cpp
+++ b/src/app/registry/registry_targets.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Announcements of targets at a registry: which are news, which are late, which name no target to use.
+/// @brief Announcements of targets: detects new, late and invalid ones.
 #include "app/registry/registry.hpp"
 #include "app/shared/control_answer.hpp"
 #include "app/shared/preferred_address.hpp"
@@ -10,32 +10,33 @@
 
 std::string registry_role::nextHeartbeatAddress(const registry::target_record& record) const
 {
-    const auto near = addressesIn(m_places, record.failureDomain, &link::controller_place::controlAddress);
-    return near.empty() ? m_settings.httpAddress : preferredAddress(record.id, near);
+    const auto localAddresses = addressesIn(m_places, record.failureDomain, &link::controller_place::controlAddress);
+    return localAddresses.empty() ? m_settings.httpAddress : preferredAddress(record.id, localAddresses);
 }
 
 void registry_role::onAnnounce(const registry::target_record& record, const net::responder& respond)
 {
-    if (!m_watch.heard(record.id, registry::orderOf(record))) {
-        // Acknowledged here and not told to a leader, the target would pass for lost.
-        respond(errorResponse(503, "no leader is known here"));
+    if (!m_watch.onAnnouncement(record.id, registry::orderOf(record))) {
+        // If the announcement were acknowledged without reaching the leader, the target's lease would expire.
+        respond(errorResponse(503, "this controller can't reach a leader"));
         return;
     }
     const auto answer = [this, record, respond] {
         respond(net::plainResponse(200, m_dialect.writeAnnounceAnswer(nextHeartbeatAddress(record))));
     };
     const auto* known = m_state.targets().find(record.id);
-    // A target that nobody can ask for must not take an address from one that is in use, whatever state it names.
-    const bool isNews = known == nullptr || record.startedMs > known->startedMs;
-    if (isNews && record.state != registry::target_state::Gone && !isServiceNamed(record.service)) {
-        noteRefused("announcement of " + text(record.incarnation()), "service: the document in force has no such one");
+    // A target of an unknown service must not take over the address of a target in use, whatever state it announces.
+    const bool isNewIncarnation = known == nullptr || record.startedMs > known->startedMs;
+    if (isNewIncarnation && record.state != registry::target_state::Gone && !isKnownService(record.service)) {
+        logRefusedRecord(
+            "announcement of " + text(record.incarnation()), "service: not defined in the active document");
         answer();
         return;
     }
     const bool isLeaving
         = record.state == registry::target_state::Draining || record.state == registry::target_state::Gone;
     if (!isLeaving) {
-        takeAnnouncement(record);
+        processAnnouncement(record);
         answer();
         return;
     }
@@ -47,7 +48,7 @@
         answer();
         return;
     }
-    // Acknowledged only once it stands in the log: whoever leads next keeps work away from it as well.
+    // Acknowledged only once committed, so that a new leader also sends no work to the target.
     submitTargets({ record }, [record, answer, respond](bool committed) {
         logCall("announce", committed ? 200 : 503,
             text(record.incarnation()) + " " + std::string(nameIn(registry::targetStateNames, record.state)));
@@ -58,32 +59,32 @@
     });
 }
 
-void registry_role::noteRefused(const std::string& what, const std::string& reason)
+void registry_role::logRefusedRecord(const std::string& what, const std::string& reason)
 {
-    constexpr milliseconds linePeriod { 200 }; // a broken writer may send thousands a second
-    constexpr std::size_t longestCall = 200;
+    constexpr milliseconds logPeriod { 200 }; // a faulty client may send thousands of records per second
+    constexpr std::size_t maxCallLength = 200;
     const std::string field = reason.substr(0, reason.find(':'));
     m_metrics.count("records_refused", field == reason ? "whole" : field);
     const auto now = steadyNow();
-    if (now < m_refusedLogAt) {
-        ++m_refusedUnlogged;
+    if (now < m_nextRefusalLogAt) {
+        ++m_unloggedRefusals;
         return;
     }
-    m_refusedLogAt = now + linePeriod;
+    m_nextRefusalLogAt = now + logPeriod;
     telemetry::logEvent(event_code::RecordRefused,
-        { { "call", what.substr(0, longestCall) }, { "reason", reason },
-            { "unlogged", std::to_string(std::exchange(m_refusedUnlogged, 0)) } },
+        { { "call", what.substr(0, maxCallLength) }, { "reason", reason },
+            { "unlogged", std::to_string(std::exchange(m_unloggedRefusals, 0)) } },
         telemetry::severity::Warning);
 }
 
-bool registry_role::isServiceNamed(const std::string& service)
+bool registry_role::isKnownService(const std::string& service)
 {
     const auto& named = services();
     return m_feed.version() == 0
         || std::any_of(named.begin(), named.end(), [&service](const auto& one) { return one.name == service; });
 }
 
-void registry_role::takeAnnouncement(const registry::target_record& record)
+void registry_role::processAnnouncement(const registry::target_record& record)
 {
     const auto* known = m_state.targets().find(record.id);
     if (known == nullptr || record.startedMs > known->startedMs) {
@@ -91,25 +92,26 @@
         return;
     }
     if (record.startedMs < known->startedMs) {
-        // Late, or of a target whose clock was stepped back: it is asked, once the life known is over.
+        // Either late, or from a target whose clock was set back. The target is probed if the known incarnation is
+        // over.
         if (registry::isOver(*known))
-            m_watch.verify(record, [this](const registry::target_record& alive) { submitOnce(alive); });
+            m_watch.verifyEarlierStart(record, [this](const registry::target_record& alive) { submitOnce(alive); });
         return;
     }
     auto announced = record;
     if (known->state == registry::target_state::Draining)
-        announced.state = known->state; // it said so in an answer, and leaves whatever it announces
+        announced.state = known->state; // it said that it is leaving, whatever it announces now
     if (registry::differsFrom(*known, announced) && registry::orderOf(record) >= registry::orderOf(*known))
         submitOnce(record);
 }
 
-void registry_role::takeLeaving(const std::vector<registry::target_incarnation>& targets)
+void registry_role::markDraining(const std::vector<registry::target_incarnation>& targets)
 {
     for (const auto& target : targets) {
         const auto* known = m_state.targets().find(target.id);
-        const bool isOpen = known != nullptr && known->incarnation() == target
+        const bool canDrain = known != nullptr && known->incarnation() == target
             && (known->state == registry::target_state::Ready || known->state == registry::target_state::Lost);
-        if (!isOpen || m_submitted.contains(target))
+        if (!canDrain || m_announcementsInFlight.contains(target))
             continue;
         registry::target_record leaving = *known;
         leaving.state = registry::target_state::Draining;
@@ -119,8 +121,9 @@
 
 void registry_role::submitOnce(const registry::target_record& record)
 {
-    if (m_submitted.insert(record.incarnation()).second)
-        submitTargets({ record }, [this, target = record.incarnation()](bool) { m_submitted.erase(target); });
+    if (m_announcementsInFlight.insert(record.incarnation()).second)
+        submitTargets(
+            { record }, [this, target = record.incarnation()](bool) { m_announcementsInFlight.erase(target); });
 }
 
 void registry_role::submitTargets(const std::vector<registry::target_record>& records, std::function<void(bool)> done)
--- a/src/app/registry/target_backoffs.cpp
+++ b/src/app/registry/target_backoffs.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Rest by target, until a deadline.
+/// @brief Backoff deadlines by target.
 #include "app/registry/target_backoffs.hpp"
 
 #include "buckthornrail/telemetry/log.hpp"
@@ -8,31 +8,31 @@
 
 namespace buckthornrail::app {
 
-bool target_backoffs::heard(const registry::target_incarnation& target, net::call_outcome outcome,
+bool target_backoffs::recordResponse(const registry::target_incarnation& target, net::call_outcome outcome,
     const net::whole_response& response, steady_time now)
 {
-    std::erase_if(m_until, [now](const auto& item) { return now >= item.second; });
+    std::erase_if(m_ends, [now](const auto& item) { return now >= item.second; });
     if (outcome != net::call_outcome::Answered)
         return false;
-    const auto rest = m_dialect.readRest(response.head);
-    if (!rest)
+    const auto delay = m_dialect.readRest(response.head);
+    if (!delay)
         return false;
-    auto& until = m_until[target];
-    until = std::max(until, now + *rest);
+    auto& end = m_ends[target];
+    end = std::max(end, now + *delay);
     telemetry::logEvent(event_code::TargetPushback,
-        { { "target", text(target) }, { "rest_ms", std::to_string(rest->count()) }, { "source", "response" } });
+        { { "target", text(target) }, { "rest_ms", std::to_string(delay->count()) }, { "source", "response" } });
     return true;
 }
 
-steady_time target_backoffs::until(const registry::target_incarnation& target) const
+steady_time target_backoffs::endOf(const registry::target_incarnation& target) const
 {
-    const auto found = m_until.find(target);
-    return found == m_until.end() ? steady_time {} : found->second;
+    const auto found = m_ends.find(target);
+    return found == m_ends.end() ? steady_time {} : found->second;
 }
 
-bool target_backoffs::isResting(const registry::target_incarnation& target, steady_time now) const
+bool target_backoffs::isBackingOff(const registry::target_incarnation& target, steady_time now) const
 {
-    return now < until(target);
+    return now < endOf(target);
 }
 
 } // namespace buckthornrail::app
--- a/src/app/registry/target_watch.cpp
+++ b/src/app/registry/target_watch.cpp
@@ -7,25 +7,25 @@
 namespace buckthornrail::app {
 namespace {
 
-/// Missed heartbeats after which a target is asked; heartbeats come up to seconds late.
-constexpr int missedHeartbeats = 3;
-constexpr milliseconds heartbeatSlack { 400 };
-/// Without an answer by then a target counts as lost. Asking as soon as a gateway calls it dark saves up to four
-/// seconds against waiting for missed heartbeats.
-constexpr milliseconds probePatience { 300 };
-/// Targets asked at once, a connection each: a quarter of what a process may open. A domain that is cut off with 3,000
-/// targets is found out within a second.
-constexpr std::size_t mostProbes = 1024;
+/// Missed heartbeats after which a target is probed; heartbeats may arrive seconds late.
+constexpr int maxMissedHeartbeats = 3;
+constexpr milliseconds heartbeatTolerance { 400 };
+/// A target that doesn't answer a probe within this time counts as lost. Probing as soon as a gateway reports the
+/// target as unreachable saves up to four seconds compared with waiting for missed heartbeats.
+constexpr milliseconds probeTimeout { 300 };
+/// Each probe uses a connection; this is a quarter of the connections that a process may open. The loss of a failure
+/// domain with 3,000 targets is detected within a second.
+constexpr std::size_t maxConcurrentProbes = 1024;
 
 } // namespace
 
 target_watch::target_watch(link::event_loop& loop, const gateway::control_dialect& dialect,
-    const registry::target_table& targets, target_backoffs& rests, milliseconds heartbeatPeriod,
+    const registry::target_table& targets, target_backoffs& backoffs, milliseconds heartbeatPeriod,
     target_watch_callbacks callbacks)
     : m_loop(loop)
     , m_dialect(dialect)
     , m_targets(targets)
-    , m_rests(rests)
+    , m_backoffs(backoffs)
     , m_heartbeatPeriod(heartbeatPeriod)
     , m_callbacks(std::move(callbacks))
 {
@@ -33,17 +33,17 @@
 
 steady_time target_watch::nextLeaseEnd() const
 {
-    return steadyNow() + m_heartbeatPeriod * missedHeartbeats + heartbeatSlack;
+    return steadyNow() + m_heartbeatPeriod * maxMissedHeartbeats + heartbeatTolerance;
 }
 
-bool target_watch::heard(const std::string& targetId, const registry::announcement_order& order)
+bool target_watch::onAnnouncement(const std::string& targetId, const registry::announcement_order& order)
 {
-    if (!m_callbacks.isLeader() && !m_callbacks.tellLeader({ targetId, order.startedMs, order.sequence }))
+    if (!m_callbacks.isLeader() && !m_callbacks.forwardToLeader({ targetId, order.startedMs, order.sequence }))
         return false;
     const auto* known = m_targets.find(targetId);
     if (known != nullptr && order.startedMs < known->startedMs)
-        return true; // of an earlier life: it says nothing of the one known
-    auto& newest = m_newest[targetId];
+        return true; // from an earlier incarnation: it doesn't renew the lease of the known one
+    auto& newest = m_newestAnnouncements[targetId];
     if (order >= newest) {
         newest = order;
         m_leases.renew(targetId, nextLeaseEnd());
@@ -51,66 +51,68 @@
     return true;
 }
 
-void target_watch::suspect(const registry::target_incarnation& target)
+void target_watch::probeSuspect(const registry::target_incarnation& target)
 {
     const auto* record = m_targets.find(target.id);
-    const bool isUp
+    const bool isReady
         = record != nullptr && record->incarnation() == target && record->state == registry::target_state::Ready;
-    if (m_callbacks.isLeader() && isUp && !m_probes.contains(target) && !m_rests.isResting(target, steadyNow()))
+    if (m_callbacks.isLeader() && isReady && !m_probes.contains(target)
+        && !m_backoffs.isBackingOff(target, steadyNow()))
         probe(*record);
 }
 
-void target_watch::verify(
-    const registry::target_record& record, std::function<void(const registry::target_record&)> answered)
+void target_watch::verifyEarlierStart(
+    const registry::target_record& record, std::function<void(const registry::target_record&)> onAlive)
 {
     const auto target = record.incarnation();
-    if (m_verifications.contains(target) || m_rests.isResting(target, steadyNow()))
+    if (m_verifications.contains(target) || m_backoffs.isBackingOff(target, steadyNow()))
         return;
     m_verifications[target] = net::http_call::start(m_loop, record.address,
-        { m_dialect.writeReportCall(record.id), {} }, steadyNow() + probePatience,
-        [this, record, target, answered = std::move(answered)](
+        { m_dialect.writeReportCall(record.id), {} }, steadyNow() + probeTimeout,
+        [this, record, target, onAlive = std::move(onAlive)](
             net::call_outcome outcome, const net::whole_response& response) {
             const auto ended = m_verifications.extract(target);
-            (void)m_rests.heard(target, outcome, response, steadyNow());
-            const bool isAlive = isAnswerOf(target, outcome, response);
+            (void)m_backoffs.recordResponse(target, outcome, response, steadyNow());
+            const bool isAlive = isResponseFrom(target, outcome, response);
             telemetry::logEvent(event_code::ReportReceived,
-                { { "target", text(target) }, { "reason", "it announces an earlier start than the life that is over" },
+                { { "target", text(target) },
+                    { "reason", "announced start is earlier than that of the ended incarnation" },
                     { "outcome", isAlive ? "answered" : "none" } });
             if (isAlive)
-                answered(record);
+                onAlive(record);
         });
 }
 
-void target_watch::forget()
+void target_watch::resetLeases()
 {
     m_leases.clear();
-    m_followedRevision.reset();
+    m_leasedRevision.reset();
 }
 
-void target_watch::followTable()
+void target_watch::beginNewLeases()
 {
-    if (m_followedRevision == m_targets.revision())
+    if (m_leasedRevision == m_targets.revision())
         return;
-    m_followedRevision = m_targets.revision();
+    m_leasedRevision = m_targets.revision();
     for (const auto& [id, record] : m_targets.records()) {
-        // A new leader has heard nobody yet: each target gets a whole lease to come.
+        // A new leader has received no announcements yet, so each target gets a full lease.
         if (!registry::isOver(record))
             m_leases.begin(id, nextLeaseEnd());
     }
-    std::erase_if(m_newest, [this](const auto& item) { return m_targets.find(item.first) == nullptr; });
+    std::erase_if(m_newestAnnouncements, [this](const auto& item) { return m_targets.find(item.first) == nullptr; });
 }
 
-void target_watch::step(steady_time now)
+void target_watch::probeExpired(steady_time now)
 {
-    followTable();
-    if (m_probes.size() >= mostProbes)
+    beginNewLeases();
+    if (m_probes.size() >= maxConcurrentProbes)
         return;
-    for (const auto& id : m_leases.takeEnded(now, mostProbes - m_probes.size())) {
+    for (const auto& id : m_leases.takeEnded(now, maxConcurrentProbes - m_probes.size())) {
         const auto* record = m_targets.find(id);
         if (record == nullptr || registry::isOver(*record))
             continue;
-        // Announcements may be what is lost, and not the target: it is asked before it counts as lost.
-        if (m_rests.isResting(record->incarnation(), now))
+        // The announcements may be lost rather than the target, so it is probed before it counts as lost.
+        if (m_backoffs.isBackingOff(record->incarnation(), now))
             m_leases.renew(id, nextLeaseEnd());
         else if (!m_probes.contains(record->incarnation()))
             probe(*record);
@@ -121,53 +123,53 @@
 {
     const auto target = record.incarnation();
     m_probes[target] = net::http_call::start(m_loop, record.address, { m_dialect.writeReportCall(record.id), {} },
-        steadyNow() + probePatience, [this, target](net::call_outcome outcome, const net::whole_response& response) {
+        steadyNow() + probeTimeout, [this, target](net::call_outcome outcome, const net::whole_response& response) {
             onProbed(target, outcome, response);
         });
 }
 
-bool target_watch::isAnswerOf(
-    const registry::target_incarnation& asked, net::call_outcome outcome, const net::whole_response& response) const
+bool target_watch::isResponseFrom(
+    const registry::target_incarnation& probed, net::call_outcome outcome, const net::whole_response& response) const
 {
     if (outcome != net::call_outcome::Answered || response.head.status != 200)
         return false;
     const auto report = m_dialect.readReport(response.body);
-    // One that can't be read comes from a target that lives; one that tells another start, from another life.
-    return !report || report->startedMs == 0 || report->startedMs == asked.startedMs;
+    // An unreadable report still shows that the target is alive; one with another start is from another incarnation.
+    return !report || report->startedMs == 0 || report->startedMs == probed.startedMs;
 }
 
 void target_watch::onProbed(
-    const registry::target_incarnation& asked, net::call_outcome outcome, const net::whole_response& response)
+    const registry::target_incarnation& probed, net::call_outcome outcome, const net::whole_response& response)
 {
-    const auto ended = m_probes.extract(asked);
-    const bool asksForRest = m_rests.heard(asked, outcome, response, steadyNow());
-    const bool answers = asksForRest || isAnswerOf(asked, outcome, response);
+    const auto ended = m_probes.extract(probed);
+    const bool asksForBackoff = m_backoffs.recordResponse(probed, outcome, response, steadyNow());
+    const bool answers = asksForBackoff || isResponseFrom(probed, outcome, response);
     telemetry::logEvent(event_code::ReportReceived,
-        { { "target", text(asked) }, { "outcome", answers ? "answered" : "none" },
+        { { "target", text(probed) }, { "outcome", answers ? "answered" : "none" },
             { "status", std::to_string(response.head.status) } });
-    const auto* record = m_targets.find(asked.id);
-    if (record == nullptr || record->incarnation() != asked)
-        return; // a later life is known by now: the answer says nothing of it
+    const auto* record = m_targets.find(probed.id);
+    if (record == nullptr || record->incarnation() != probed)
+        return; // the answer doesn't apply to the incarnation that is known by now
     if (answers)
-        m_leases.renew(asked.id, nextLeaseEnd());
+        m_leases.renew(probed.id, nextLeaseEnd());
     else
-        lose(asked);
+        markLost(probed);
 }
 
-void target_watch::lose(const registry::target_incarnation& target)
+void target_watch::markLost(const registry::target_incarnation& target)
 {
     const auto* record = m_targets.find(target.id);
     if (!m_callbacks.isLeader() || record == nullptr || registry::isOver(*record))
         return;
     registry::target_record lost = *record;
     lost.state = registry::target_state::Lost;
-    const auto& newest = m_newest[target.id];
+    const auto& newest = m_newestAnnouncements[target.id];
     if (newest.startedMs == lost.startedMs)
         lost.sequence = std::max(record->sequence, newest.sequence);
     telemetry::logEvent(event_code::InstanceLost, { { "instance", text(target) }, { "address", record->address } },
         telemetry::severity::Warning);
     m_leases.renew(target.id, nextLeaseEnd());
-    m_callbacks.lost(lost);
+    m_callbacks.onLost(lost);
 }
 
 } // namespace buckthornrail::app
--- a/src/app/registry/target_watch.hpp
+++ b/src/app/registry/target_watch.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Which targets are still there: leases renewed by announcements, and a question before one counts as lost.
+/// @brief Failure detection for targets: announcements renew leases, and a target is probed before it counts as lost.
 #pragma once
 
 #include "app/registry/target_backoffs.hpp"
@@ -15,53 +15,59 @@
 
 struct target_watch_callbacks {
     std::function<bool()> isLeader;
-    std::function<bool(const link::target_heard&)> tellLeader; ///< false: it can't be reached
-    std::function<void(const registry::target_record&)> lost; ///< the record as it should be
+    std::function<bool(const link::target_heard&)> forwardToLeader; ///< false: the leader is unreachable
+    std::function<void(const registry::target_record&)> onLost; ///< the record with its new state
 };
 
-/// @brief Lives on the loop thread of a registry. Only the leader's leases count.
+/// @brief Runs on a registry's loop thread. Only the leader's leases count.
 class target_watch {
 public:
+    /// @param targets the replicated table; must outlive this object
+    /// @param heartbeatPeriod how often targets announce themselves; leases last a few periods
     target_watch(link::event_loop& loop, const gateway::control_dialect& dialect, const registry::target_table& targets,
-        target_backoffs& rests, milliseconds heartbeatPeriod, target_watch_callbacks callbacks);
+        target_backoffs& backoffs, milliseconds heartbeatPeriod, target_watch_callbacks callbacks);
 
-    /// @brief A target has announced itself. An announcement of a life before the one known, or a late one, renews
-    /// nothing. @return false when this isn't the leader and can't tell it
-    bool heard(const std::string& targetId, const registry::announcement_order& order);
-    /// @brief A gateway calls a life of a target dark: it is asked at once, if it is the one known.
-    void suspect(const registry::target_incarnation& target);
-    /// @brief Asks whether a target lives that announces an earlier start than the life known, which is over.
-    /// @param answered called with the record when it does
-    void verify(const registry::target_record& record, std::function<void(const registry::target_record&)> answered);
-    /// @brief Asks targets whose leases have ended.
-    void step(steady_time now);
-    /// @brief The leader has changed: leases begin anew.
-    void forget();
+    /// @brief Renews the lease of a target that announced itself. An announcement of an earlier incarnation than the
+    /// known one, or one that arrives out of order, renews nothing.
+    /// @return false when this controller isn't the leader and can't forward the announcement to it
+    bool onAnnouncement(const std::string& targetId, const registry::announcement_order& order);
+    /// @brief Probes a target at once that a gateway reports as unreachable, if the incarnation is the known one.
+    void probeSuspect(const registry::target_incarnation& target);
+    /// @brief Checks whether a target is alive that announces an earlier start than the known incarnation, which is
+    /// over.
+    /// @param onAlive called with the record when the target answers
+    void verifyEarlierStart(
+        const registry::target_record& record, std::function<void(const registry::target_record&)> onAlive);
+    /// @brief Probes targets whose leases have expired.
+    void probeExpired(steady_time now);
+    /// @brief Drops all leases, so that every target gets a full new one. For a change of leader, or after this process
+    /// stood still.
+    void resetLeases();
 
 private:
     [[nodiscard]] steady_time nextLeaseEnd() const;
-    /// @brief Begins leases for targets that have come since.
-    void followTable();
+    /// @brief Begins leases for targets that are new in the table.
+    void beginNewLeases();
     void probe(const registry::target_record& record);
     void onProbed(
-        const registry::target_incarnation& asked, net::call_outcome outcome, const net::whole_response& response);
-    /// @brief Whether a response comes from a life of a target.
-    [[nodiscard]] bool isAnswerOf(const registry::target_incarnation& asked, net::call_outcome outcome,
+        const registry::target_incarnation& probed, net::call_outcome outcome, const net::whole_response& response);
+    /// @brief Whether a response comes from this incarnation of a target.
+    [[nodiscard]] bool isResponseFrom(const registry::target_incarnation& probed, net::call_outcome outcome,
         const net::whole_response& response) const;
-    void lose(const registry::target_incarnation& target);
+    void markLost(const registry::target_incarnation& target);
 
     link::event_loop& m_loop;
     const gateway::control_dialect& m_dialect;
     const registry::target_table& m_targets;
-    target_backoffs& m_rests;
+    target_backoffs& m_backoffs;
     milliseconds m_heartbeatPeriod;
     target_watch_callbacks m_callbacks;
-    /// By id: there is one life under it, and a later one begins with a whole lease.
+    /// By target id: only one incarnation is known at a time, and a later one begins with a full lease.
     registry::lease_table m_leases;
-    std::optional<std::uint64_t> m_followedRevision; ///< of the table, when leases were last begun for it
-    std::map<std::string, registry::announcement_order> m_newest; ///< announcement heard
-    std::map<registry::target_incarnation, std::shared_ptr<net::http_call>> m_probes; ///< under way
-    std::map<registry::target_incarnation, std::shared_ptr<net::http_call>> m_verifications; ///< the same
+    std::optional<std::uint64_t> m_leasedRevision; ///< table revision up to which leases have begun
+    std::map<std::string, registry::announcement_order> m_newestAnnouncements; ///< by target id
+    std::map<registry::target_incarnation, std::shared_ptr<net::http_call>> m_probes; ///< in flight
+    std::map<registry::target_incarnation, std::shared_ptr<net::http_call>> m_verifications; ///< in flight
 };
 
 } // namespace buckthornrail::app
