--- a/include/buckthornrail/gateway/crash_watch.hpp
+++ b/include/buckthornrail/gateway/crash_watch.hpp
@@ -38,24 +38,24 @@
     }
 
     /// @param parts of its path; a target of any part may end under it
-    void opened(call_number call, const std::vector<selected_part>& parts, steady_time now);
-    void firstEvent(call_number call, steady_time now);
+    void onAttemptOpened(call_number call, const std::vector<selected_part>& parts, steady_time now);
+    void onFirstEvent(call_number call, steady_time now);
     /// @brief The connection to the attempt's first target has ended early.
     /// @return whether the attempt may be to blame, if that target is found to have ended
-    bool cutOff(call_number call, const request_fingerprint& fingerprint, steady_time now);
+    bool onConnectionLost(call_number call, const request_fingerprint& fingerprint, steady_time now);
     /// @brief The attempt is over in any other way; nothing happens if it is over already.
-    void closed(call_number call) { m_open.erase(call); }
+    void onAttemptClosed(call_number call) { m_open.erase(call); }
     /// @brief Whether an open attempt may be to blame, should its target end now.
-    [[nodiscard]] bool isFresh(call_number call, steady_time now) const;
+    [[nodiscard]] bool mayHaveCrashedTarget(call_number call, steady_time now) const;
     /// @brief Whether an attempt of a call was cut off, and it isn't known yet whether its target has ended.
     [[nodiscard]] bool awaitsVerdict(call_number call, steady_time now) const;
 
     /// @brief The targets at an address have ended. @param survivor the one that has it now; empty: none
     /// @return for each, what had just begun there
-    std::vector<registry::crash_report> ended(const std::string& address, const registry::target_incarnation& survivor,
-        const fingerprint_source& fingerprintOf, steady_time now);
+    std::vector<registry::crash_report> onTargetsEnded(const std::string& address,
+        const registry::target_incarnation& survivor, const fingerprint_source& fingerprintOf, steady_time now);
     /// @brief The target at an address takes connections: what was cut off there isn't known to have ended it.
-    void lives(const std::string& address);
+    void onTargetAlive(const std::string& address);
 
 private:
     struct attempt {
--- a/include/buckthornrail/gateway/document_assembly.hpp
+++ b/include/buckthornrail/gateway/document_assembly.hpp
@@ -8,7 +8,7 @@
 namespace buckthornrail::gateway {
 
 /// A change of which all slices have come.
-struct finished_change {
+struct completed_change {
     std::shared_ptr<route_index> whole; ///< the document anew; empty: `change` follows from what is held
     decoded_change change;
 };
@@ -26,7 +26,7 @@
     /// change is left out then
     tl::expected<void, failure> take(const document::change_slice& slice);
     /// @brief Changes that are whole, in the order in which they came, each once.
-    [[nodiscard]] std::vector<finished_change> takeFinished();
+    [[nodiscard]] std::vector<completed_change> takeCompleted();
     /// @brief Forgets all that has come: nothing more will, or it comes anew.
     void drop();
 
@@ -35,8 +35,8 @@
     [[nodiscard]] bool follows(const document::change_slice& slice) const;
 
     const control_dialect& m_dialect;
-    std::vector<finished_change> m_finished;
-    finished_change m_open; ///< of which slices are missing
+    std::vector<completed_change> m_finished;
+    completed_change m_open; ///< of which slices are missing
     std::uint32_t m_next = 0; ///< number of the slice to come
     bool m_isLeftOut = false; ///< an entry of the open change couldn't be read
 };
--- a/include/buckthornrail/gateway/exchange.hpp
+++ b/include/buckthornrail/gateway/exchange.hpp
@@ -8,7 +8,7 @@
 #include "buckthornrail/core/log_field.hpp"
 #include "buckthornrail/core/request_fingerprint.hpp"
 #include "buckthornrail/gateway/quarantine_gate.hpp"
-#include "buckthornrail/gateway/repeat_budget.hpp"
+#include "buckthornrail/gateway/shared_retry_budget.hpp"
 #include "buckthornrail/gateway/target_pool.hpp"
 
 #include <functional>
@@ -35,20 +35,20 @@
 };
 
 /// What a target's response says, decoded.
-struct target_answer {
+struct target_response {
     int status = 0;
     bool notRun = false; ///< the target states that it did not run the request
-    bool isOwn = false; ///< echoes the request's id, bears the target's mark, and its body isn't re-coded
+    bool isAuthentic = false; ///< echoes the request's id, bears the target's mark, and its body isn't re-coded
     bool isEventStream = false;
     std::string faultyAddress; ///< of the target that the failure is blamed on; empty: the answering one
     std::optional<target_pushback> pushback = {}; ///< nothing: the response isn't of the target that was asked
 };
 
 /// Why an attempt ended without an answer.
-enum class attempt_loss : std::uint8_t {
-    NotReached, ///< no connection: nothing was written
-    Broken, ///< the connection ended before the answer was whole
-    Garbled, ///< bytes that are no answer to this request
+enum class attempt_failure : std::uint8_t {
+    ConnectFailed, ///< no connection: nothing was written
+    ConnectionLost, ///< the connection ended before the answer was whole
+    InvalidResponse, ///< bytes that are no answer to this request
 };
 
 /// What an exchange asks of its surroundings.
@@ -61,34 +61,34 @@
 
     /// @brief Whether an attempt at a selection may begin, as far as targets have ended under the request. Anything but
     /// Go and Refuse is asked again; onQuarantineChanged() tells when.
-    virtual dispatch_verdict mayBegin(const selection& where) = 0;
+    virtual dispatch_verdict requestDispatch(const selection& where) = 0;
     /// @brief Whether the open attempt, which hasn't begun to answer, must end for the same reason.
-    [[nodiscard]] virtual bool mustLeave() = 0;
+    [[nodiscard]] virtual bool mustCancel() = 0;
     /// @brief Sends the request to a selection. @param lastEventId a stream goes on after it
     virtual void openAttempt(std::uint32_t number, const selection& where, std::optional<std::uint64_t> lastEventId)
         = 0;
     /// @brief Ends the open attempt; nothing of it may come any more.
     virtual void cancelAttempt() = 0;
     /// @brief Asks the first target of the open attempt which member of the path holds it up; onReport() follows.
-    virtual void askForReport() = 0;
+    virtual void requestReport() = 0;
     /// @brief Finds out whether the members of the open attempt's path can be reached; onUnreachable() follows for each
-    /// that can't. @param passedSince a member through which another request's event has come since then passes them
-    virtual void checkMembers(steady_time passedSince) = 0;
+    /// that can't. @param aliveSince a member through which another request's event has come since then passes them
+    virtual void probeMembers(steady_time aliveSince) = 0;
     /// @brief Gives the caller the target's whole response.
-    virtual void passOn() = 0;
+    virtual void forwardResponse() = 0;
     /// @brief Gives the caller the head of the target's stream.
     virtual void beginStream() = 0;
-    virtual void passEvent(std::string_view bytes) = 0;
+    virtual void forwardEvent(std::string_view bytes) = 0;
     virtual void endStream() = 0;
     /// @brief Ends a stream so that it can't pass for complete.
-    virtual void breakOff() = 0;
+    virtual void abortStream() = 0;
     /// @brief Gives the caller an answer of the gateway's own.
-    virtual void answer(result_code code, ran_state ran, const std::string& reason) = 0;
+    virtual void sendError(result_code code, ran_state ran, const std::string& reason) = 0;
     /// @brief Calls onTimer() at a time, instead of the one asked for before.
-    virtual void wakeAt(steady_time when) = 0;
+    virtual void setTimer(steady_time when) = 0;
     /// @brief Of the caller's request; worked out when it is first asked for.
     [[nodiscard]] virtual request_fingerprint fingerprint() = 0;
-    virtual void note(event_code event, std::initializer_list<log_field> fields) = 0;
+    virtual void logEvent(event_code event, std::initializer_list<log_field> fields) = 0;
 };
 
 struct exchange_options {
@@ -134,13 +134,13 @@
 /// @ingroup gateway
 class exchange {
 public:
-    exchange(exchange_request request, exchange_port& port, target_pool& pool, repeat_budget& budget,
+    exchange(exchange_request request, exchange_port& port, target_pool& pool, shared_retry_budget& budget,
         const exchange_options& options = {});
 
     void start(steady_time now);
     /// @brief The connection stands and the request's bytes are on their way.
     void onSent(steady_time now);
-    void onHead(const target_answer& answer, steady_time now);
+    void onHead(const target_response& answer, steady_time now);
     /// @brief The open attempt's first target says how it wants to be treated, in an answer to this request or to a
     /// question. @param namesNone whether it names no limit by saying nothing of one
     /// @param sentAt when that request or question was sent
@@ -150,7 +150,7 @@
     void onEvent(std::string_view bytes, std::optional<std::uint64_t> id, steady_time now);
     /// @brief The target ended its stream in good order.
     void onStreamEnd(steady_time now);
-    void onLost(attempt_loss how, steady_time now);
+    void onAttemptFailed(attempt_failure how, steady_time now);
     /// @param faultyAddress of the member that holds the request up; empty: none, or nobody answered
     void onReport(bool answered, const std::string& faultyAddress, steady_time now);
     /// @brief A target takes no connection. A silent stream over it moves at once.
@@ -168,7 +168,7 @@
     /// for another reason.
     [[nodiscard]] std::optional<steady_time> roomExpectedAt() const { return m_roomExpectedAt; }
     /// @brief Whether an event came through a target since a moment: proof that it was alive then.
-    [[nodiscard]] bool heardThrough(const registry::target_incarnation& target, steady_time since) const;
+    [[nodiscard]] bool hadEventThrough(const registry::target_incarnation& target, steady_time since) const;
     [[nodiscard]] const exchange_request& request() const { return m_request; }
 
 private:
@@ -202,7 +202,7 @@
     void begin(next_attempt next, steady_time now);
     /// @brief Asks once more whether the attempt that waits may begin.
     void askToBegin(steady_time now);
-    /// @return what mayBegin() says of the attempt that waits, at another target where that one is taken
+    /// @return what requestDispatch() says of the attempt that waits, at another target where that one is taken
     dispatch_verdict askPort(steady_time now);
     void open(const selection& where, steady_time now);
     void closeAttempt();
@@ -232,14 +232,14 @@
     exchange_request m_request;
     exchange_port& m_port;
     target_pool& m_pool;
-    repeat_budget& m_budget;
+    shared_retry_budget& m_budget;
     exchange_options m_options;
     selection m_where;
     choice_bounds m_bounds;
     std::set<registry::target_incarnation>
         m_ranAt; ///< targets that count against the route's number: each took the request and lives
     std::optional<std::uint64_t> m_lastEventId;
-    std::optional<target_answer> m_answer; ///< head of the open attempt
+    std::optional<target_response> m_answer; ///< head of the open attempt
     bool m_attemptOpen = false;
     bool m_sent = false; ///< bytes of the open attempt may have reached its target
     bool m_promptRead = false; ///< the open attempt has had an event
--- a/include/buckthornrail/gateway/quarantine_gate.hpp
+++ b/include/buckthornrail/gateway/quarantine_gate.hpp
@@ -48,35 +48,35 @@
     }
 
     /// @brief What the controllers tell.
-    void told(const registry::quarantine_delta& delta) { m_view.apply(delta); }
+    void applyDelta(const registry::quarantine_delta& delta) { m_view.apply(delta); }
     /// @brief News stand in the log; claims in them that aren't named are granted.
-    void received(const registry::quarantine_receipt& receipt, steady_time now);
+    void onReceipt(const registry::quarantine_receipt& receipt, steady_time now);
     [[nodiscard]] std::uint64_t revision() const { return m_view.revision(); }
 
     /// @brief Nothing is held against any request: none needs to be asked for.
-    [[nodiscard]] bool isQuiet() const { return m_view.isEmpty() && m_reported.empty(); }
+    [[nodiscard]] bool isEmpty() const { return m_view.isEmpty() && m_reported.empty(); }
     [[nodiscard]] registry::quarantine_stage stageOf(const request_fingerprint& fingerprint) const;
     [[nodiscard]] std::size_t size() const { return m_view.size(); }
 
     /// @brief Asks for a call's next attempt; claims a trial where it takes one. Ask again when news come.
-    dispatch_verdict mayBegin(call_number call, const request_fingerprint& fingerprint,
+    dispatch_verdict requestDispatch(call_number call, const request_fingerprint& fingerprint,
         const registry::target_incarnation& target, steady_time now);
     /// @brief Whether an attempt that hasn't begun to answer must be left: the request runs elsewhere, or nowhere.
-    [[nodiscard]] bool mustLeave(call_number call, const request_fingerprint& fingerprint) const;
+    [[nodiscard]] bool mustCancel(call_number call, const request_fingerprint& fingerprint) const;
     /// @brief A call's attempt can't be to blame any more, or is over.
     void endTrial(call_number call);
     /// @return calls whose attempts on trial have begun
     [[nodiscard]] std::vector<call_number> callsOnTrial() const;
 
-    void crashed(const registry::crash_report& report, steady_time now);
+    void reportCrash(const registry::crash_report& report, steady_time now);
     /// @brief The request got a whole answer: it doesn't end whoever runs it.
     /// @return whether something was held against it
-    bool answered(const request_fingerprint& fingerprint);
+    bool reportCompleted(const request_fingerprint& fingerprint);
 
     /// @return whether there is something that wasn't sent yet
-    [[nodiscard]] bool hasNews() const { return !m_next.isEmpty(); }
+    [[nodiscard]] bool hasUnsentChanges() const { return !m_next.isEmpty(); }
     /// @brief What is to be sent now. @param all also what was sent, over a session that is over
-    std::vector<registry::quarantine_batch> takeNews(bool all, steady_time now);
+    std::vector<registry::quarantine_batch> takeBatches(bool all, steady_time now);
 
 private:
     enum class claim_state : std::uint8_t { Open, Granted, Refused };
--- a/include/buckthornrail/gateway/repeat_budget.hpp
+++ b/include/buckthornrail/gateway/shared_retry_budget.hpp
@@ -17,7 +17,7 @@
 
 namespace buckthornrail::gateway {
 
-struct repeat_budget_options {
+struct shared_retry_budget_options {
     double ratio = 0.2; ///< repeats for each request, from the operators
     double slack = 100; ///< repeats in a window besides, of all gateways together
     milliseconds window { 10000 };
@@ -25,7 +25,7 @@
     double part = 0.85;
     /// What was refused, and so begun nowhere, may use this part of that: its caller can come again at no cost to the
     /// budget, while a stream that has begun is lost.
-    double partForRefused = 0.5;
+    double refusedShare = 0.5;
     /// What this process spent before it was started anew may still count until then. What was refused uses no slack
     /// before; streams that have begun, which would be lost, use what has accrued over the window that ends then:
     /// without it all streams over a member that crashed were broken off for ten seconds after a system's start.
@@ -33,22 +33,22 @@
 };
 
 /// @brief Counts requests and repeats of one service over a sliding window. Callers pass the time in.
-class repeat_budget {
+class shared_retry_budget {
 public:
-    explicit repeat_budget(const repeat_budget_options& options)
+    explicit shared_retry_budget(const shared_retry_budget_options& options)
         : m_options(options)
     {
     }
 
     /// @brief So many gateways share the slack. The largest number told within a window counts: those that have left
     /// since may have spent their parts. Before the first word there is no slack.
-    void toldGateways(std::size_t gateways, steady_time now);
+    void setGatewayCount(std::size_t gateways, steady_time now);
     /// @brief An earlier process of this gateway spent so much within the last window, and no other.
-    void resume(std::uint32_t spent, steady_time now);
-    void noteRequest(steady_time now);
+    void restoreSpent(std::uint32_t spent, steady_time now);
+    void countRequest(steady_time now);
     /// @brief Takes one repeat out of the budget. @param wasRefused the request has begun nowhere
     /// @return false when it is spent
-    bool take(bool wasRefused, steady_time now);
+    bool tryTake(bool wasRefused, steady_time now);
     /// @brief Whether all that this gateway spent within the window is counted here.
     [[nodiscard]] bool isComplete(steady_time now) const { return now >= m_options.slackFrom; }
     /// @brief Repeats within the window that ends now.
@@ -62,7 +62,7 @@
     [[nodiscard]] double slackPart(bool wasRefused, steady_time now) const;
     [[nodiscard]] std::size_t gateways() const;
 
-    repeat_budget_options m_options;
+    shared_retry_budget_options m_options;
     std::deque<steady_time> m_requestsEnd; ///< when each request leaves the window
     std::deque<steady_time> m_repeatsEnd;
     std::size_t m_gateways = 0; ///< as told last; 0: never
@@ -70,26 +70,26 @@
 };
 
 /// @brief The budgets of one gateway, one for each service that it has sent to.
-class repeat_budgets {
+class shared_retry_budgets {
 public:
-    explicit repeat_budgets(const repeat_budget_options& options)
+    explicit shared_retry_budgets(const shared_retry_budget_options& options)
         : m_unused(options)
     {
     }
 
-    [[nodiscard]] repeat_budget& of(const std::string& service);
-    /// @brief See repeat_budget::toldGateways.
-    void toldGateways(std::size_t gateways, steady_time now);
-    /// @brief See repeat_budget::resume. Services that aren't named had nothing spent.
-    void resume(const registry::repeat_counts& spent, steady_time now);
-    /// @brief See repeat_budget::isComplete.
+    [[nodiscard]] shared_retry_budget& of(const std::string& service);
+    /// @brief See shared_retry_budget::setGatewayCount.
+    void setGatewayCount(std::size_t gateways, steady_time now);
+    /// @brief See shared_retry_budget::restoreSpent. Services that aren't named had nothing spent.
+    void restoreSpent(const registry::repeat_counts& spent, steady_time now);
+    /// @brief See shared_retry_budget::isComplete.
     [[nodiscard]] bool isComplete(steady_time now) const { return m_unused.isComplete(now); }
     /// @brief Services with repeats within the window that ends now.
     [[nodiscard]] registry::repeat_counts spent(steady_time now);
 
 private:
-    repeat_budget m_unused; ///< what a service's budget is before its first request
-    std::map<std::string, repeat_budget> m_byService;
+    shared_retry_budget m_unused; ///< what a service's budget is before its first request
+    std::map<std::string, shared_retry_budget> m_byService;
 };
 
 } // namespace buckthornrail::gateway
--- a/src/app/gateway/gateway.cpp
+++ b/src/app/gateway/gateway.cpp
@@ -28,9 +28,9 @@
     return options;
 }
 
-gateway::repeat_budget_options budgetOptions(const settings::settings& settings)
+gateway::shared_retry_budget_options budgetOptions(const settings::settings& settings)
 {
-    gateway::repeat_budget_options options;
+    gateway::shared_retry_budget_options options;
     options.ratio = settings.repeatRatio;
     options.slack = settings.repeatSlack;
     options.window = std::chrono::seconds(settings.repeatWindowSeconds);
@@ -46,7 +46,7 @@
     , m_settings(settings)
     , m_document(control)
     , m_context { loop, traffic, metrics, gateway::target_pool(poolOptions(settings), randomNumber()),
-        gateway::repeat_budgets(budgetOptions(settings)), nullptr, 0, std::mt19937_64(randomNumber()) }
+        gateway::shared_retry_budgets(budgetOptions(settings)), nullptr, 0, std::mt19937_64(randomNumber()) }
     , m_listener(loop, [this](net::channel_pointer channel) { onChannel(std::move(channel)); })
     , m_health(loop,
           [this](const net::whole_request& request, const net::responder& respond) { onHealthCall(request, respond); })
@@ -148,10 +148,10 @@
     const auto now = steadyNow();
     m_context.pool.setOthers(std::max<std::size_t>(update.gateways, 1), update.othersOpenAttempts);
     if (!update.earlierRepeats.empty() && !m_context.budgets.isComplete(now))
-        m_context.budgets.resume(update.earlierRepeats.front(), now);
+        m_context.budgets.restoreSpent(update.earlierRepeats.front(), now);
     if (update.budgetSharers == 0)
         return; // not known there yet: what was told before holds
-    m_context.budgets.toldGateways(update.budgetSharers, now);
+    m_context.budgets.setGatewayCount(update.budgetSharers, now);
     if (update.ordinal)
         m_context.pool.setShare({ update.budgetSharers, *update.ordinal }, now);
     const std::size_t before = std::exchange(m_context.budgetSharers, update.budgetSharers);
@@ -259,7 +259,7 @@
 
 void gateway_role::onAlive(const std::string& address)
 {
-    m_context.crashes.lives(address);
+    m_context.crashes.onTargetAlive(address);
     spreadQuarantine();
 }
 
@@ -271,7 +271,7 @@
         return found == m_context.openCalls.end() ? request_fingerprint {} : (*found)->fingerprint();
     };
     bool isNews = false;
-    for (const auto& report : m_context.crashes.ended(address, survivor, fingerprintOf, steadyNow())) {
+    for (const auto& report : m_context.crashes.onTargetsEnded(address, survivor, fingerprintOf, steadyNow())) {
         // One that leaves ends by itself, as does one that has said its last word.
         if (survivor.empty() && m_context.pool.isLeaving(report.target))
             continue;
@@ -286,7 +286,7 @@
                 { "how", survivor.empty() ? "refused" : "replaced" }, { "begun", std::to_string(report.begun.size()) },
                 { "fingerprints", named } },
             telemetry::severity::Warning);
-        m_context.quarantine.crashed(report, steadyNow());
+        m_context.quarantine.reportCrash(report, steadyNow());
     }
     if (!isNews)
         return;
@@ -298,19 +298,19 @@
 {
     const auto now = steadyNow();
     for (const auto call : m_context.quarantine.callsOnTrial()) {
-        if (!m_context.crashes.isFresh(call, now) && !m_context.crashes.awaitsVerdict(call, now))
+        if (!m_context.crashes.mayHaveCrashedTarget(call, now) && !m_context.crashes.awaitsVerdict(call, now))
             m_context.quarantine.endTrial(call);
     }
     beat.quarantineRevision = m_context.quarantine.revision();
-    beat.quarantine = m_context.quarantine.takeNews(isFirst, now);
+    beat.quarantine = m_context.quarantine.takeBatches(isFirst, now);
 }
 
 void gateway_role::onQuarantine(const link::gateway_update& update)
 {
     for (const auto& delta : update.quarantine)
-        m_context.quarantine.told(delta);
+        m_context.quarantine.applyDelta(delta);
     for (const auto& receipt : update.quarantineReceipts)
-        m_context.quarantine.received(receipt, steadyNow());
+        m_context.quarantine.onReceipt(receipt, steadyNow());
     if (!update.quarantine.empty() || !update.quarantineReceipts.empty())
         spreadQuarantine();
 }
--- a/src/app/gateway/gateway_call.cpp
+++ b/src/app/gateway/gateway_call.cpp
@@ -74,7 +74,7 @@
     if (now < waitsUntil) {
         m_waits = true;
         m_context.waiting.push_back(weak_from_this());
-        wakeAt(std::min(waitsUntil, now + documentPatience));
+        setTimer(std::min(waitsUntil, now + documentPatience));
         return;
     }
     route();
@@ -119,7 +119,7 @@
     std::uniform_real_distribution<double> draw(0, 1);
     request.service = gateway::pickService(*route, draw(m_context.random));
     request.arrived = m_arrived;
-    request.deadline = m_arrived + std::min(route->longestWait, m_caller.patience.value_or(route->longestWait));
+    request.deadline = m_arrived + std::min(route->longestWait, m_caller.timeout.value_or(route->longestWait));
     request.lastEventId = m_caller.lastEventId;
     request.size = m_caller.size;
     auto& budget = m_context.budgets.of(request.service);
@@ -134,7 +134,7 @@
     // How long a stream takes can't be told before: the caller names its longest answer, which few come near.
     if (route.kind == gateway::request_kind::Stream)
         return now >= m_context.takesStreamsUntil;
-    return now + std::min(route.longestWait, m_caller.patience.value_or(route.longestWait)) > m_context.stopBy;
+    return now + std::min(route.longestWait, m_caller.timeout.value_or(route.longestWait)) > m_context.stopBy;
 }
 
 void gateway_call::callerGone()
@@ -164,7 +164,7 @@
     m_isStream = false;
     m_connected = false;
     const auto now = steadyNow();
-    gateway::forwarding added;
+    gateway::forwarding_context added;
     added.targetId = where.parts.front().target.id;
     added.workspace = m_workspace;
     added.timeLeft
@@ -195,12 +195,12 @@
         for (const auto& part : where.parts)
             m_context.reachability->watch(part.address);
     }
-    m_context.crashes.opened(m_number, where.parts, now);
+    m_context.crashes.onAttemptOpened(m_number, where.parts, now);
     m_channel->write(http1::formatRequest(m_context.dialect.writeForwarded(m_head, added), m_body));
     m_connectTimer.set(now + connectPatience, [ifCurrent] {
         ifCurrent([](gateway_call& self) {
             if (!self.m_connected)
-                self.m_exchange->onLost(gateway::attempt_loss::NotReached, steadyNow());
+                self.m_exchange->onAttemptFailed(gateway::attempt_failure::ConnectFailed, steadyNow());
         });
     });
 }
@@ -208,21 +208,21 @@
 void gateway_call::cancelAttempt()
 {
     m_connectTimer.cancel();
-    m_context.crashes.closed(m_number);
+    m_context.crashes.onAttemptClosed(m_number);
     if (m_report)
         std::exchange(m_report, nullptr)->cancel();
     if (m_channel)
         std::exchange(m_channel, nullptr)->abort(false);
 }
 
-void gateway_call::askForReport()
+void gateway_call::requestReport()
 {
     if (m_report)
         return;
     const std::weak_ptr<gateway_call> weak = weak_from_this();
     m_context.metrics.count("reports_asked");
     m_report = net::http_call::start(m_context.loop, m_where.parts.front().address,
-        { m_context.dialect.writeReportCall(m_where.parts.front().target.id), {} }, steadyNow() + reportPatience,
+        { m_context.dialect.writeReportRequest(m_where.parts.front().target.id), {} }, steadyNow() + reportPatience,
         [weak, attempt = m_attempt, asked = steadyNow()](
             net::call_outcome outcome, const net::whole_response& response) {
             const auto self = weak.lock();
@@ -249,12 +249,12 @@
         });
 }
 
-void gateway_call::checkMembers(steady_time passedSince)
+void gateway_call::probeMembers(steady_time aliveSince)
 {
     for (const auto& part : m_where.parts) {
         const bool isHeard
             = std::any_of(m_context.openCalls.begin(), m_context.openCalls.end(), [&](const gateway_call* other) {
-                  return other->m_exchange && other->m_exchange->heardThrough(part.target, passedSince);
+                  return other->m_exchange && other->m_exchange->hadEventThrough(part.target, aliveSince);
               });
         if (!isHeard)
             m_context.reachability->check(part.address);
@@ -289,13 +289,14 @@
             return;
         }
     }
-    const auto loss = m_connected ? gateway::attempt_loss::Broken : gateway::attempt_loss::NotReached;
+    const auto loss = m_connected ? gateway::attempt_failure::ConnectionLost : gateway::attempt_failure::ConnectFailed;
     m_channel = nullptr;
-    if (loss == gateway::attempt_loss::Broken && m_context.crashes.isFresh(m_number, steadyNow())) {
-        (void)m_context.crashes.cutOff(m_number, fingerprint(), steadyNow());
+    if (loss == gateway::attempt_failure::ConnectionLost
+        && m_context.crashes.mayHaveCrashedTarget(m_number, steadyNow())) {
+        (void)m_context.crashes.onConnectionLost(m_number, fingerprint(), steadyNow());
         m_context.reachability->checkAnew(m_where.parts.front().address);
     }
-    m_exchange->onLost(loss, steadyNow());
+    m_exchange->onAttemptFailed(loss, steadyNow());
 }
 
 void gateway_call::advance()
@@ -304,14 +305,14 @@
     const std::uint32_t attempt = m_attempt;
     const auto isCurrent = [this, attempt] { return m_channel && m_attempt == attempt; };
     if (m_parser->state() == http1::parse_state::Bad) {
-        m_exchange->onLost(gateway::attempt_loss::Garbled, steadyNow());
+        m_exchange->onAttemptFailed(gateway::attempt_failure::InvalidResponse, steadyNow());
         return;
     }
     if (m_parser->state() == http1::parse_state::Head)
         return;
     if (!m_headTold) {
         m_headTold = true;
-        const auto decoded = m_context.dialect.readAnswer(m_parser->head(), m_caller.requestId);
+        const auto decoded = m_context.dialect.readResponse(m_parser->head(), m_caller.requestId);
         m_isStream = decoded.isEventStream && m_exchange->request().isStream() && decoded.status == 200;
         m_exchange->onHead(decoded, steadyNow());
         if (!isCurrent())
@@ -333,7 +334,7 @@
     for (const auto& event : m_events.put(m_parser->takeBody())) {
         if (!m_channel || m_attempt != attempt)
             return;
-        m_context.crashes.firstEvent(m_number, steadyNow());
+        m_context.crashes.onFirstEvent(m_number, steadyNow());
         m_exchange->onEvent(event.bytes, event.id, steadyNow());
     }
     if (m_channel && m_sink != nullptr && m_sink->pendingBytes() > mostPendingBytes)
@@ -348,7 +349,7 @@
     return fields;
 }
 
-void gateway_call::passOn()
+void gateway_call::forwardResponse()
 {
     if (m_sink == nullptr)
         return;
@@ -368,7 +369,7 @@
     m_streamHeadPending = true; // goes out together with the first event
 }
 
-void gateway_call::passEvent(std::string_view bytes)
+void gateway_call::forwardEvent(std::string_view bytes)
 {
     if (m_sink == nullptr)
         return;
@@ -391,7 +392,7 @@
     finish(false);
 }
 
-void gateway_call::breakOff()
+void gateway_call::abortStream()
 {
     countAnswer("broken_off");
     finish(true);
@@ -403,7 +404,7 @@
     telemetry::logEvent(event_code::CallRefused,
         { { "request", m_caller.requestId }, { "code", std::to_string(static_cast<int>(code)) }, { "reason", reason },
             { "version", std::to_string(version) }, { "target", m_head.target } });
-    answer(code, ran_state::No, reason);
+    sendError(code, ran_state::No, reason);
 }
 
 milliseconds gateway_call::comeBackAfter(result_code code) const
@@ -417,7 +418,7 @@
     return std::min(std::max(untilEnd, milliseconds(0)) + restartTime, longestRestartPause);
 }
 
-void gateway_call::answer(result_code code, ran_state ran, const std::string& /*reason*/)
+void gateway_call::sendError(result_code code, ran_state ran, const std::string& /*reason*/)
 {
     if (m_sink == nullptr)
         return;
@@ -426,7 +427,7 @@
         "{\"code\":" + std::to_string(static_cast<int>(code)) + ",\"name\":\"" + std::string(info.name)
             + "\",\"ran\":\"" + std::string(nameOf(ran)) + "\"}");
     if (ran == ran_state::No && info.retryAfterSeconds > 0)
-        response.head.fields.push_back(m_context.dialect.writeComeBack(comeBackAfter(code)));
+        response.head.fields.push_back(m_context.dialect.writeRetryAfter(comeBackAfter(code)));
     m_sink->write(http1::formatResponse(response.head, response.body, m_sink->keepsAlive()));
     countAnswer(std::string(info.name));
     finish(false);
@@ -447,7 +448,7 @@
         "answer_ms", static_cast<double>(std::chrono::duration_cast<milliseconds>(steadyNow() - m_arrived).count()));
 }
 
-void gateway_call::wakeAt(steady_time when)
+void gateway_call::setTimer(steady_time when)
 {
     const std::weak_ptr<gateway_call> weak = weak_from_this();
     m_timer.set(when, [weak] {
@@ -461,7 +462,7 @@
     });
 }
 
-void gateway_call::note(event_code event, std::initializer_list<log_field> fields)
+void gateway_call::logEvent(event_code event, std::initializer_list<log_field> fields)
 {
     telemetry::logEvent(event, fields);
 }
--- a/src/app/gateway/gateway_call.hpp
+++ b/src/app/gateway/gateway_call.hpp
@@ -20,7 +20,7 @@
     const gateway::traffic_dialect& dialect;
     telemetry::metrics& metrics;
     gateway::target_pool pool;
-    gateway::repeat_budgets budgets;
+    gateway::shared_retry_budgets budgets;
     std::shared_ptr<const gateway::route_index> document; ///< empty: none yet
     std::size_t budgetSharers = 0; ///< gateways that share the budgets, as told last; 0: never
     std::mt19937_64 random;
@@ -72,22 +72,22 @@
     /// @brief Everything written so far has been taken by the caller's connection.
     void drained();
 
-    gateway::dispatch_verdict mayBegin(const gateway::selection& where) override;
-    [[nodiscard]] bool mustLeave() override;
+    gateway::dispatch_verdict requestDispatch(const gateway::selection& where) override;
+    [[nodiscard]] bool mustCancel() override;
     void openAttempt(
         std::uint32_t number, const gateway::selection& where, std::optional<std::uint64_t> lastEventId) override;
     void cancelAttempt() override;
-    void askForReport() override;
-    void checkMembers(steady_time passedSince) override;
-    void passOn() override;
+    void requestReport() override;
+    void probeMembers(steady_time aliveSince) override;
+    void forwardResponse() override;
     void beginStream() override;
-    void passEvent(std::string_view bytes) override;
+    void forwardEvent(std::string_view bytes) override;
     void endStream() override;
-    void breakOff() override;
-    void answer(result_code code, ran_state ran, const std::string& reason) override;
-    void wakeAt(steady_time when) override;
+    void abortStream() override;
+    void sendError(result_code code, ran_state ran, const std::string& reason) override;
+    void setTimer(steady_time when) override;
     [[nodiscard]] request_fingerprint fingerprint() override;
-    void note(event_code event, std::initializer_list<log_field> fields) override;
+    void logEvent(event_code event, std::initializer_list<log_field> fields) override;
 
     /// @brief The first document has come.
     void resume();
--- a/src/app/gateway/gateway_call_quarantine.cpp
+++ b/src/app/gateway/gateway_call_quarantine.cpp
@@ -6,16 +6,16 @@
 
 namespace buckthornrail::app {
 
-gateway::dispatch_verdict gateway_call::mayBegin(const gateway::selection& where)
+gateway::dispatch_verdict gateway_call::requestDispatch(const gateway::selection& where)
 {
     const auto now = steadyNow();
     if (m_context.crashes.awaitsVerdict(m_number, now))
         return gateway::dispatch_verdict::Wait;
-    if (m_context.quarantine.isQuiet())
+    if (m_context.quarantine.isEmpty())
         return gateway::dispatch_verdict::Go;
-    const auto verdict = m_context.quarantine.mayBegin(m_number, fingerprint(), where.parts.front().target, now);
+    const auto verdict = m_context.quarantine.requestDispatch(m_number, fingerprint(), where.parts.front().target, now);
     noteVerdict(verdict, where);
-    if (m_context.quarantine.hasNews())
+    if (m_context.quarantine.hasUnsentChanges())
         m_context.sendNews();
     return verdict;
 }
@@ -33,9 +33,9 @@
             { "revision", std::to_string(m_context.quarantine.revision()) } });
 }
 
-bool gateway_call::mustLeave()
+bool gateway_call::mustCancel()
 {
-    return !m_context.quarantine.isQuiet() && m_context.quarantine.mustLeave(m_number, fingerprint());
+    return !m_context.quarantine.isEmpty() && m_context.quarantine.mustCancel(m_number, fingerprint());
 }
 
 void gateway_call::quarantineChanged()
@@ -46,10 +46,10 @@
 
 void gateway_call::noteAnswered()
 {
-    if (m_context.quarantine.isQuiet())
+    if (m_context.quarantine.isEmpty())
         return;
     const auto stage = m_context.quarantine.stageOf(fingerprint());
-    if (!m_context.quarantine.answered(fingerprint()))
+    if (!m_context.quarantine.reportCompleted(fingerprint()))
         return;
     telemetry::logEvent(event_code::RequestCleared,
         { { "request", m_caller.requestId }, { "fingerprint", text(fingerprint()) },
--- a/src/app/gateway/gateway_document.cpp
+++ b/src/app/gateway/gateway_document.cpp
@@ -24,7 +24,7 @@
         return applied;
     if (m_text.version <= version())
         return {};
-    const auto outline = m_dialect.cutDocument(m_text.text);
+    const auto outline = m_dialect.splitDocument(m_text.text);
     if (!outline) {
         logUnreadable(m_text.version, outline.error());
         return {};
@@ -40,7 +40,7 @@
 tl::expected<bool, failure> gateway_document::putInForce()
 {
     bool isChanged = false;
-    for (auto& finished : m_assembly.takeFinished()) {
+    for (auto& finished : m_assembly.takeCompleted()) {
         if (finished.change.to <= version())
             continue; // sent before the controller knew what is held
         if (const auto put = putInForce(std::move(finished)); !put) {
@@ -52,7 +52,7 @@
     return isChanged;
 }
 
-tl::expected<void, failure> gateway_document::putInForce(gateway::finished_change finished)
+tl::expected<void, failure> gateway_document::putInForce(gateway::completed_change finished)
 {
     if (!finished.whole) {
         if (m_index)
--- a/src/app/gateway/gateway_document.hpp
+++ b/src/app/gateway/gateway_document.hpp
@@ -37,7 +37,7 @@
     [[nodiscard]] std::shared_ptr<const gateway::route_index> index() const { return m_index; }
 
 private:
-    tl::expected<void, failure> putInForce(gateway::finished_change finished);
+    tl::expected<void, failure> putInForce(gateway::completed_change finished);
     /// @brief Logs a version that can't be read. The one before stays in force.
     static void logUnreadable(std::uint64_t version, const failure& fault);
 
--- a/src/app/registry/document_feed.cpp
+++ b/src/app/registry/document_feed.cpp
@@ -48,7 +48,7 @@
 {
     if (committed.version == m_marks.version())
         return;
-    const auto outline = m_dialect.cutDocument(committed.text);
+    const auto outline = m_dialect.splitDocument(committed.text);
     if (!outline) {
         telemetry::logEvent(event_code::ConfigurationRejected,
             { { "version", std::to_string(committed.version) }, { "reason", outline.error().reason } },
@@ -96,7 +96,7 @@
         return messages;
     }
     if (m_whole.empty()) {
-        if (const auto outline = m_dialect.cutDocument(newest.text))
+        if (const auto outline = m_dialect.splitDocument(newest.text))
             m_whole = encodeAll(document::slicesOf(*outline));
     }
     for (const auto& message : m_whole)
--- a/src/app/registry/layer_orders.cpp
+++ b/src/app/registry/layer_orders.cpp
@@ -167,7 +167,7 @@
 
 void layer_orders::ask(const registry::target_record& record, open_order& order, steady_time now)
 {
-    order.call = net::http_call::start(m_loop, record.address, { m_dialect.writeReportCall(record.id), {} },
+    order.call = net::http_call::start(m_loop, record.address, { m_dialect.writeReportRequest(record.id), {} },
         now + callPatience, [this, record](net::call_outcome outcome, const net::whole_response& response) {
             onReport(record, outcome, response);
         });
--- a/src/app/registry/registry.cpp
+++ b/src/app/registry/registry.cpp
@@ -146,15 +146,15 @@
         onQuarantineCall(request, respond);
         return;
     }
-    auto call = m_dialect.readCall(request.head, request.body);
-    if (auto* publish = std::get_if<gateway::publish_call>(&call)) {
+    auto call = m_dialect.readRequest(request.head, request.body);
+    if (auto* publish = std::get_if<gateway::publish_request>(&call)) {
         onPublish(std::move(*publish), respond);
-    } else if (std::holds_alternative<gateway::read_call>(call)) {
+    } else if (std::holds_alternative<gateway::read_document_request>(call)) {
         onRead(respond);
-    } else if (const auto* announce = std::get_if<gateway::announce_call>(&call)) {
+    } else if (const auto* announce = std::get_if<gateway::announce_request>(&call)) {
         onAnnounce(announce->record, respond);
     } else {
-        const auto& unreadable = std::get<gateway::unreadable_call>(call);
+        const auto& unreadable = std::get<gateway::invalid_request>(call);
         const std::string what = request.head.method + " " + request.head.target;
         if (unreadable.isRecord)
             noteRefused(what, unreadable.reason);
@@ -164,7 +164,7 @@
     }
 }
 
-void registry_role::onPublish(gateway::publish_call call, const net::responder& respond)
+void registry_role::onPublish(gateway::publish_request call, const net::responder& respond)
 {
     constexpr int invalid = 400;
     constexpr int conflict = 409;
--- a/src/app/registry/registry.hpp
+++ b/src/app/registry/registry.hpp
@@ -63,7 +63,7 @@
     };
 
     void onCall(const net::whole_request& request, const net::responder& respond);
-    void onPublish(gateway::publish_call call, const net::responder& respond);
+    void onPublish(gateway::publish_request call, const net::responder& respond);
     void onRead(const net::responder& respond);
     void onAnnounce(const registry::target_record& record, const net::responder& respond);
     /// @brief Puts a ready target's announcement into the log if it says something new.
--- a/src/app/registry/registry_targets.cpp
+++ b/src/app/registry/registry_targets.cpp
@@ -22,7 +22,7 @@
         return;
     }
     const auto answer = [this, record, respond] {
-        respond(net::plainResponse(200, m_dialect.writeAnnounceAnswer(nextHeartbeatAddress(record))));
+        respond(net::plainResponse(200, m_dialect.writeAnnounceResponse(nextHeartbeatAddress(record))));
     };
     const auto* known = m_state.targets().find(record.id);
     // A target that nobody can ask for must not take an address from one that is in use, whatever state it names.
--- a/src/app/registry/target_rests.cpp
+++ b/src/app/registry/target_rests.cpp
@@ -14,7 +14,7 @@
     std::erase_if(m_until, [now](const auto& item) { return now >= item.second; });
     if (outcome != net::call_outcome::Answered)
         return false;
-    const auto rest = m_dialect.readRest(response.head);
+    const auto rest = m_dialect.readRetryAfter(response.head);
     if (!rest)
         return false;
     auto& until = m_until[target];
--- a/src/app/registry/target_watch.cpp
+++ b/src/app/registry/target_watch.cpp
@@ -67,7 +67,7 @@
     if (m_verifications.contains(target) || m_rests.isResting(target, steadyNow()))
         return;
     m_verifications[target] = net::http_call::start(m_loop, record.address,
-        { m_dialect.writeReportCall(record.id), {} }, steadyNow() + probePatience,
+        { m_dialect.writeReportRequest(record.id), {} }, steadyNow() + probePatience,
         [this, record, target, answered = std::move(answered)](
             net::call_outcome outcome, const net::whole_response& response) {
             const auto ended = m_verifications.extract(target);
@@ -120,7 +120,7 @@
 void target_watch::probe(const registry::target_record& record)
 {
     const auto target = record.incarnation();
-    m_probes[target] = net::http_call::start(m_loop, record.address, { m_dialect.writeReportCall(record.id), {} },
+    m_probes[target] = net::http_call::start(m_loop, record.address, { m_dialect.writeReportRequest(record.id), {} },
         steadyNow() + probePatience, [this, target](net::call_outcome outcome, const net::whole_response& response) {
             onProbed(target, outcome, response);
         });
--- a/src/buckthornrail/gateway/crash_watch.cpp
+++ b/src/buckthornrail/gateway/crash_watch.cpp
@@ -6,12 +6,12 @@
 
 namespace buckthornrail::gateway {
 
-void crash_watch::opened(call_number call, const std::vector<selected_part>& parts, steady_time now)
+void crash_watch::onAttemptOpened(call_number call, const std::vector<selected_part>& parts, steady_time now)
 {
     m_open[call] = { parts, now, {}, false };
 }
 
-void crash_watch::firstEvent(call_number call, steady_time now)
+void crash_watch::onFirstEvent(call_number call, steady_time now)
 {
     const auto found = m_open.find(call);
     if (found == m_open.end() || found->second.hasEvent)
@@ -20,15 +20,15 @@
     found->second.blamedUntil = now + m_options.blamedFor;
 }
 
-bool crash_watch::isFresh(call_number call, steady_time now) const
+bool crash_watch::mayHaveCrashedTarget(call_number call, steady_time now) const
 {
     const auto found = m_open.find(call);
     return found != m_open.end() && (!found->second.hasEvent || now < found->second.blamedUntil);
 }
 
-bool crash_watch::cutOff(call_number call, const request_fingerprint& fingerprint, steady_time now)
+bool crash_watch::onConnectionLost(call_number call, const request_fingerprint& fingerprint, steady_time now)
 {
-    const bool mayBeToBlame = isFresh(call, now);
+    const bool mayBeToBlame = mayHaveCrashedTarget(call, now);
     auto over = m_open.extract(call);
     if (!mayBeToBlame)
         return false;
@@ -55,7 +55,7 @@
     return targets;
 }
 
-std::vector<registry::crash_report> crash_watch::ended(const std::string& address,
+std::vector<registry::crash_report> crash_watch::onTargetsEnded(const std::string& address,
     const registry::target_incarnation& survivor, const fingerprint_source& fingerprintOf, steady_time now)
 {
     dropOld(now);
@@ -65,7 +65,7 @@
     };
     std::map<registry::target_incarnation, std::vector<suspect>> begun;
     for (const auto& [call, one] : m_open) {
-        if (!isFresh(call, now))
+        if (!mayHaveCrashedTarget(call, now))
             continue;
         for (const auto& target : endedOf(one.parts, address, survivor))
             begun[target].push_back({ fingerprintOf(call), one.openedAt });
@@ -91,7 +91,7 @@
     return reports;
 }
 
-void crash_watch::lives(const std::string& address)
+void crash_watch::onTargetAlive(const std::string& address)
 {
     for (auto& one : m_lost) {
         if (one.parts.front().address == address)
--- a/src/buckthornrail/gateway/document_assembly.cpp
+++ b/src/buckthornrail/gateway/document_assembly.cpp
@@ -103,7 +103,7 @@
     return {};
 }
 
-std::vector<finished_change> document_assembly::takeFinished() { return std::exchange(m_finished, {}); }
+std::vector<completed_change> document_assembly::takeCompleted() { return std::exchange(m_finished, {}); }
 
 void document_assembly::drop()
 {
--- a/src/buckthornrail/gateway/exchange.cpp
+++ b/src/buckthornrail/gateway/exchange.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-exchange::exchange(exchange_request request, exchange_port& port, target_pool& pool, repeat_budget& budget,
+exchange::exchange(exchange_request request, exchange_port& port, target_pool& pool, shared_retry_budget& budget,
     const exchange_options& options)
     : m_request(std::move(request))
     , m_port(port)
@@ -39,7 +39,7 @@
 
 void exchange::start(steady_time now)
 {
-    m_budget.noteRequest(now);
+    m_budget.countRequest(now);
     const auto where = m_pool.select(m_request.service, m_bounds, now);
     if (!where) {
         finish(result_code::NoTarget, ran_state::No, "no usable target or path", now);
@@ -62,7 +62,7 @@
 dispatch_verdict exchange::askPort(steady_time now)
 {
     const bool isHeldBack = !m_pool.maySend(m_next->where->parts.front().target, now);
-    const auto verdict = isHeldBack ? dispatch_verdict::Elsewhere : m_port.mayBegin(*m_next->where);
+    const auto verdict = isHeldBack ? dispatch_verdict::Elsewhere : m_port.requestDispatch(*m_next->where);
     if (verdict != dispatch_verdict::Elsewhere)
         return verdict;
     auto bounds = m_next->bounds;
@@ -74,7 +74,7 @@
     }
     m_next->where = other;
     m_next->bounds = std::move(bounds);
-    return m_port.mayBegin(*other);
+    return m_port.requestDispatch(*other);
 }
 
 void exchange::askToBegin(steady_time now)
@@ -115,7 +115,7 @@
     scheduleWake(now);
 }
 
-void exchange::onHead(const target_answer& answer, steady_time now)
+void exchange::onHead(const target_response& answer, steady_time now)
 {
     if (!m_attemptOpen || m_answer)
         return;
@@ -123,7 +123,7 @@
     m_sent = true;
     const auto first = m_where.parts.front().target;
     if (answer.pushback)
-        onPushback(*answer.pushback, answer.isOwn, m_attemptStart, now);
+        onPushback(*answer.pushback, answer.isAuthentic, m_attemptStart, now);
     if (answer.notRun) {
         registry::target_incarnation faulty = answer.faultyAddress.empty() ? first : m_pool.idAt(answer.faultyAddress);
         if (faulty.empty())
@@ -138,7 +138,7 @@
             now);
         return;
     }
-    if (!answer.isOwn) {
+    if (!answer.isAuthentic) {
         blame(first, false, now);
         closeAttempt();
         tryNext({ ran_state::Unknown, false,
@@ -169,15 +169,15 @@
     const auto first = m_where.parts.front().target;
     const int status = m_answer->status;
     if (m_request.isStream() && m_answer->isEventStream && status < firstFailure) {
-        onLost(attempt_loss::Broken, now);
+        onAttemptFailed(attempt_failure::ConnectionLost, now);
         return;
     }
     closeAttempt();
     if (status < firstServerError)
         m_pool.succeeded(first, static_cast<double>(between(m_attemptStart, now).count()));
-    m_port.passOn();
+    m_port.forwardResponse();
     m_over = true;
-    m_port.note(event_code::RequestFinished,
+    m_port.logEvent(event_code::RequestFinished,
         { { "request", m_request.id }, { "route", m_request.chosen->name }, { "outcome", "passed_on" },
             { "status", std::to_string(status) }, { "attempts", std::to_string(m_tries) }, { "target", text(first) },
             { "ms", inMs(between(m_request.arrived, now)) } });
@@ -227,7 +227,7 @@
     const auto patience = std::chrono::duration_cast<milliseconds>(m_usualGap * m_options.checkAfterGaps);
     m_checkAt = now + std::max(m_options.checkAfter, patience);
     m_vainChecks = 0;
-    m_port.passEvent(bytes);
+    m_port.forwardEvent(bytes);
 }
 
 void exchange::onStreamEnd(steady_time now)
@@ -235,7 +235,7 @@
     if (!m_attemptOpen || !m_answer)
         return;
     if (!m_streamBegun) {
-        onLost(attempt_loss::Broken, now);
+        onAttemptFailed(attempt_failure::ConnectionLost, now);
         return;
     }
     for (const auto& part : m_where.parts)
@@ -243,7 +243,7 @@
     closeAttempt();
     m_port.endStream();
     m_over = true;
-    m_port.note(event_code::RequestFinished,
+    m_port.logEvent(event_code::RequestFinished,
         { { "request", m_request.id }, { "route", m_request.chosen->name }, { "outcome", "streamed" },
             { "events", std::to_string(m_events) }, { "attempts", std::to_string(m_tries) },
             { "tokens",
@@ -253,13 +253,13 @@
             { "ms", inMs(between(m_request.arrived, now)) } });
 }
 
-void exchange::onLost(attempt_loss how, steady_time now)
+void exchange::onAttemptFailed(attempt_failure how, steady_time now)
 {
     if (!m_attemptOpen)
         return;
     const auto first = m_where.parts.front().target;
-    const bool notReached = how == attempt_loss::NotReached && !m_sent;
-    const bool byMember = hasPath() && how == attempt_loss::Broken; // any member may have ended it
+    const bool notReached = how == attempt_failure::ConnectFailed && !m_sent;
+    const bool byMember = hasPath() && how == attempt_failure::ConnectionLost; // any member may have ended it
     if (byMember)
         m_pool.failed(first);
     else
@@ -270,7 +270,7 @@
         tryNext({ ran_state::No, true, "no connection to " + text(first) }, now);
         return;
     }
-    const bool garbled = how == attempt_loss::Garbled;
+    const bool garbled = how == attempt_failure::InvalidResponse;
     tryNext(
         { ran_state::Unknown, !garbled && !byMember, (garbled ? "garbled by " : "cut off by ") + text(first) }, now);
 }
@@ -283,7 +283,7 @@
         closeAttempt();
     m_next.reset();
     m_over = true;
-    m_port.note(event_code::RequestFinished,
+    m_port.logEvent(event_code::RequestFinished,
         { { "request", m_request.id }, { "route", m_request.chosen->name }, { "outcome", "caller_left" },
             { "events", std::to_string(m_events) }, { "attempts", std::to_string(m_tries) },
             { "ms", inMs(between(m_request.arrived, now)) } });
@@ -318,7 +318,7 @@
     }
     const bool mayHaveRun = m_mayHaveRun || last.ran != ran_state::No;
     const bool arrived = last.ran != ran_state::No || !last.targetEnded;
-    if (arrived && !m_budget.take(!mayHaveRun, now)) {
+    if (arrived && !m_budget.tryTake(!mayHaveRun, now)) {
         next.why = "the budget of repeats is spent: " + m_budget.describe(now);
         next.where.reset();
     }
@@ -371,14 +371,14 @@
 {
     if (std::exchange(m_keptFor, last.reason) == last.reason)
         return;
-    m_port.note(event_code::AttemptKept,
+    m_port.logEvent(event_code::AttemptKept,
         { { "request", m_request.id }, { "attempt", std::to_string(m_tries) }, { "because", last.reason },
             { "reason", why } });
 }
 
 void exchange::noteLoss(const attempt_end& last, steady_time now)
 {
-    m_port.note(event_code::AttemptLost,
+    m_port.logEvent(event_code::AttemptLost,
         { { "request", m_request.id }, { "attempt", std::to_string(m_tries) }, { "reason", last.reason },
             { "ran", std::string(nameOf(last.ran)) }, { "events", std::to_string(m_events) },
             { "first_event", m_promptRead ? "seen" : "none" }, { "open_ms", inMs(between(m_attemptStart, now)) },
@@ -419,7 +419,7 @@
     m_promptRead = false;
     m_pool.noteSent(m_where.parts.front().target, now);
     m_pool.began(m_where, m_request.size);
-    m_port.note(event_code::RouteChosen,
+    m_port.logEvent(event_code::RouteChosen,
         { { "request", m_request.id }, { "route", m_request.chosen->name },
             { "version", std::to_string(m_request.documentVersion) }, { "attempt", std::to_string(m_tries) },
             { "chosen", describe(where) }, { "candidates", where.summary },
@@ -449,7 +449,7 @@
     const bool mayComeBack = code == result_code::Busy || code == result_code::NoTarget;
     if (mayComeBack)
         m_roomExpectedAt = m_pool.roomExpectedAt(m_request.service, now);
-    m_port.note(m_streamBegun || ran != ran_state::No ? event_code::RequestFinished : event_code::RouteRefused,
+    m_port.logEvent(m_streamBegun || ran != ran_state::No ? event_code::RequestFinished : event_code::RouteRefused,
         { { "request", m_request.id }, { "route", m_request.chosen->name },
             { "outcome", m_streamBegun ? "broken_off" : "refused" }, { "code", std::to_string(static_cast<int>(code)) },
             { "ran", std::string(nameOf(ran)) }, { "reason", reason }, { "events", std::to_string(m_events) },
@@ -457,9 +457,9 @@
             { "room_in_ms", m_roomExpectedAt ? inMs(between(now, *m_roomExpectedAt)) : std::string() },
             { "ms", inMs(between(m_request.arrived, now)) } });
     if (m_streamBegun)
-        m_port.breakOff();
+        m_port.abortStream();
     else
-        m_port.answer(code, ran, reason);
+        m_port.sendError(code, ran, reason);
 }
 
 void exchange::blameFirst(steady_time now) { blame(m_where.parts.front().target, false, now); }
@@ -471,7 +471,7 @@
         m_pool.wentDark(target, now);
     else
         m_pool.failed(target);
-    m_port.note(event_code::TargetAvoided,
+    m_port.logEvent(event_code::TargetAvoided,
         { { "request", m_request.id }, { "target", text(target) }, { "reason", dark ? "dark" : "failed" } });
 }
 
--- a/src/buckthornrail/gateway/exchange_pushback.cpp
+++ b/src/buckthornrail/gateway/exchange_pushback.cpp
@@ -15,7 +15,7 @@
     const auto change = m_pool.heard(first, said, namesNone, sentAt, now);
     if (!change && !said.rest && !said.isLeaving && said.unreadable.empty())
         return;
-    m_port.note(event_code::TargetPushback,
+    m_port.logEvent(event_code::TargetPushback,
         { { "request", m_request.id }, { "target", text(first) },
             { "per_second", change ? text(change->after) : std::string() },
             { "before", change ? text(change->before) : std::string() },
--- a/src/buckthornrail/gateway/exchange_stream_test.cpp
+++ b/src/buckthornrail/gateway/exchange_stream_test.cpp
@@ -15,7 +15,7 @@
     CHECK_FALSE(bench.port.begun); // an attempt that fails before its first event leaves no trace
     call.onEvent("1", 1, zero);
     call.onEvent("2", 2, zero);
-    call.onLost(attempt_loss::Broken, zero);
+    call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
     REQUIRE(bench.port.attempts == 2);
     CHECK(bench.port.resumeAfter == 2U);
     beginStream(call);
@@ -46,7 +46,7 @@
     call.start(zero);
     beginStream(call);
     call.onEvent("1", 1, zero);
-    call.onLost(attempt_loss::Broken, zero);
+    call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
     CHECK(bench.port.outcome == "broken off");
 }
 
@@ -68,10 +68,10 @@
 TEST_CASE("exchange: a slow stream that can't move stays where it is", "[exchange]")
 {
     exchange_bench bench(request_kind::Stream, true, true);
-    repeat_budget_options spent;
+    shared_retry_budget_options spent;
     spent.ratio = 0;
     spent.slack = 0;
-    bench.budget = repeat_budget(spent);
+    bench.budget = shared_retry_budget(spent);
     auto call = bench.make();
     call.start(zero);
     beginStream(call);
@@ -97,7 +97,7 @@
     const auto recordsBefore = bench.pool.readyCount("s");
     REQUIRE(recordsBefore > 0);
     bench.pool.update({}); // every target is gone
-    call.onLost(attempt_loss::Broken, zero);
+    call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
     CHECK(bench.port.outcome.empty());
     CHECK(bench.port.wake == zero + milliseconds(150));
     call.onTimer(zero + milliseconds(150));
@@ -136,7 +136,7 @@
     call.start(zero);
     beginStream(call);
     call.onEvent("1", 1, zero);
-    call.onLost(attempt_loss::Broken, zero);
+    call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
     for (int at = 0; at < 30 && bench.port.isOpen; ++at) {
         call.onSent(zero);
         call.onHead(refusal(), zero);
@@ -159,7 +159,7 @@
         beginStream(call);
         call.onEvent("e", next++, zero);
         ranAt.insert(bench.port.target);
-        call.onLost(attempt_loss::Broken, zero);
+        call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
     };
     runAndBreak();
     bench.end(*ranAt.begin(), registry::target_state::Draining);
@@ -173,7 +173,7 @@
     {
         for (const auto& id : ranAt)
             bench.end(id, registry::target_state::Draining);
-        call.onLost(attempt_loss::Broken, zero);
+        call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
         CHECK_FALSE(bench.port.isOpen); // it waits, and goes nowhere else
         CHECK(bench.port.outcome.empty());
     }
@@ -181,7 +181,7 @@
     {
         for (const auto& id : ranAt)
             bench.end(id, registry::target_state::Gone);
-        call.onLost(attempt_loss::Broken, zero);
+        call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
         CHECK_FALSE(bench.port.isOpen);
         CHECK(bench.port.outcome.empty());
     }
@@ -226,12 +226,12 @@
     {
         for (const auto& id : ranAt)
             bench.end(id, registry::target_state::Lost);
-        call.onLost(attempt_loss::Broken, now);
+        call.onAttemptFailed(attempt_failure::ConnectionLost, now);
         CHECK_FALSE(ranAt.contains(bench.port.target));
     }
     SECTION("its heartbeats come: it runs on")
     {
-        call.onLost(attempt_loss::Broken, now);
+        call.onAttemptFailed(attempt_failure::ConnectionLost, now);
         CHECK(ranAt.contains(bench.port.target));
     }
 }
@@ -274,7 +274,7 @@
     call.start(zero);
     for (int at = 0; at < 10 && bench.port.outcome.empty(); ++at) {
         beginStream(call);
-        call.onLost(attempt_loss::Broken, zero);
+        call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
     }
     const std::set<std::string> distinct(bench.port.targets.begin(), bench.port.targets.end());
     CHECK(distinct.size() <= 2);
@@ -315,12 +315,12 @@
     auto call = bench.make();
     call.start(zero);
     beginStream(call);
-    CHECK_FALSE(call.heardThrough(bench.port.target, zero));
+    CHECK_FALSE(call.hadEventThrough(bench.port.target, zero));
     auto now = zero + milliseconds(10);
     call.onEvent("1", 1, now);
-    CHECK(call.heardThrough(bench.port.target, zero));
-    CHECK_FALSE(call.heardThrough(bench.port.target, now + milliseconds(1)));
-    CHECK_FALSE(call.heardThrough("nobody", zero));
+    CHECK(call.hadEventThrough(bench.port.target, zero));
+    CHECK_FALSE(call.hadEventThrough(bench.port.target, now + milliseconds(1)));
+    CHECK_FALSE(call.hadEventThrough("nobody", zero));
     const auto end = now + milliseconds(800);
     for (; now < end; now += milliseconds(10))
         call.onTimer(now);
--- a/src/buckthornrail/gateway/exchange_test.cpp
+++ b/src/buckthornrail/gateway/exchange_test.cpp
@@ -26,7 +26,7 @@
     auto call = bench.make();
     call.start(zero);
     call.onSent(zero);
-    call.onLost(attempt_loss::Broken, zero);
+    call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
     CHECK(bench.port.attempts == 1);
     CHECK(bench.port.outcome == "answered");
     CHECK(bench.port.answerRan == ran_state::Unknown);
@@ -153,7 +153,7 @@
                 break;
             case 1:
                 mayHaveRun += sent ? 1 : 0;
-                call.onLost(sent ? attempt_loss::Broken : attempt_loss::NotReached, now);
+                call.onAttemptFailed(sent ? attempt_failure::ConnectionLost : attempt_failure::ConnectFailed, now);
                 break;
             case 2:
                 call.onHead(refusal(), now);
--- a/src/buckthornrail/gateway/exchange_watch.cpp
+++ b/src/buckthornrail/gateway/exchange_watch.cpp
@@ -79,7 +79,7 @@
         return;
     }
     const bool mayLeave = m_attemptOpen && !m_promptRead && !m_answer && m_request.mayRepeat();
-    if (!mayLeave || !m_port.mustLeave())
+    if (!mayLeave || !m_port.mustCancel())
         return;
     closeAttempt();
     tryNext({ ran_state::Unknown, false, "left: targets ended under the same request" }, now);
@@ -93,7 +93,7 @@
         m_where.parts.begin(), m_where.parts.end(), [&target](const auto& part) { return part.target == target; });
 }
 
-bool exchange::heardThrough(const registry::target_incarnation& target, steady_time since) const
+bool exchange::hadEventThrough(const registry::target_incarnation& target, steady_time since) const
 {
     return m_attemptOpen && m_lastEventAt >= since && m_lastEventAt > m_attemptStart && isMember(target);
 }
@@ -103,7 +103,7 @@
     if (now < m_checkAt)
         return;
     m_checkAt = now + m_options.checkAgainAfter * (1U << std::min(m_vainChecks++, 3U));
-    m_port.checkMembers(silentSince(now));
+    m_port.probeMembers(silentSince(now));
 }
 
 steady_time exchange::silentSince(steady_time now) const
@@ -168,7 +168,7 @@
         return; // a question that wasn't put says nothing of the target
     m_pool.noteSent(first, now);
     ++m_openAsks;
-    m_port.askForReport();
+    m_port.requestReport();
 }
 
 bool exchange::leaveSlowTarget(steady_time now)
@@ -197,7 +197,7 @@
         if (m_moveAt > now)
             when = std::min(when, m_moveAt);
     }
-    m_port.wakeAt(when);
+    m_port.setTimer(when);
 }
 
 } // namespace buckthornrail::gateway
--- a/src/buckthornrail/gateway/quarantine_gate.cpp
+++ b/src/buckthornrail/gateway/quarantine_gate.cpp
@@ -20,7 +20,7 @@
     return std::max(told, reported->second.expected);
 }
 
-dispatch_verdict quarantine_gate::mayBegin(call_number call, const request_fingerprint& fingerprint,
+dispatch_verdict quarantine_gate::requestDispatch(call_number call, const request_fingerprint& fingerprint,
     const registry::target_incarnation& target, steady_time now)
 {
     const auto stage = stageOf(fingerprint);
@@ -78,7 +78,7 @@
     return dispatch_verdict::Wait;
 }
 
-bool quarantine_gate::mustLeave(call_number call, const request_fingerprint& fingerprint) const
+bool quarantine_gate::mustCancel(call_number call, const request_fingerprint& fingerprint) const
 {
     const auto stage = stageOf(fingerprint);
     if (stage == quarantine_stage::None)
@@ -110,7 +110,7 @@
     return calls;
 }
 
-void quarantine_gate::crashed(const registry::crash_report& report, steady_time now)
+void quarantine_gate::reportCrash(const registry::crash_report& report, steady_time now)
 {
     if (report.begun.empty())
         return;
@@ -139,7 +139,7 @@
     }
 }
 
-bool quarantine_gate::answered(const request_fingerprint& fingerprint)
+bool quarantine_gate::reportCompleted(const request_fingerprint& fingerprint)
 {
     const bool isReported = m_reported.erase(fingerprint) > 0;
     const bool isHeld = isReported || m_view.stageOf(fingerprint) != quarantine_stage::None;
@@ -148,7 +148,7 @@
     return isHeld;
 }
 
-void quarantine_gate::received(const registry::quarantine_receipt& receipt, steady_time now)
+void quarantine_gate::onReceipt(const registry::quarantine_receipt& receipt, steady_time now)
 {
     const auto found = std::find_if(
         m_sent.begin(), m_sent.end(), [&receipt](const auto& one) { return one.batch.number == receipt.number; });
@@ -176,10 +176,10 @@
     m_sent.erase(found);
 }
 
-std::vector<registry::quarantine_batch> quarantine_gate::takeNews(bool all, steady_time now)
+std::vector<registry::quarantine_batch> quarantine_gate::takeBatches(bool all, steady_time now)
 {
     dropReported(now);
-    if (hasNews()) {
+    if (hasUnsentChanges()) {
         m_sent.push_back({ { ++m_lastNumber, std::exchange(m_next, {}) }, {} });
         if (m_sent.size() > m_options.mostNews)
             m_sent.pop_front();
--- a/src/buckthornrail/gateway/quarantine_gate_test.cpp
+++ b/src/buckthornrail/gateway/quarantine_gate_test.cpp
@@ -38,13 +38,13 @@
     "crash watch: what had just begun at a target that ended is to blame, what had run for a while isn't", "[crash]")
 {
     crash_watch watch;
-    watch.opened(1, { partAt("a", "a:1"), partAt("b", "b:1") }, zero);
-    watch.opened(2, { partAt("a", "a:1") }, zero);
-    watch.opened(3, { partAt("c", "c:1"), partAt("a", "a:1") }, zero + milliseconds(900));
-    watch.firstEvent(1, zero + milliseconds(100));
-    watch.firstEvent(2, zero + milliseconds(900));
+    watch.onAttemptOpened(1, { partAt("a", "a:1"), partAt("b", "b:1") }, zero);
+    watch.onAttemptOpened(2, { partAt("a", "a:1") }, zero);
+    watch.onAttemptOpened(3, { partAt("c", "c:1"), partAt("a", "a:1") }, zero + milliseconds(900));
+    watch.onFirstEvent(1, zero + milliseconds(100));
+    watch.onFirstEvent(2, zero + milliseconds(900));
     const auto now = zero + milliseconds(1000);
-    const auto reports = watch.ended("a:1", {}, byNumber, now);
+    const auto reports = watch.onTargetsEnded("a:1", {}, byNumber, now);
     REQUIRE(reports.size() == 1);
     CHECK(reports.front().target == registry::target_incarnation("a"));
     // The one that began last goes first; a member that isn't the first counts as well.
@@ -54,127 +54,128 @@
 TEST_CASE("crash watch: an attempt that is cut off waits for word of its target, which may also come late", "[crash]")
 {
     crash_watch watch;
-    watch.opened(1, { partAt("a", "a:1") }, zero);
-    CHECK(watch.cutOff(1, named(1), zero + milliseconds(50)));
+    watch.onAttemptOpened(1, { partAt("a", "a:1") }, zero);
+    CHECK(watch.onConnectionLost(1, named(1), zero + milliseconds(50)));
     CHECK(watch.awaitsVerdict(1, zero + milliseconds(51)));
     SECTION("it is gone")
     {
-        CHECK(begunOf(watch.ended("a:1", {}, byNumber, zero + milliseconds(52))) == std::vector { named(1) });
+        CHECK(begunOf(watch.onTargetsEnded("a:1", {}, byNumber, zero + milliseconds(52))) == std::vector { named(1) });
         CHECK_FALSE(watch.awaitsVerdict(1, zero + milliseconds(53)));
-        CHECK(watch.ended("a:1", {}, byNumber, zero + milliseconds(54)).empty());
+        CHECK(watch.onTargetsEnded("a:1", {}, byNumber, zero + milliseconds(54)).empty());
     }
     SECTION("it takes connections, and is found later to be another life")
     {
-        watch.lives("a:1");
+        watch.onTargetAlive("a:1");
         CHECK_FALSE(watch.awaitsVerdict(1, zero + milliseconds(53)));
-        CHECK(watch.ended("a:1", "a", byNumber, zero + milliseconds(60)).empty());
+        CHECK(watch.onTargetsEnded("a:1", "a", byNumber, zero + milliseconds(60)).empty());
         const registry::target_incarnation later("a", 7);
-        CHECK(begunOf(watch.ended("a:1", later, byNumber, zero + milliseconds(900))) == std::vector { named(1) });
+        CHECK(begunOf(watch.onTargetsEnded("a:1", later, byNumber, zero + milliseconds(900)))
+            == std::vector { named(1) });
     }
     SECTION("nothing is heard") { CHECK_FALSE(watch.awaitsVerdict(1, zero + milliseconds(200))); }
-    SECTION("it is forgotten") { CHECK(watch.ended("a:1", {}, byNumber, zero + milliseconds(5000)).empty()); }
+    SECTION("it is forgotten") { CHECK(watch.onTargetsEnded("a:1", {}, byNumber, zero + milliseconds(5000)).empty()); }
 }
 
 TEST_CASE("crash watch: one that had run for a while, or was over, awaits nothing", "[crash]")
 {
     crash_watch watch;
-    watch.opened(1, { partAt("a", "a:1") }, zero);
-    watch.firstEvent(1, zero);
-    CHECK_FALSE(watch.cutOff(1, named(1), zero + milliseconds(600)));
-    watch.opened(2, { partAt("a", "a:1") }, zero);
-    watch.closed(2);
-    CHECK_FALSE(watch.cutOff(2, named(2), zero));
-    CHECK(watch.ended("a:1", {}, byNumber, zero).empty());
+    watch.onAttemptOpened(1, { partAt("a", "a:1") }, zero);
+    watch.onFirstEvent(1, zero);
+    CHECK_FALSE(watch.onConnectionLost(1, named(1), zero + milliseconds(600)));
+    watch.onAttemptOpened(2, { partAt("a", "a:1") }, zero);
+    watch.onAttemptClosed(2);
+    CHECK_FALSE(watch.onConnectionLost(2, named(2), zero));
+    CHECK(watch.onTargetsEnded("a:1", {}, byNumber, zero).empty());
 }
 
 TEST_CASE("quarantine gate: nothing is asked for as long as nothing is held against anyone", "[quarantine]")
 {
     quarantine_gate gate(1);
-    CHECK(gate.isQuiet());
-    CHECK(gate.mayBegin(1, named(1), "a", zero) == dispatch_verdict::Go);
-    CHECK_FALSE(gate.hasNews());
+    CHECK(gate.isEmpty());
+    CHECK(gate.requestDispatch(1, named(1), "a", zero) == dispatch_verdict::Go);
+    CHECK_FALSE(gate.hasUnsentChanges());
 }
 
 TEST_CASE("quarantine gate: a suspect runs once its trial is granted, a little later", "[quarantine]")
 {
     quarantine_gate gate(1);
-    gate.crashed({ "a", { named(1) } }, zero);
-    CHECK(gate.mayBegin(1, named(2), "b", zero) == dispatch_verdict::Go);
-    CHECK(gate.mayBegin(1, named(1), "b", zero) == dispatch_verdict::Wait);
-    const auto news = gate.takeNews(false, zero);
+    gate.reportCrash({ "a", { named(1) } }, zero);
+    CHECK(gate.requestDispatch(1, named(2), "b", zero) == dispatch_verdict::Go);
+    CHECK(gate.requestDispatch(1, named(1), "b", zero) == dispatch_verdict::Wait);
+    const auto news = gate.takeBatches(false, zero);
     REQUIRE(news.size() == 1);
     CHECK(news.front().change.crashes.size() == 1);
     REQUIRE(news.front().change.claims.size() == 1);
-    gate.told(standing(1, named(1), quarantine_stage::Suspect));
+    gate.applyDelta(standing(1, named(1), quarantine_stage::Suspect));
     SECTION("granted")
     {
-        gate.received({ news.front().number, {} }, zero + milliseconds(10));
-        CHECK(gate.mayBegin(1, named(1), "b", zero + milliseconds(20)) == dispatch_verdict::Wait);
-        CHECK(gate.mayBegin(1, named(1), "b", zero + milliseconds(50)) == dispatch_verdict::Go);
-        CHECK_FALSE(gate.mustLeave(1, named(1)));
-        CHECK(gate.mustLeave(2, named(1))); // a copy in another call
+        gate.onReceipt({ news.front().number, {} }, zero + milliseconds(10));
+        CHECK(gate.requestDispatch(1, named(1), "b", zero + milliseconds(20)) == dispatch_verdict::Wait);
+        CHECK(gate.requestDispatch(1, named(1), "b", zero + milliseconds(50)) == dispatch_verdict::Go);
+        CHECK_FALSE(gate.mustCancel(1, named(1)));
+        CHECK(gate.mustCancel(2, named(1))); // a copy in another call
         CHECK(gate.callsOnTrial() == std::vector<call_number> { 1 });
         // A target ended under a copy elsewhere meanwhile: the trial says nothing any more.
-        gate.told(standing(2, named(1), quarantine_stage::Held));
-        CHECK(gate.mustLeave(1, named(1)));
-        CHECK(gate.mayBegin(1, named(1), "b", zero + milliseconds(60)) == dispatch_verdict::Wait);
+        gate.applyDelta(standing(2, named(1), quarantine_stage::Held));
+        CHECK(gate.mustCancel(1, named(1)));
+        CHECK(gate.requestDispatch(1, named(1), "b", zero + milliseconds(60)) == dispatch_verdict::Wait);
     }
     SECTION("it runs somewhere else")
     {
-        gate.received(
+        gate.onReceipt(
             { news.front().number, { { news.front().change.claims.front().trial, trial_refusal::Running } } }, zero);
-        CHECK(gate.mayBegin(1, named(1), "b", zero + milliseconds(100)) == dispatch_verdict::Wait);
-        CHECK_FALSE(gate.hasNews());
-        CHECK(gate.mayBegin(1, named(1), "b", zero + milliseconds(200)) == dispatch_verdict::Wait);
-        CHECK(gate.hasNews()); // claimed anew
+        CHECK(gate.requestDispatch(1, named(1), "b", zero + milliseconds(100)) == dispatch_verdict::Wait);
+        CHECK_FALSE(gate.hasUnsentChanges());
+        CHECK(gate.requestDispatch(1, named(1), "b", zero + milliseconds(200)) == dispatch_verdict::Wait);
+        CHECK(gate.hasUnsentChanges()); // claimed anew
     }
     SECTION("no controller answers: suspects are innocent as a rule")
     {
-        CHECK(gate.mayBegin(1, named(1), "b", zero + milliseconds(149)) == dispatch_verdict::Wait);
-        CHECK(gate.mayBegin(1, named(1), "b", zero + milliseconds(150)) == dispatch_verdict::Go);
+        CHECK(gate.requestDispatch(1, named(1), "b", zero + milliseconds(149)) == dispatch_verdict::Wait);
+        CHECK(gate.requestDispatch(1, named(1), "b", zero + milliseconds(150)) == dispatch_verdict::Go);
     }
     SECTION("one that is held waits all the same")
     {
-        gate.told(standing(2, named(1), quarantine_stage::Held));
-        CHECK(gate.mayBegin(1, named(1), "b", zero) == dispatch_verdict::Wait);
-        CHECK(gate.mayBegin(1, named(1), "b", zero + milliseconds(5000)) == dispatch_verdict::Wait);
+        gate.applyDelta(standing(2, named(1), quarantine_stage::Held));
+        CHECK(gate.requestDispatch(1, named(1), "b", zero) == dispatch_verdict::Wait);
+        CHECK(gate.requestDispatch(1, named(1), "b", zero + milliseconds(5000)) == dispatch_verdict::Wait);
     }
     SECTION("proven")
     {
-        gate.told(standing(2, named(1), quarantine_stage::Proven));
-        CHECK(gate.mayBegin(1, named(1), "b", zero) == dispatch_verdict::Refuse);
+        gate.applyDelta(standing(2, named(1), quarantine_stage::Proven));
+        CHECK(gate.requestDispatch(1, named(1), "b", zero) == dispatch_verdict::Refuse);
     }
 }
 
 TEST_CASE("quarantine gate: one that is held goes to a target without another trial", "[quarantine]")
 {
     quarantine_gate gate(1);
-    gate.told(standing(1, named(1), quarantine_stage::Held));
-    CHECK(gate.mayBegin(1, named(1), "a", zero) == dispatch_verdict::Wait);
-    const auto news = gate.takeNews(false, zero);
+    gate.applyDelta(standing(1, named(1), quarantine_stage::Held));
+    CHECK(gate.requestDispatch(1, named(1), "a", zero) == dispatch_verdict::Wait);
+    const auto news = gate.takeBatches(false, zero);
     REQUIRE(news.size() == 1);
-    gate.received(
+    gate.onReceipt(
         { news.front().number, { { news.front().change.claims.front().trial, trial_refusal::TargetTaken } } }, zero);
-    CHECK(gate.mayBegin(1, named(1), "a", zero) == dispatch_verdict::Elsewhere);
-    CHECK(gate.mayBegin(1, named(1), "b", zero) == dispatch_verdict::Wait);
-    const auto again = gate.takeNews(false, zero);
+    CHECK(gate.requestDispatch(1, named(1), "a", zero) == dispatch_verdict::Elsewhere);
+    CHECK(gate.requestDispatch(1, named(1), "b", zero) == dispatch_verdict::Wait);
+    const auto again = gate.takeBatches(false, zero);
     REQUIRE(again.size() == 1);
-    gate.received({ again.front().number, {} }, zero);
-    CHECK(gate.mayBegin(1, named(1), "b", zero + milliseconds(40)) == dispatch_verdict::Go);
+    gate.onReceipt({ again.front().number, {} }, zero);
+    CHECK(gate.requestDispatch(1, named(1), "b", zero + milliseconds(40)) == dispatch_verdict::Go);
     // Not to another target with that trial.
-    CHECK(gate.mayBegin(1, named(1), "c", zero + milliseconds(41)) == dispatch_verdict::Wait);
+    CHECK(gate.requestDispatch(1, named(1), "c", zero + milliseconds(41)) == dispatch_verdict::Wait);
 }
 
 TEST_CASE("quarantine gate: a trial that is granted stands until it begins", "[quarantine]")
 {
     quarantine_gate gate(1);
-    gate.told(standing(1, named(1), quarantine_stage::Held));
-    CHECK(gate.mayBegin(1, named(1), "a", zero) == dispatch_verdict::Wait);
-    const auto news = gate.takeNews(false, zero);
-    gate.received({ news.front().number, {} }, zero);
+    gate.applyDelta(standing(1, named(1), quarantine_stage::Held));
+    CHECK(gate.requestDispatch(1, named(1), "a", zero) == dispatch_verdict::Wait);
+    const auto news = gate.takeBatches(false, zero);
+    gate.onReceipt({ news.front().number, {} }, zero);
     // Whoever ends trials whose attempts are over finds none: this one's attempt is still to come.
     CHECK(gate.callsOnTrial().empty());
-    CHECK(gate.mayBegin(1, named(1), "a", zero + milliseconds(40)) == dispatch_verdict::Go);
+    CHECK(gate.requestDispatch(1, named(1), "a", zero + milliseconds(40)) == dispatch_verdict::Go);
     CHECK(gate.callsOnTrial() == std::vector<call_number> { 1 });
 }
 
@@ -182,41 +183,41 @@
 {
     quarantine_gate gate(1);
     for (const auto* target : { "a", "b", "c", "d" })
-        gate.crashed({ target, { named(1) } }, zero);
+        gate.reportCrash({ target, { named(1) } }, zero);
     CHECK(gate.stageOf(named(1)) == quarantine_stage::Held);
-    (void)gate.takeNews(false, zero);
-    CHECK(gate.answered(named(1)));
-    CHECK_FALSE(gate.answered(named(2))); // of which nothing is known
-    const auto news = gate.takeNews(false, zero);
+    (void)gate.takeBatches(false, zero);
+    CHECK(gate.reportCompleted(named(1)));
+    CHECK_FALSE(gate.reportCompleted(named(2))); // of which nothing is known
+    const auto news = gate.takeBatches(false, zero);
     REQUIRE(news.size() == 1);
     CHECK(news.front().change.cleared == std::vector { named(1) });
-    CHECK(gate.isQuiet());
+    CHECK(gate.isEmpty());
 }
 
 TEST_CASE("quarantine gate: news are sent until they stand in the log", "[quarantine]")
 {
     quarantine_gate gate(1);
-    gate.crashed({ "a", { named(1) } }, zero);
-    REQUIRE(gate.takeNews(false, zero).size() == 1);
-    CHECK(gate.takeNews(false, zero + milliseconds(300)).empty());
-    CHECK(gate.takeNews(true, zero + milliseconds(300)).size() == 1); // over another session
-    const auto again = gate.takeNews(false, zero + milliseconds(1300));
+    gate.reportCrash({ "a", { named(1) } }, zero);
+    REQUIRE(gate.takeBatches(false, zero).size() == 1);
+    CHECK(gate.takeBatches(false, zero + milliseconds(300)).empty());
+    CHECK(gate.takeBatches(true, zero + milliseconds(300)).size() == 1); // over another session
+    const auto again = gate.takeBatches(false, zero + milliseconds(1300));
     REQUIRE(again.size() == 1);
-    gate.received({ again.front().number, {} }, zero);
-    CHECK(gate.takeNews(true, zero + milliseconds(9000)).empty());
+    gate.onReceipt({ again.front().number, {} }, zero);
+    CHECK(gate.takeBatches(true, zero + milliseconds(9000)).empty());
     // What nobody answers doesn't gather for ever, nor is it asked for ever.
-    CHECK_FALSE(gate.isQuiet());
-    (void)gate.takeNews(false, zero + milliseconds(60001));
-    CHECK(gate.isQuiet());
+    CHECK_FALSE(gate.isEmpty());
+    (void)gate.takeBatches(false, zero + milliseconds(60001));
+    CHECK(gate.isEmpty());
 }
 
 TEST_CASE("quarantine gate: a claim that was never sent needs no end", "[quarantine]")
 {
     quarantine_gate gate(1);
-    gate.told(standing(1, named(1), quarantine_stage::Suspect));
-    CHECK(gate.mayBegin(1, named(1), "a", zero) == dispatch_verdict::Wait);
+    gate.applyDelta(standing(1, named(1), quarantine_stage::Suspect));
+    CHECK(gate.requestDispatch(1, named(1), "a", zero) == dispatch_verdict::Wait);
     gate.endTrial(1);
-    CHECK_FALSE(gate.hasNews());
+    CHECK_FALSE(gate.hasUnsentChanges());
 }
 
 TEST_CASE("exchange: a request that targets end under is refused at once, with a final answer", "[exchange]")
--- a/src/buckthornrail/gateway/routing_test.cpp
+++ b/src/buckthornrail/gateway/routing_test.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// @brief Documents, routes, paths over layers, the pool's choices and the budget of repeats.
-#include "buckthornrail/gateway/repeat_budget.hpp"
+#include "buckthornrail/gateway/shared_retry_budget.hpp"
 #include "buckthornrail/gateway/target_pool.hpp"
 
 #include <catch2/catch.hpp>
@@ -315,61 +315,61 @@
 
 TEST_CASE("budget: repeats are bounded by requests and by a part of the slack", "[gateway]")
 {
-    repeat_budget_options options;
+    shared_retry_budget_options options;
     options.ratio = 0.5;
     options.slack = 8;
     options.part = 1;
-    repeat_budget budget(options);
+    shared_retry_budget budget(options);
     const steady_time now {};
     for (int at = 0; at < 4; ++at)
-        budget.noteRequest(now);
+        budget.countRequest(now);
     int taken = 0;
-    budget.toldGateways(4, now);
-    while (budget.take(true, now))
+    budget.setGatewayCount(4, now);
+    while (budget.tryTake(true, now))
         ++taken;
     CHECK(taken == 2); // half of 4 * 0.5 + 8 / 4
-    while (budget.take(false, now))
+    while (budget.tryTake(false, now))
         ++taken;
     CHECK(taken == 4);
-    CHECK_FALSE(budget.take(false, now + milliseconds(9999)));
-    CHECK(budget.take(true, now + milliseconds(10000)));
+    CHECK_FALSE(budget.tryTake(false, now + milliseconds(9999)));
+    CHECK(budget.tryTake(true, now + milliseconds(10000)));
 }
 
 TEST_CASE("budget: a process that was started anew uses no slack before it knows what was spent", "[gateway]")
 {
     const steady_time now = steady_time {} + std::chrono::hours(1);
-    repeat_budget_options options;
+    shared_retry_budget_options options;
     options.ratio = 0.5;
     options.slack = 40;
     options.part = 1;
-    options.partForRefused = 1;
+    options.refusedShare = 1;
     options.slackFrom = now + options.window;
-    repeat_budgets budgets(options);
+    shared_retry_budgets budgets(options);
     const auto takeAll = [&budgets](steady_time when) {
         int taken = 0;
-        while (budgets.of("s").take(true, when))
+        while (budgets.of("s").tryTake(true, when))
             ++taken;
         return taken;
     };
-    budgets.toldGateways(4, now);
+    budgets.setGatewayCount(4, now);
     for (int at = 0; at < 4; ++at)
-        budgets.of("s").noteRequest(now);
+        budgets.of("s").countRequest(now);
     CHECK(takeAll(now) == 2); // the ratio of its own requests
     CHECK_FALSE(budgets.isComplete(now));
 
     SECTION("told by the leader")
     {
-        budgets.resume({ { "s", 6 }, { "other", 10 } }, now);
+        budgets.restoreSpent({ { "s", 6 }, { "other", 10 } }, now);
         CHECK(budgets.isComplete(now));
         CHECK(takeAll(now) == 4); // 4 * 0.5 + 40 / 4 - 2 - 6
-        CHECK_FALSE(budgets.of("other").take(true, now));
-        CHECK(budgets.of("third").take(true, now));
+        CHECK_FALSE(budgets.of("other").tryTake(true, now));
+        CHECK(budgets.of("third").tryTake(true, now));
     }
     SECTION("not told, for a stream that has begun")
     {
         const auto later = now + options.window * 3 / 10;
         int taken = 0;
-        while (budgets.of("s").take(false, later))
+        while (budgets.of("s").tryTake(false, later))
             ++taken;
         CHECK(taken == 3); // 4 * 0.5 + 0.3 * 40 / 4 - 2
         CHECK(takeAll(later) == 0);
@@ -385,25 +385,25 @@
 TEST_CASE("budget: before a number of gateways is known there is no slack, and the last one told holds", "[gateway]")
 {
     const steady_time now = steady_time {} + std::chrono::hours(1);
-    repeat_budget_options options;
+    shared_retry_budget_options options;
     options.ratio = 0;
     options.slack = 40;
     options.part = 1;
-    repeat_budget budget(options);
-    CHECK_FALSE(budget.take(false, now));
-    budget.toldGateways(0, now);
-    CHECK_FALSE(budget.take(false, now));
-    budget.toldGateways(4, now);
+    shared_retry_budget budget(options);
+    CHECK_FALSE(budget.tryTake(false, now));
+    budget.setGatewayCount(0, now);
+    CHECK_FALSE(budget.tryTake(false, now));
+    budget.setGatewayCount(4, now);
     const auto takeAll = [&budget](steady_time when) {
         int taken = 0;
-        while (budget.take(false, when))
+        while (budget.tryTake(false, when))
             ++taken;
         return taken;
     };
     CHECK(takeAll(now) == 10);
     CHECK(takeAll(now + 2 * options.window) == 10); // controllers away for long
-    budget.toldGateways(2, now + 4 * options.window);
+    budget.setGatewayCount(2, now + 4 * options.window);
     CHECK(takeAll(now + 4 * options.window) == 10); // four were told of within the window, as far as is known
-    budget.toldGateways(2, now + 6 * options.window);
+    budget.setGatewayCount(2, now + 6 * options.window);
     CHECK(takeAll(now + 6 * options.window) == 20);
 }
--- a/src/buckthornrail/gateway/repeat_budget.cpp
+++ b/src/buckthornrail/gateway/shared_retry_budget.cpp
@@ -1,12 +1,12 @@
 /// @file
 /// @brief Sliding windows of requests and repeats.
-#include "buckthornrail/gateway/repeat_budget.hpp"
+#include "buckthornrail/gateway/shared_retry_budget.hpp"
 
 #include <algorithm>
 
 namespace buckthornrail::gateway {
 
-void repeat_budget::toldGateways(std::size_t gateways, steady_time now)
+void shared_retry_budget::setGatewayCount(std::size_t gateways, steady_time now)
 {
     if (gateways == 0)
         return;
@@ -16,25 +16,25 @@
     m_gateways = gateways;
 }
 
-void repeat_budget::resume(std::uint32_t spent, steady_time now)
+void shared_retry_budget::restoreSpent(std::uint32_t spent, steady_time now)
 {
     drop(now);
     m_options.slackFrom = std::min(m_options.slackFrom, now);
     m_repeatsEnd.insert(m_repeatsEnd.end(), spent, now + m_options.window);
 }
 
-void repeat_budget::noteRequest(steady_time now)
+void shared_retry_budget::countRequest(steady_time now)
 {
     drop(now);
     m_requestsEnd.push_back(now + m_options.window);
 }
 
-bool repeat_budget::take(bool wasRefused, steady_time now)
+bool shared_retry_budget::tryTake(bool wasRefused, steady_time now)
 {
     drop(now);
     const double ownSlack
         = gateways() == 0 ? 0 : slackPart(wasRefused, now) * m_options.slack / static_cast<double>(gateways());
-    const double part = m_options.part * (wasRefused ? m_options.partForRefused : 1);
+    const double part = m_options.part * (wasRefused ? m_options.refusedShare : 1);
     const double allowed = part * (m_options.ratio * static_cast<double>(m_requestsEnd.size()) + ownSlack);
     if (static_cast<double>(m_repeatsEnd.size()) + 1 > allowed)
         return false;
@@ -42,7 +42,7 @@
     return true;
 }
 
-double repeat_budget::slackPart(bool wasRefused, steady_time now) const
+double shared_retry_budget::slackPart(bool wasRefused, steady_time now) const
 {
     if (isComplete(now))
         return 1;
@@ -51,20 +51,20 @@
     return wasRefused ? 0 : std::clamp(1 - left / window, 0.0, 1.0);
 }
 
-std::uint32_t repeat_budget::spent(steady_time now)
+std::uint32_t shared_retry_budget::spent(steady_time now)
 {
     drop(now);
     return static_cast<std::uint32_t>(m_repeatsEnd.size());
 }
 
-std::string repeat_budget::describe(steady_time now)
+std::string shared_retry_budget::describe(steady_time now)
 {
     drop(now);
     return std::to_string(m_repeatsEnd.size()) + " for " + std::to_string(m_requestsEnd.size()) + " requests, one of "
         + std::to_string(gateways()) + " gateways" + (isComplete(now) ? "" : ", in its first window");
 }
 
-void repeat_budget::drop(steady_time now)
+void shared_retry_budget::drop(steady_time now)
 {
     while (!m_requestsEnd.empty() && m_requestsEnd.front() <= now)
         m_requestsEnd.pop_front();
@@ -73,36 +73,36 @@
     std::erase_if(m_gatewaysUntil, [now](const auto& item) { return item.second <= now; });
 }
 
-std::size_t repeat_budget::gateways() const
+std::size_t shared_retry_budget::gateways() const
 {
     return m_gatewaysUntil.empty() ? m_gateways : std::max(m_gateways, m_gatewaysUntil.rbegin()->first);
 }
 
-repeat_budget& repeat_budgets::of(const std::string& service)
+shared_retry_budget& shared_retry_budgets::of(const std::string& service)
 {
     return m_byService.try_emplace(service, m_unused).first->second;
 }
 
-void repeat_budgets::toldGateways(std::size_t gateways, steady_time now)
+void shared_retry_budgets::setGatewayCount(std::size_t gateways, steady_time now)
 {
-    m_unused.toldGateways(gateways, now);
+    m_unused.setGatewayCount(gateways, now);
     for (auto& [service, budget] : m_byService)
-        budget.toldGateways(gateways, now);
+        budget.setGatewayCount(gateways, now);
 }
 
-void repeat_budgets::resume(const registry::repeat_counts& spent, steady_time now)
+void shared_retry_budgets::restoreSpent(const registry::repeat_counts& spent, steady_time now)
 {
     for (const auto& row : spent)
         (void)of(row.service);
-    m_unused.resume(0, now);
+    m_unused.restoreSpent(0, now);
     for (auto& [service, budget] : m_byService) {
         const auto row = std::find_if(
             spent.begin(), spent.end(), [&name = service](const auto& one) { return one.service == name; });
-        budget.resume(row == spent.end() ? 0 : row->repeats, now);
+        budget.restoreSpent(row == spent.end() ? 0 : row->repeats, now);
     }
 }
 
-registry::repeat_counts repeat_budgets::spent(steady_time now)
+registry::repeat_counts shared_retry_budgets::spent(steady_time now)
 {
     registry::repeat_counts rows;
     for (auto& [service, budget] : m_byService) {
--- a/src/buckthornrail/gateway/target_limit_test.cpp
+++ b/src/buckthornrail/gateway/target_limit_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-target_answer named(int status, std::optional<double> perSecond, bool stream = false)
+target_response named(int status, std::optional<double> perSecond, bool stream = false)
 {
     auto answer = ownAnswer(status, stream);
     answer.pushback = target_pushback { perSecond, {} };
--- a/tests/incident_repeats_test.cpp
+++ b/tests/incident_repeats_test.cpp
@@ -10,7 +10,7 @@
 /// spent, and began with a whole part. A leader counted the sessions that it had, and told the first gateways to find
 /// it that they were alone. Proof: the cases below fail for these reasons on the code of that time. That they were what
 /// broke the bound on that day is inferred from its times, not traced.
-#include "buckthornrail/gateway/repeat_budget.hpp"
+#include "buckthornrail/gateway/shared_retry_budget.hpp"
 #include "support/gateway_world.hpp"
 
 #include <catch2/catch.hpp>
@@ -40,22 +40,22 @@
 {
     using namespace buckthornrail;
     using namespace buckthornrail::gateway;
-    repeat_budget_options options;
+    shared_retry_budget_options options;
     options.ratio = 0;
     options.slack = 40;
     options.part = 1;
-    options.partForRefused = 1;
-    repeat_budget budget(options);
+    options.refusedShare = 1;
+    shared_retry_budget budget(options);
     const steady_time now = steady_time {} + std::chrono::hours(1);
     int taken = 0;
-    budget.toldGateways(4, now);
-    while (budget.take(true, now))
+    budget.setGatewayCount(4, now);
+    while (budget.tryTake(true, now))
         ++taken;
     CHECK(taken == 10);
     // Three others have just spent theirs: that a new leader has met one gateway so far changes nothing.
-    budget.toldGateways(1, now + milliseconds(1));
-    CHECK_FALSE(budget.take(true, now + milliseconds(1)));
-    CHECK_FALSE(budget.take(true, now + milliseconds(9999)));
+    budget.setGatewayCount(1, now + milliseconds(1));
+    CHECK_FALSE(budget.tryTake(true, now + milliseconds(1)));
+    CHECK_FALSE(budget.tryTake(true, now + milliseconds(9999)));
 }
 
 TEST_CASE("repeats: gateways that are killed and come back keep to one budget", "[incident]")
--- a/tests/support/exchange_bench.hpp
+++ b/tests/support/exchange_bench.hpp
@@ -16,12 +16,12 @@
 /// Notes what the exchange asks for.
 class recording_port : public exchange_port {
 public:
-    dispatch_verdict mayBegin(const selection& where) override
+    dispatch_verdict requestDispatch(const selection& where) override
     {
         asked.push_back(where.parts.front().target.id);
         return verdicts.contains(asked.back()) ? verdicts.at(asked.back()) : verdict;
     }
-    bool mustLeave() override { return leaves; }
+    bool mustCancel() override { return leaves; }
     void openAttempt(std::uint32_t number, const selection& where, std::optional<std::uint64_t> lastEventId) override
     {
         CHECK_FALSE(isOpen);
@@ -32,27 +32,27 @@
         resumeAfter = lastEventId;
     }
     void cancelAttempt() override { isOpen = false; }
-    void askForReport() override { ++reports; }
-    void checkMembers(steady_time passedSince) override
+    void requestReport() override { ++reports; }
+    void probeMembers(steady_time aliveSince) override
     {
         ++checks;
-        silentSince = passedSince;
+        silentSince = aliveSince;
     }
     steady_time silentSince {};
-    void passOn() override { end("passed on"); }
+    void forwardResponse() override { end("passed on"); }
     void beginStream() override { begun = true; }
-    void passEvent(std::string_view bytes) override { events += bytes; }
+    void forwardEvent(std::string_view bytes) override { events += bytes; }
     void endStream() override { end("ended"); }
-    void breakOff() override { end("broken off"); }
-    void answer(result_code code, ran_state ran, const std::string& /*reason*/) override
+    void abortStream() override { end("broken off"); }
+    void sendError(result_code code, ran_state ran, const std::string& /*reason*/) override
     {
         answerCode = code;
         answerRan = ran;
         end("answered");
     }
-    void wakeAt(steady_time when) override { wake = when; }
+    void setTimer(steady_time when) override { wake = when; }
     request_fingerprint fingerprint() override { return {}; }
-    void note(event_code /*event*/, std::initializer_list<log_field> /*fields*/) override { }
+    void logEvent(event_code /*event*/, std::initializer_list<log_field> /*fields*/) override { }
 
     dispatch_verdict verdict = dispatch_verdict::Go;
     std::map<std::string, dispatch_verdict> verdicts; ///< by first target; any other has the one above
@@ -152,22 +152,22 @@
         request.chosen = m_route;
         request.arrived = zero;
         request.deadline = zero + milliseconds(1000);
-        budget.toldGateways(1, zero);
+        budget.setGatewayCount(1, zero);
         return { request, port, pool, budget };
     }
 
     const std::vector<std::string> firsts { "a0", "b0", "c0" }; ///< targets that may take a request
     recording_port port;
     target_pool pool { pool_options { "a" }, 7 };
-    repeat_budget budget { repeat_budget_options {} };
+    shared_retry_budget budget { shared_retry_budget_options {} };
 
 private:
     route_pointer m_route;
     std::map<std::string, registry::target_record> m_records;
 };
 
-inline target_answer ownAnswer(int status, bool stream = false) { return { status, false, true, stream, {} }; }
-inline target_answer refusal(const std::string& faulty = {}) { return { 503, true, false, false, faulty }; }
+inline target_response ownAnswer(int status, bool stream = false) { return { status, false, true, stream, {} }; }
+inline target_response refusal(const std::string& faulty = {}) { return { 503, true, false, false, faulty }; }
 
 /// @brief The open attempt's target begins an event stream.
 inline void beginStream(exchange& call)
