--- a/src/buckthornrail/gateway/routing_test.cpp
+++ b/src/buckthornrail/gateway/routing_test.cpp
@@ -318,7 +318,7 @@
     shared_retry_budget_options options;
     options.ratio = 0.5;
     options.slack = 8;
-    options.part = 1;
+    options.usableShare = 1;
     shared_retry_budget budget(options);
     const steady_time now {};
     for (int at = 0; at < 4; ++at)
@@ -341,7 +341,7 @@
     shared_retry_budget_options options;
     options.ratio = 0.5;
     options.slack = 40;
-    options.part = 1;
+    options.usableShare = 1;
     options.refusedShare = 1;
     options.slackFrom = now + options.window;
     shared_retry_budgets budgets(options);
@@ -388,7 +388,7 @@
     shared_retry_budget_options options;
     options.ratio = 0;
     options.slack = 40;
-    options.part = 1;
+    options.usableShare = 1;
     shared_retry_budget budget(options);
     CHECK_FALSE(budget.tryTake(false, now));
     budget.setGatewayCount(0, now);
--- a/src/buckthornrail/gateway/shared_retry_budget.cpp
+++ b/src/buckthornrail/gateway/shared_retry_budget.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Sliding windows of requests and repeats.
+/// @brief Sliding windows of requests and retries.
 #include "buckthornrail/gateway/shared_retry_budget.hpp"
 
 #include <algorithm>
@@ -10,39 +10,39 @@
 {
     if (gateways == 0)
         return;
-    drop(now);
+    dropExpired(now);
     if (m_gateways != 0 && m_gateways != gateways)
-        m_gatewaysUntil[m_gateways] = now + m_options.window; // it held until now
+        m_earlierGateways[m_gateways] = now + m_options.window; // it applied until now
     m_gateways = gateways;
 }
 
 void shared_retry_budget::restoreSpent(std::uint32_t spent, steady_time now)
 {
-    drop(now);
+    dropExpired(now);
     m_options.slackFrom = std::min(m_options.slackFrom, now);
-    m_repeatsEnd.insert(m_repeatsEnd.end(), spent, now + m_options.window);
+    m_retriesEnd.insert(m_retriesEnd.end(), spent, now + m_options.window);
 }
 
 void shared_retry_budget::countRequest(steady_time now)
 {
-    drop(now);
+    dropExpired(now);
     m_requestsEnd.push_back(now + m_options.window);
 }
 
 bool shared_retry_budget::tryTake(bool wasRefused, steady_time now)
 {
-    drop(now);
+    dropExpired(now);
     const double ownSlack
-        = gateways() == 0 ? 0 : slackPart(wasRefused, now) * m_options.slack / static_cast<double>(gateways());
-    const double part = m_options.part * (wasRefused ? m_options.refusedShare : 1);
-    const double allowed = part * (m_options.ratio * static_cast<double>(m_requestsEnd.size()) + ownSlack);
-    if (static_cast<double>(m_repeatsEnd.size()) + 1 > allowed)
+        = gateways() == 0 ? 0 : slackShare(wasRefused, now) * m_options.slack / static_cast<double>(gateways());
+    const double share = m_options.usableShare * (wasRefused ? m_options.refusedShare : 1);
+    const double allowed = share * (m_options.ratio * static_cast<double>(m_requestsEnd.size()) + ownSlack);
+    if (static_cast<double>(m_retriesEnd.size()) + 1 > allowed)
         return false;
-    m_repeatsEnd.push_back(now + m_options.window);
+    m_retriesEnd.push_back(now + m_options.window);
     return true;
 }
 
-double shared_retry_budget::slackPart(bool wasRefused, steady_time now) const
+double shared_retry_budget::slackShare(bool wasRefused, steady_time now) const
 {
     if (isComplete(now))
         return 1;
@@ -53,39 +53,40 @@
 
 std::uint32_t shared_retry_budget::spent(steady_time now)
 {
-    drop(now);
-    return static_cast<std::uint32_t>(m_repeatsEnd.size());
+    dropExpired(now);
+    return static_cast<std::uint32_t>(m_retriesEnd.size());
 }
 
 std::string shared_retry_budget::describe(steady_time now)
 {
-    drop(now);
-    return std::to_string(m_repeatsEnd.size()) + " for " + std::to_string(m_requestsEnd.size()) + " requests, one of "
-        + std::to_string(gateways()) + " gateways" + (isComplete(now) ? "" : ", in its first window");
+    dropExpired(now);
+    return std::to_string(m_retriesEnd.size()) + " retries for " + std::to_string(m_requestsEnd.size())
+        + " requests, one of " + std::to_string(gateways()) + " gateways"
+        + (isComplete(now) ? "" : ", in its first window");
 }
 
-void shared_retry_budget::drop(steady_time now)
+void shared_retry_budget::dropExpired(steady_time now)
 {
     while (!m_requestsEnd.empty() && m_requestsEnd.front() <= now)
         m_requestsEnd.pop_front();
-    while (!m_repeatsEnd.empty() && m_repeatsEnd.front() <= now)
-        m_repeatsEnd.pop_front();
-    std::erase_if(m_gatewaysUntil, [now](const auto& item) { return item.second <= now; });
+    while (!m_retriesEnd.empty() && m_retriesEnd.front() <= now)
+        m_retriesEnd.pop_front();
+    std::erase_if(m_earlierGateways, [now](const auto& item) { return item.second <= now; });
 }
 
 std::size_t shared_retry_budget::gateways() const
 {
-    return m_gatewaysUntil.empty() ? m_gateways : std::max(m_gateways, m_gatewaysUntil.rbegin()->first);
+    return m_earlierGateways.empty() ? m_gateways : std::max(m_gateways, m_earlierGateways.rbegin()->first);
 }
 
 shared_retry_budget& shared_retry_budgets::of(const std::string& service)
 {
-    return m_byService.try_emplace(service, m_unused).first->second;
+    return m_byService.try_emplace(service, m_initial).first->second;
 }
 
 void shared_retry_budgets::setGatewayCount(std::size_t gateways, steady_time now)
 {
-    m_unused.setGatewayCount(gateways, now);
+    m_initial.setGatewayCount(gateways, now);
     for (auto& [service, budget] : m_byService)
         budget.setGatewayCount(gateways, now);
 }
@@ -94,7 +95,7 @@
 {
     for (const auto& row : spent)
         (void)of(row.service);
-    m_unused.restoreSpent(0, now);
+    m_initial.restoreSpent(0, now);
     for (auto& [service, budget] : m_byService) {
         const auto row = std::find_if(
             spent.begin(), spent.end(), [&name = service](const auto& one) { return one.service == name; });
--- a/tests/incident_repeats_test.cpp
+++ b/tests/incident_repeats_test.cpp
@@ -43,7 +43,7 @@
     shared_retry_budget_options options;
     options.ratio = 0;
     options.slack = 40;
-    options.part = 1;
+    options.usableShare = 1;
     options.refusedShare = 1;
     shared_retry_budget budget(options);
     const steady_time now = steady_time {} + std::chrono::hours(1);
