--- a/include/buckthornrail/gateway/crash_watch.hpp
+++ b/include/buckthornrail/gateway/crash_watch.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Which requests had just begun at a target when it ended. Without I/O.
+/// @brief Tracks which requests had just started on a target when it crashed. Does no I/O.
 #pragma once
 
 #include "buckthornrail/gateway/target_pool.hpp"
@@ -10,23 +10,24 @@
 
 namespace buckthornrail::gateway {
 
-/// A call at this gateway. Never 0.
+/// Number of a call at this gateway. Never 0.
 using call_number = std::uint64_t;
 
 struct crash_watch_options {
-    /// What has run for so long since its first event isn't to blame: a request that ends its target does so as it
-    /// begins to run, and a target has begun dozens within any second.
-    milliseconds blamedFor { 500 };
-    /// An attempt that was cut off waits so long for word whether its target is gone. A connection that is refused
-    /// tells within a round trip.
-    milliseconds verdictPatience { 60 };
-    /// A target that comes back at once is found out by its next heartbeat.
-    milliseconds keepLost { 3000 };
-    std::size_t mostLost = 1024;
-    std::size_t mostBlamed = 256; ///< of one end; those that began last go first
+    /// A request is no suspect when it has run for this long since its first event. Requests that crash a target do so
+    /// as they start, and a target starts dozens of requests within a second.
+    milliseconds suspectFor { 500 };
+    /// A call whose connection was lost waits this long for the result of a probe of its target. A refused connection
+    /// is reported within a round trip.
+    milliseconds probeTimeout { 60 };
+    /// Lost attempts are kept this long: the restart of a target that returns at once is detected by its next
+    /// heartbeat.
+    milliseconds lostTtl { 3000 };
+    std::size_t maxLost = 1024;
+    std::size_t maxSuspects = 256; ///< suspects of one crash; those that started last take precedence
 };
 
-/// @brief Follows attempts from when they are opened until they can't be to blame any more.
+/// @brief Tracks attempts from their start until they can no longer be the cause of a crash.
 /// @ingroup gateway
 class crash_watch {
 public:
@@ -37,45 +38,46 @@
     {
     }
 
-    /// @param parts of its path; a target of any part may end under it
+    /// @param parts of its path; the request may crash the target of any part
     void onAttemptOpened(call_number call, const std::vector<selected_part>& parts, steady_time now);
     void onFirstEvent(call_number call, steady_time now);
-    /// @brief The connection to the attempt's first target has ended early.
-    /// @return whether the attempt may be to blame, if that target is found to have ended
+    /// @brief The connection to the attempt's first target ended before the response was complete.
+    /// @return whether the request is a suspect if that target turns out to have crashed
     bool onConnectionLost(call_number call, const request_fingerprint& fingerprint, steady_time now);
-    /// @brief The attempt is over in any other way; nothing happens if it is over already.
+    /// @brief The attempt has ended in any other way. Does nothing if it has ended already.
     void onAttemptClosed(call_number call) { m_open.erase(call); }
-    /// @brief Whether an open attempt may be to blame, should its target end now.
+    /// @return whether the request of an open attempt would be a suspect if its target crashed now
     [[nodiscard]] bool mayHaveCrashedTarget(call_number call, steady_time now) const;
-    /// @brief Whether an attempt of a call was cut off, and it isn't known yet whether its target has ended.
+    /// @return whether an attempt of a call lost its connection and the target's state is not known yet
     [[nodiscard]] bool awaitsVerdict(call_number call, steady_time now) const;
 
-    /// @brief The targets at an address have ended. @param survivor the one that has it now; empty: none
-    /// @return for each, what had just begun there
+    /// @brief The targets at an address have ended. @param survivor the target that uses the address now; empty: none
+    /// @return for each of them, the requests that had just started there
     std::vector<registry::crash_report> onTargetsEnded(const std::string& address,
         const registry::target_incarnation& survivor, const fingerprint_source& fingerprintOf, steady_time now);
-    /// @brief The target at an address takes connections: what was cut off there isn't known to have ended it.
+    /// @brief The target at an address accepts connections: calls that lost a connection to it need not wait any
+    /// longer.
     void onTargetAlive(const std::string& address);
 
 private:
     struct attempt {
         std::vector<selected_part> parts;
         steady_time openedAt {};
-        steady_time blamedUntil {}; ///< set with the first event; before it there is no end
+        steady_time suspectUntil {}; ///< set at the first event; unlimited before it
         bool hasEvent = false;
     };
     struct lost_attempt {
         call_number call = 0;
         request_fingerprint fingerprint;
         std::vector<selected_part> parts;
-        steady_time verdictBy {};
+        steady_time probeDeadline {};
         steady_time keepUntil {};
     };
 
-    /// @brief Targets of a path at an address, but the survivor.
+    /// @return targets of a path at an address, except for the survivor
     [[nodiscard]] static std::vector<registry::target_incarnation> endedOf(const std::vector<selected_part>& parts,
         const std::string& address, const registry::target_incarnation& survivor);
-    void dropOld(steady_time now);
+    void dropExpired(steady_time now);
 
     crash_watch_options m_options;
     std::map<call_number, attempt> m_open;
--- a/include/buckthornrail/gateway/dialect.hpp
+++ b/include/buckthornrail/gateway/dialect.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What an adapter to a platform translates for gateways and their controllers: its names, nothing else.
+/// @brief Interfaces of a platform adapter: translate between the platform's HTTP messages and the types used here.
 #pragma once
 
 #include "buckthornrail/document/outline.hpp"
@@ -10,25 +10,25 @@
 
 namespace buckthornrail::gateway {
 
-/// What a caller's head says, decoded.
+/// Decoded head of a client's request.
 struct caller_head {
     std::string requestId;
     std::string key; ///< empty: none
-    std::optional<milliseconds> timeout; ///< the caller waits no longer
-    std::optional<std::uint64_t> lastEventId;
+    std::optional<milliseconds> timeout; ///< how long the client waits for the final response
+    std::optional<std::uint64_t> lastEventId; ///< last event that the client has received of a stream
     request_size size;
 };
 
-/// What a gateway adds to a request that it passes on.
+/// What a gateway adds to a request that it forwards.
 struct forwarding_context {
-    std::string targetId; ///< any other target at that address refuses
-    std::string workspace; ///< that holds the caller's key; empty: none
+    std::string targetId; ///< any other target at that address refuses the request
+    std::string workspace; ///< that owns the client's key; empty: none
     milliseconds timeLeft { 0 };
     std::optional<std::uint64_t> lastEventId;
     std::vector<selected_part> path; ///< empty for a target without layers
 };
 
-/// @brief How a platform's callers and targets speak.
+/// @brief Translates the requests and responses of a platform's clients and targets.
 class traffic_dialect {
 public:
     traffic_dialect() = default;
@@ -37,20 +37,21 @@
     virtual ~traffic_dialect() = default;
 
     [[nodiscard]] virtual caller_head readCaller(const http1::request_head& head) const = 0;
-    /// @brief The caller's head as the target gets it.
+    /// @return head of the request that is sent to the target
     [[nodiscard]] virtual http1::request_head writeForwarded(
         const http1::request_head& head, const forwarding_context& added) const = 0;
     [[nodiscard]] virtual target_response readResponse(
         const http1::response_head& head, const std::string& requestId) const = 0;
-    /// @brief What a response says on how its target wants to be treated, whatever it answers.
+    /// @brief Pushback in the head of any response of a target.
     [[nodiscard]] virtual target_pushback readPushback(const http1::response_head& head) const = 0;
-    /// @brief The question which member of a path holds requests up. @param targetId any other target there refuses it
+    /// @brief Request for a report on which member of a path stalls requests. @param targetId any other target refuses
+    /// it
     [[nodiscard]] virtual http1::request_head writeReportRequest(const std::string& targetId) const = 0;
-    /// @return address of the member that holds that request up, empty for none; MalformedMessage when the report can't
-    /// be read
+    /// @return address of the member that stalls the request, empty for none; MalformedMessage when the report can't be
+    /// decoded
     [[nodiscard]] virtual tl::expected<std::string, failure> readReport(
         const std::string& body, const std::string& requestId) const = 0;
-    /// @brief Name of the field that tells when to come back, and its value.
+    /// @brief Header field that tells a client when to retry. @param wait time until then
     [[nodiscard]] virtual http1::field writeRetryAfter(milliseconds wait) const = 0;
 };
 
@@ -59,38 +60,38 @@
     std::uint64_t version = 0;
     std::string text; ///< as sent
 };
-/// An operator reads the document that is in force.
+/// An operator reads the document in force.
 struct read_document_request { };
-/// A target announces itself, or its end.
+/// A target announces itself, or that it is gone.
 struct announce_request {
     registry::target_record record;
 };
-/// A call that can't be read.
+/// A request that can't be decoded.
 struct invalid_request {
     int status = 0;
-    std::string reason; ///< the field first, where one is unfit
-    bool isRecord = false; ///< it speaks of a target
+    std::string reason; ///< starts with the field if one is invalid
+    bool isRecord = false; ///< it concerns a target record
 };
 using control_request = std::variant<publish_request, read_document_request, announce_request, invalid_request>;
 
-/// What a target says of itself when asked.
+/// State that a target reports on request.
 struct target_report {
-    bool isBusy = false; ///< an order is being carried out
-    std::uint64_t revision = 0; ///< count of orders begun; an order names the one it expects
+    bool isBusy = false; ///< a layer order is in progress
+    std::uint64_t revision = 0; ///< number of orders started; an order names the revision it expects
     registry::layer_range layers;
-    std::uint64_t startedMs = 0; ///< of the life that answers; 0: it doesn't say
+    std::uint64_t startedMs = 0; ///< start time of the process that reports, ms since the epoch; 0: not reported
 };
 
-/// An order to hold layers.
+/// Order to a target to load layers.
 struct layer_order {
     std::string targetId;
     registry::layer_range layers;
-    std::uint64_t fence = 0; ///< a target that has seen a higher one refuses
+    std::uint64_t fence = 0; ///< fencing token: a target that has seen a higher one refuses the order
     std::uint64_t expectedRevision = 0;
-    bool abortsRunning = false; ///< requests that pass through layers given up end at once instead of being waited for
+    bool abortsRunning = false; ///< aborts requests that use released layers instead of waiting for them
 };
 
-/// @brief How a platform's operators and targets call controllers, and are called by them.
+/// @brief Translates the requests between a platform's operators, targets and the controllers.
 class control_dialect {
 public:
     control_dialect() = default;
@@ -100,22 +101,22 @@
 
     [[nodiscard]] virtual control_request readRequest(
         const http1::request_head& head, const std::string& body) const = 0;
-    /// @return InvalidDocument when the text can't be read or isn't valid
+    /// @return InvalidDocument when the text can't be decoded or isn't valid
     [[nodiscard]] virtual tl::expected<route_document, failure> readDocument(const std::string& text) const = 0;
-    /// @brief Cuts a document that was read as a whole before. @param text must outlive the result
-    /// @return InvalidDocument when the text is no document
+    /// @brief Splits a valid document into its entries. @param text must outlive the result
+    /// @return InvalidDocument when the text is not a document
     [[nodiscard]] virtual tl::expected<document::outline, failure> splitDocument(const std::string& text) const = 0;
-    /// @brief Reads an entry of an outline. @return InvalidDocument when it can't be read
+    /// @brief Decodes an entry of an outline. @return InvalidDocument when it can't be decoded
     [[nodiscard]] virtual tl::expected<route, failure> readRoute(const std::string& entry) const = 0;
     /// @copydoc readRoute
     [[nodiscard]] virtual tl::expected<workspace_keys, failure> readWorkspace(const std::string& entry) const = 0;
-    /// @brief Reads an outline's rest. @return InvalidDocument when it can't be read
+    /// @brief Decodes the remainder of an outline. @return InvalidDocument when it can't be decoded
     [[nodiscard]] virtual tl::expected<document_rest, failure> readRest(const std::string& rest) const = 0;
-    /// @brief Body of the answer to an announcement. @param address where to announce from now on; empty: anywhere
+    /// @brief Body of the response to an announcement. @param address where to send the next ones; empty: anywhere
     [[nodiscard]] virtual std::string writeAnnounceResponse(const std::string& address) const = 0;
     [[nodiscard]] virtual http1::request_head writeReportRequest(const std::string& targetId) const = 0;
     [[nodiscard]] virtual tl::expected<target_report, failure> readReport(const std::string& body) const = 0;
-    /// @brief For how long a target that turns a call away wants none; nothing: it doesn't say.
+    /// @return how long a target that refuses requests asks for none; empty: not stated
     [[nodiscard]] virtual std::optional<milliseconds> readRetryAfter(const http1::response_head& head) const = 0;
     /// @brief Head and body of an order.
     [[nodiscard]] virtual std::pair<http1::request_head, std::string> writeOrder(const layer_order& order) const = 0;
--- a/include/buckthornrail/gateway/document_assembly.hpp
+++ b/include/buckthornrail/gateway/document_assembly.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Changes of the document that come in slices, decoded slice by slice.
+/// @brief Assembles document changes that arrive in slices, decoding each slice on arrival.
 #pragma once
 
 #include "buckthornrail/gateway/dialect.hpp"
@@ -7,13 +7,13 @@
 
 namespace buckthornrail::gateway {
 
-/// A change of which all slices have come.
+/// A change whose slices have all arrived.
 struct completed_change {
-    std::shared_ptr<route_index> whole; ///< the document anew; empty: `change` follows from what is held
+    std::shared_ptr<route_index> whole; ///< the full document; empty: `change` applies to the current one
     decoded_change change;
 };
 
-/// @brief Gathers slices of one sender.
+/// @brief Collects the slices of one sender.
 class document_assembly {
 public:
     explicit document_assembly(const control_dialect& dialect)
@@ -22,12 +22,12 @@
     }
 
     /// @brief Decodes the next slice.
-    /// @return MalformedMessage when it isn't the one that follows; InvalidDocument when an entry can't be read: the
-    /// change is left out then
+    /// @return MalformedMessage when the slice is out of order; InvalidDocument when an entry can't be decoded, in
+    /// which case the whole change is skipped
     tl::expected<void, failure> take(const document::change_slice& slice);
-    /// @brief Changes that are whole, in the order in which they came, each once.
+    /// @return completed changes in order of arrival, each once
     [[nodiscard]] std::vector<completed_change> takeCompleted();
-    /// @brief Forgets all that has come: nothing more will, or it comes anew.
+    /// @brief Discards everything received; the sender is gone or starts again.
     void drop();
 
 private:
@@ -35,10 +35,10 @@
     [[nodiscard]] bool follows(const document::change_slice& slice) const;
 
     const control_dialect& m_dialect;
-    std::vector<completed_change> m_finished;
-    completed_change m_open; ///< of which slices are missing
-    std::uint32_t m_next = 0; ///< number of the slice to come
-    bool m_isLeftOut = false; ///< an entry of the open change couldn't be read
+    std::vector<completed_change> m_completed;
+    completed_change m_open; ///< slices are missing
+    std::uint32_t m_next = 0; ///< number of the next slice
+    bool m_isSkipped = false; ///< an entry of the open change couldn't be decoded
 };
 
 } // namespace buckthornrail::gateway
--- a/include/buckthornrail/gateway/fingerprint_request.hpp
+++ b/include/buckthornrail/gateway/fingerprint_request.hpp
@@ -1,21 +1,21 @@
 /// @file
-/// @brief Fingerprints of callers' requests.
+/// @brief Fingerprints of client requests.
 #pragma once
 
 #include "buckthornrail/core/request_fingerprint.hpp"
 
 namespace buckthornrail::gateway {
 
-/// What a caller asks for. Its request's id is not among it: a repeat comes under another.
+/// Parts that identify a request. The request id is not among them, as clients retry under another id.
 struct request_identity {
     std::string_view method;
     std::string_view host;
     std::string_view target; ///< path and query
-    std::string_view workspace; ///< that holds the caller's key; empty: none
+    std::string_view workspace; ///< that owns the client's key; empty: none
     std::string_view body;
 };
 
-/// @brief The same for the same request at every gateway. Time grows with the body: 20 us for 4 KB.
+/// @return the same value for the same request at every gateway. Takes 20 us for a body of 4 KB, linear in its size.
 request_fingerprint fingerprintOf(const request_identity& request);
 
 } // namespace buckthornrail::gateway
--- a/include/buckthornrail/gateway/quarantine_gate.hpp
+++ b/include/buckthornrail/gateway/quarantine_gate.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Whether a request may run, as far as targets have ended under it: a gateway's part. Without I/O.
+/// @brief A gateway's part of the quarantine: decides whether a request that may crash targets may run. Does no I/O.
 #pragma once
 
 #include "buckthornrail/gateway/crash_watch.hpp"
@@ -11,9 +11,9 @@
 /// Whether an attempt may begin.
 enum class dispatch_verdict : std::uint8_t {
     Go,
-    Wait, ///< for word from the controllers
-    Elsewhere, ///< another suspect is on trial at that target
-    Refuse, ///< targets end under the request
+    Wait, ///< for a decision of the controllers
+    Elsewhere, ///< another suspect is on trial on that target
+    Refuse, ///< the request is proven to crash targets
 };
 
 inline constexpr std::array dispatchVerdictNames {
@@ -24,20 +24,20 @@
 };
 
 struct quarantine_gate_options {
-    /// A suspect, of which there are dozens to each request that is to blame, isn't kept waiting when no controller
-    /// answers.
-    milliseconds grantPatience { 150 };
-    /// A trial that is granted begins so much later: by then other copies of the request, under way at the same moment,
-    /// have been left, or it is known that targets ended under them too.
-    milliseconds settleTime { 40 };
-    /// For so long a whole answer to what this gateway reported is told. What ends later ends the entry itself.
-    milliseconds keepReported { 60000 };
-    milliseconds resendAfter { 1000 }; ///< news without a receipt
-    std::size_t mostNews = 256; ///< kept while no controller takes them; the oldest go
-    std::size_t mostReported = 4096; ///< fingerprints of which a whole answer is told
+    /// A suspect may run without a granted trial when no controller answers for this long: for each request that
+    /// crashes targets there are dozens of suspects that don't.
+    milliseconds grantTimeout { 150 };
+    /// Delay before a granted trial starts. By then concurrent copies of the request are cancelled, or are known to
+    /// have crashed their targets as well.
+    milliseconds trialStartDelay { 40 };
+    /// A complete response to a request reported by this gateway clears it within this time; later the entry expires.
+    milliseconds reportedTtl { 60000 };
+    milliseconds resendAfter { 1000 }; ///< of batches without a receipt
+    std::size_t maxUnconfirmedBatches = 256; ///< batches kept without a receipt; the oldest are dropped
+    std::size_t maxReported = 4096; ///< fingerprints that a complete response clears
 };
 
-/// @brief Lives on the loop thread.
+/// @brief Confined to the loop thread.
 /// @ingroup gateway
 class quarantine_gate {
 public:
@@ -47,73 +47,76 @@
     {
     }
 
-    /// @brief What the controllers tell.
+    /// @brief Applies changes sent by the controllers.
     void applyDelta(const registry::quarantine_delta& delta) { m_view.apply(delta); }
-    /// @brief News stand in the log; claims in them that aren't named are granted.
+    /// @brief A batch has been committed to the log. Its claims that the receipt doesn't refuse are granted.
     void onReceipt(const registry::quarantine_receipt& receipt, steady_time now);
     [[nodiscard]] std::uint64_t revision() const { return m_view.revision(); }
 
-    /// @brief Nothing is held against any request: none needs to be asked for.
+    /// @return whether no request is quarantined or reported, so that none needs a check
     [[nodiscard]] bool isEmpty() const { return m_view.isEmpty() && m_reported.empty(); }
     [[nodiscard]] registry::quarantine_stage stageOf(const request_fingerprint& fingerprint) const;
     [[nodiscard]] std::size_t size() const { return m_view.size(); }
 
-    /// @brief Asks for a call's next attempt; claims a trial where it takes one. Ask again when news come.
+    /// @brief Decides on the next attempt of a call, and claims a trial if it needs one. For Wait, call it again after
+    /// a receipt or a delta.
     dispatch_verdict requestDispatch(call_number call, const request_fingerprint& fingerprint,
         const registry::target_incarnation& target, steady_time now);
-    /// @brief Whether an attempt that hasn't begun to answer must be left: the request runs elsewhere, or nowhere.
+    /// @return whether an attempt without a response must be cancelled, as the request may only run elsewhere or
+    /// nowhere
     [[nodiscard]] bool mustCancel(call_number call, const request_fingerprint& fingerprint) const;
-    /// @brief A call's attempt can't be to blame any more, or is over.
+    /// @brief A call's attempt is over, or can no longer be the cause of a crash.
     void endTrial(call_number call);
-    /// @return calls whose attempts on trial have begun
+    /// @return calls whose attempts on trial have started
     [[nodiscard]] std::vector<call_number> callsOnTrial() const;
 
+    /// @brief Queues a crash report for the controllers. Its requests count as suspects here at once.
     void reportCrash(const registry::crash_report& report, steady_time now);
-    /// @brief The request got a whole answer: it doesn't end whoever runs it.
-    /// @return whether something was held against it
+    /// @brief The request received a complete response, so it doesn't crash targets.
+    /// @return whether it was quarantined or reported
     bool reportCompleted(const request_fingerprint& fingerprint);
 
-    /// @return whether there is something that wasn't sent yet
-    [[nodiscard]] bool hasUnsentChanges() const { return !m_next.isEmpty(); }
-    /// @brief What is to be sent now. @param all also what was sent, over a session that is over
+    /// @return whether there are changes that have not been sent
+    [[nodiscard]] bool hasUnsentChanges() const { return !m_unsentChanges.isEmpty(); }
+    /// @return batches to send now. @param all includes those sent over an earlier session
     std::vector<registry::quarantine_batch> takeBatches(bool all, steady_time now);
 
 private:
     enum class claim_state : std::uint8_t { Open, Granted, Refused };
-    struct own_trial {
+    struct local_trial {
         request_fingerprint fingerprint;
         registry::trial_claim claim;
         registry::quarantine_stage stage = registry::quarantine_stage::None; ///< when it was claimed
         claim_state state = claim_state::Open;
         registry::trial_refusal why = registry::trial_refusal::None;
-        steady_time beginsAt {}; ///< no sooner
-        bool hasBegun = false; ///< until then it has no attempt that could be over
-        steady_time decideBy {}; ///< Open: a suspect goes then all the same. Refused: it is claimed anew then
+        steady_time startsAt {}; ///< earliest start
+        bool hasStarted = false; ///< until then it has no attempt that could be over
+        steady_time decideBy {}; ///< Open: a suspect starts then without a grant. Refused: claimed again then
     };
-    struct sent_news {
+    struct sent_batch {
         registry::quarantine_batch batch;
         steady_time sendAgainAt {};
     };
 
     dispatch_verdict claim(call_number call, const request_fingerprint& fingerprint,
         const registry::target_incarnation& target, steady_time now);
-    void dropReported(steady_time now);
-    dispatch_verdict standingOf(call_number call, own_trial& trial, steady_time now);
+    void dropExpiredReports(steady_time now);
+    dispatch_verdict trialVerdict(call_number call, local_trial& trial, steady_time now);
 
     quarantine_gate_options m_options;
     std::mt19937_64 m_random;
     registry::quarantine_view m_view;
-    struct own_report {
-        std::uint32_t unconfirmed = 0; ///< ends that the view may not hold yet
-        registry::quarantine_stage expected = registry::quarantine_stage::None; ///< that it will tell then, at least
+    struct local_report {
+        std::uint32_t unconfirmed = 0; ///< crashes that the view may not include yet
+        registry::quarantine_stage expected = registry::quarantine_stage::None; ///< minimum stage once it includes them
         steady_time keepUntil {};
     };
-    std::map<request_fingerprint, own_report> m_reported;
-    std::deque<std::pair<steady_time, request_fingerprint>> m_reportedOrder; ///< with when to look at it
-    std::map<call_number, own_trial> m_trials;
-    registry::quarantine_change m_next;
-    std::uint64_t m_lastNumber = 0;
-    std::deque<sent_news> m_sent; ///< without a receipt
+    std::map<request_fingerprint, local_report> m_reported;
+    std::deque<std::pair<steady_time, request_fingerprint>> m_reportedOrder; ///< with the time of its expiry check
+    std::map<call_number, local_trial> m_trials;
+    registry::quarantine_change m_unsentChanges; ///< not sent yet
+    std::uint64_t m_lastBatchNumber = 0;
+    std::deque<sent_batch> m_sent; ///< without a receipt
 };
 
 } // namespace buckthornrail::gateway
--- a/src/buckthornrail/gateway/crash_watch.cpp
+++ b/src/buckthornrail/gateway/crash_watch.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Attempts that may be to blame for the end of a target.
+/// @brief Attempts whose requests may have crashed a target.
 #include "buckthornrail/gateway/crash_watch.hpp"
 
 #include <algorithm>
@@ -17,31 +17,31 @@
     if (found == m_open.end() || found->second.hasEvent)
         return;
     found->second.hasEvent = true;
-    found->second.blamedUntil = now + m_options.blamedFor;
+    found->second.suspectUntil = now + m_options.suspectFor;
 }
 
 bool crash_watch::mayHaveCrashedTarget(call_number call, steady_time now) const
 {
     const auto found = m_open.find(call);
-    return found != m_open.end() && (!found->second.hasEvent || now < found->second.blamedUntil);
+    return found != m_open.end() && (!found->second.hasEvent || now < found->second.suspectUntil);
 }
 
 bool crash_watch::onConnectionLost(call_number call, const request_fingerprint& fingerprint, steady_time now)
 {
-    const bool mayBeToBlame = mayHaveCrashedTarget(call, now);
+    const bool isSuspect = mayHaveCrashedTarget(call, now);
     auto over = m_open.extract(call);
-    if (!mayBeToBlame)
+    if (!isSuspect)
         return false;
-    dropOld(now);
-    m_lost.push_back({ call, fingerprint, std::move(over.mapped().parts), now + m_options.verdictPatience,
-        now + m_options.keepLost });
+    dropExpired(now);
+    m_lost.push_back(
+        { call, fingerprint, std::move(over.mapped().parts), now + m_options.probeTimeout, now + m_options.lostTtl });
     return true;
 }
 
 bool crash_watch::awaitsVerdict(call_number call, steady_time now) const
 {
-    return std::any_of(
-        m_lost.begin(), m_lost.end(), [call, now](const auto& one) { return one.call == call && now < one.verdictBy; });
+    return std::any_of(m_lost.begin(), m_lost.end(),
+        [call, now](const auto& one) { return one.call == call && now < one.probeDeadline; });
 }
 
 std::vector<registry::target_incarnation> crash_watch::endedOf(
@@ -58,7 +58,7 @@
 std::vector<registry::crash_report> crash_watch::onTargetsEnded(const std::string& address,
     const registry::target_incarnation& survivor, const fingerprint_source& fingerprintOf, steady_time now)
 {
-    dropOld(now);
+    dropExpired(now);
     struct suspect {
         request_fingerprint fingerprint;
         steady_time openedAt {};
@@ -72,7 +72,7 @@
     }
     for (const auto& one : m_lost) {
         for (const auto& target : endedOf(one.parts, address, survivor))
-            begun[target].push_back({ one.fingerprint, one.verdictBy });
+            begun[target].push_back({ one.fingerprint, one.probeDeadline });
     }
     std::erase_if(m_lost, [&](const auto& one) { return !endedOf(one.parts, address, survivor).empty(); });
     std::vector<registry::crash_report> reports;
@@ -81,9 +81,9 @@
             suspects.begin(), suspects.end(), [](const auto& a, const auto& b) { return a.openedAt > b.openedAt; });
         registry::crash_report report { target, {} };
         for (const auto& one : suspects) {
-            const bool isNamed
+            const bool isListed
                 = std::find(report.begun.begin(), report.begun.end(), one.fingerprint) != report.begun.end();
-            if (!isNamed && report.begun.size() < m_options.mostBlamed)
+            if (!isListed && report.begun.size() < m_options.maxSuspects)
                 report.begun.push_back(one.fingerprint);
         }
         reports.push_back(std::move(report));
@@ -95,14 +95,14 @@
 {
     for (auto& one : m_lost) {
         if (one.parts.front().address == address)
-            one.verdictBy = {};
+            one.probeDeadline = {};
     }
 }
 
-void crash_watch::dropOld(steady_time now)
+void crash_watch::dropExpired(steady_time now)
 {
     std::erase_if(m_lost, [now](const auto& one) { return now >= one.keepUntil; });
-    while (m_lost.size() >= m_options.mostLost)
+    while (m_lost.size() >= m_options.maxLost)
         m_lost.pop_front();
 }
 
--- a/src/buckthornrail/gateway/document_assembly.cpp
+++ b/src/buckthornrail/gateway/document_assembly.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Decoding slices as they come.
+/// @brief Decoding of document slices.
 #include "buckthornrail/gateway/document_assembly.hpp"
 
 #include <iterator>
@@ -15,7 +15,7 @@
         "slice " + std::to_string(slice.number) + " of version " + std::to_string(slice.to) + " is out of order" });
 }
 
-/// @brief Reads entries of one kind. @param read of the dialect
+/// @brief Decodes entries of one kind. @param read function of the dialect that decodes one
 template <typename Entry>
 tl::expected<void, failure> decodeEntries(const control_dialect& dialect,
     tl::expected<Entry, failure> (control_dialect::*read)(const std::string&) const,
@@ -30,7 +30,7 @@
     return {};
 }
 
-void append(std::vector<entry_hash>& all, const std::vector<entry_hash>& more)
+void appendAll(std::vector<entry_hash>& all, const std::vector<entry_hash>& more)
 {
     all.insert(all.end(), more.begin(), more.end());
 }
@@ -56,17 +56,17 @@
         m_open.change.from = slice.from;
         m_open.change.to = slice.to;
         m_open.change.digest = slice.digest;
-        m_isLeftOut = false;
+        m_isSkipped = false;
         if (slice.from == 0)
             m_open.whole = std::make_shared<route_index>();
     }
     tl::expected<void, failure> decoded;
-    if (!m_isLeftOut)
+    if (!m_isSkipped)
         decoded = decode(slice.part);
-    m_isLeftOut = m_isLeftOut || !decoded;
+    m_isSkipped = m_isSkipped || !decoded;
     m_next = slice.number + 1 == slice.count ? 0 : m_next + 1;
-    if (m_next == 0 && !m_isLeftOut)
-        m_finished.push_back(std::move(m_open));
+    if (m_next == 0 && !m_isSkipped)
+        m_completed.push_back(std::move(m_open));
     if (m_next == 0)
         m_open = {};
     return decoded;
@@ -92,8 +92,8 @@
         return {};
     }
     auto& change = m_open.change;
-    append(change.removedRoutes, part.routes.removed);
-    append(change.removedWorkspaces, part.workspaces.removed);
+    appendAll(change.removedRoutes, part.routes.removed);
+    appendAll(change.removedWorkspaces, part.workspaces.removed);
     std::move(slice.routes.begin(), slice.routes.end(), std::back_inserter(change.routes));
     std::move(slice.workspaces.begin(), slice.workspaces.end(), std::back_inserter(change.workspaces));
     if (slice.rest) {
@@ -103,14 +103,14 @@
     return {};
 }
 
-std::vector<completed_change> document_assembly::takeCompleted() { return std::exchange(m_finished, {}); }
+std::vector<completed_change> document_assembly::takeCompleted() { return std::exchange(m_completed, {}); }
 
 void document_assembly::drop()
 {
-    m_finished.clear();
+    m_completed.clear();
     m_open = {};
     m_next = 0;
-    m_isLeftOut = false;
+    m_isSkipped = false;
 }
 
 } // namespace buckthornrail::gateway
--- a/src/buckthornrail/gateway/fingerprint_request.cpp
+++ b/src/buckthornrail/gateway/fingerprint_request.cpp
@@ -9,7 +9,7 @@
 
 void add(sha256_ctx& digest, std::string_view part)
 {
-    // Its length goes before each part, so that no two requests give the same bytes.
+    // Length prefixes keep different requests from yielding the same bytes.
     const std::string length = std::to_string(part.size()) + ":";
     sha256_update(&digest, length.size(), reinterpret_cast<const std::uint8_t*>(length.data()));
     sha256_update(&digest, part.size(), reinterpret_cast<const std::uint8_t*>(part.data()));
--- a/src/buckthornrail/gateway/fingerprint_request_test.cpp
+++ b/src/buckthornrail/gateway/fingerprint_request_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Which requests are the same.
+/// @brief Which requests have equal fingerprints, and the text form.
 #include "buckthornrail/gateway/fingerprint_request.hpp"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 using namespace buckthornrail;
 using namespace buckthornrail::gateway;
 
-TEST_CASE("request fingerprint: each part of a request counts, and where it ends", "[fingerprint]")
+TEST_CASE("request fingerprint: depends on each part of a request and on where it ends", "[fingerprint]")
 {
     const request_identity one { "POST", "h", "/p?q", "w", "body" };
     CHECK(fingerprintOf(one) == fingerprintOf({ "POST", "h", "/p?q", "w", "body" }));
@@ -20,7 +20,7 @@
     CHECK(fingerprintOf({ "a", "b", "c", "d", "e" }) != fingerprintOf({ "a", "bc", "", "d", "e" }));
 }
 
-TEST_CASE("request fingerprint: its text reads back, and no other does", "[fingerprint]")
+TEST_CASE("request fingerprint: text form round-trips, malformed text is rejected", "[fingerprint]")
 {
     rc::prop("any fingerprint", [](const std::string& body) {
         const auto one = fingerprintOf({ "POST", "h", "/", "", body });
--- a/src/buckthornrail/gateway/quarantine_gate.cpp
+++ b/src/buckthornrail/gateway/quarantine_gate.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Trials of suspects, and what is told of them.
+/// @brief Trials of suspects and the batches that report them to the controllers.
 #include "buckthornrail/gateway/quarantine_gate.hpp"
 
 #include <algorithm>
@@ -12,12 +12,12 @@
 
 quarantine_stage quarantine_gate::stageOf(const request_fingerprint& fingerprint) const
 {
-    const auto told = m_view.stageOf(fingerprint);
+    const auto confirmed = m_view.stageOf(fingerprint);
     const auto reported = m_reported.find(fingerprint);
-    if (reported == m_reported.end() || reported->second.unconfirmed == 0 || told == quarantine_stage::Proven)
-        return told;
-    // What this gateway has seen counts before the controllers have it.
-    return std::max(told, reported->second.expected);
+    if (reported == m_reported.end() || reported->second.unconfirmed == 0 || confirmed == quarantine_stage::Proven)
+        return confirmed;
+    // Crashes seen by this gateway count before the controllers confirm them.
+    return std::max(confirmed, reported->second.expected);
 }
 
 dispatch_verdict quarantine_gate::requestDispatch(call_number call, const request_fingerprint& fingerprint,
@@ -37,18 +37,18 @@
         endTrial(call);
         return claim(call, fingerprint, target, now);
     }
-    return standingOf(call, trial, now);
+    return trialVerdict(call, trial, now);
 }
 
-dispatch_verdict quarantine_gate::standingOf(call_number call, own_trial& trial, steady_time now)
+dispatch_verdict quarantine_gate::trialVerdict(call_number call, local_trial& trial, steady_time now)
 {
     if (trial.state == claim_state::Granted) {
-        trial.hasBegun = now >= trial.beginsAt;
-        return trial.hasBegun ? dispatch_verdict::Go : dispatch_verdict::Wait;
+        trial.hasStarted = now >= trial.startsAt;
+        return trial.hasStarted ? dispatch_verdict::Go : dispatch_verdict::Wait;
     }
     if (trial.state == claim_state::Open) {
-        trial.hasBegun = trial.stage == quarantine_stage::Suspect && now >= trial.decideBy;
-        return trial.hasBegun ? dispatch_verdict::Go : dispatch_verdict::Wait;
+        trial.hasStarted = trial.stage == quarantine_stage::Suspect && now >= trial.decideBy;
+        return trial.hasStarted ? dispatch_verdict::Go : dispatch_verdict::Wait;
     }
     if (trial.why == trial_refusal::Unknown)
         return dispatch_verdict::Go;
@@ -67,13 +67,13 @@
     const registry::target_incarnation& target, steady_time now)
 {
     const registry::trial_number number = std::max<std::uint64_t>(m_random(), 1);
-    const registry::trial_claim wish { fingerprint, number, target };
-    m_next.claims.push_back(wish);
-    own_trial trial;
+    const registry::trial_claim newClaim { fingerprint, number, target };
+    m_unsentChanges.claims.push_back(newClaim);
+    local_trial trial;
     trial.fingerprint = fingerprint;
-    trial.claim = wish;
+    trial.claim = newClaim;
     trial.stage = stageOf(fingerprint);
-    trial.decideBy = now + m_options.grantPatience;
+    trial.decideBy = now + m_options.grantTimeout;
     m_trials[call] = trial;
     return dispatch_verdict::Wait;
 }
@@ -95,16 +95,17 @@
     if (!over || over.mapped().state == claim_state::Refused)
         return;
     const auto trial = over.mapped().claim.trial;
-    const bool wasUnsent = std::erase_if(m_next.claims, [trial](const auto& one) { return one.trial == trial; }) > 0;
+    const bool wasUnsent
+        = std::erase_if(m_unsentChanges.claims, [trial](const auto& one) { return one.trial == trial; }) > 0;
     if (!wasUnsent)
-        m_next.ends.push_back({ over.mapped().fingerprint, trial });
+        m_unsentChanges.ends.push_back({ over.mapped().fingerprint, trial });
 }
 
 std::vector<call_number> quarantine_gate::callsOnTrial() const
 {
     std::vector<call_number> calls;
     for (const auto& [call, trial] : m_trials) {
-        if (trial.hasBegun)
+        if (trial.hasStarted)
             calls.push_back(call);
     }
     return calls;
@@ -118,19 +119,19 @@
         const auto before = stageOf(fingerprint);
         auto& one = m_reported[fingerprint];
         ++one.unconfirmed;
-        // It proves nothing by itself: that is for the controllers to say.
+        // Only the controllers decide that a request is proven to crash targets.
         one.expected = before == quarantine_stage::None ? quarantine_stage::Suspect : quarantine_stage::Held;
-        one.keepUntil = now + m_options.keepReported;
+        one.keepUntil = now + m_options.reportedTtl;
         m_reportedOrder.emplace_back(one.keepUntil, fingerprint);
     }
-    m_next.crashes.push_back(report);
-    dropReported(now);
+    m_unsentChanges.crashes.push_back(report);
+    dropExpiredReports(now);
 }
 
-void quarantine_gate::dropReported(steady_time now)
+void quarantine_gate::dropExpiredReports(steady_time now)
 {
     while (!m_reportedOrder.empty()
-        && (now >= m_reportedOrder.front().first || m_reportedOrder.size() > m_options.mostReported)) {
+        && (now >= m_reportedOrder.front().first || m_reportedOrder.size() > m_options.maxReported)) {
         const auto [due, fingerprint] = m_reportedOrder.front();
         m_reportedOrder.pop_front();
         const auto found = m_reported.find(fingerprint);
@@ -144,7 +145,7 @@
     const bool isReported = m_reported.erase(fingerprint) > 0;
     const bool isHeld = isReported || m_view.stageOf(fingerprint) != quarantine_stage::None;
     if (isHeld)
-        m_next.cleared.push_back(fingerprint);
+        m_unsentChanges.cleared.push_back(fingerprint);
     return isHeld;
 }
 
@@ -158,7 +159,7 @@
         for (const auto& fingerprint : report.begun) {
             const auto reported = m_reported.find(fingerprint);
             if (reported != m_reported.end() && reported->second.unconfirmed > 0)
-                --reported->second.unconfirmed; // the view holds it now
+                --reported->second.unconfirmed; // the view includes it now
         }
     }
     const auto& claims = found->batch.change.claims;
@@ -168,7 +169,7 @@
         if (trial.state != claim_state::Open || std::none_of(claims.begin(), claims.end(), isOwn))
             continue;
         const auto refusal = std::find_if(receipt.refused.begin(), receipt.refused.end(), isOwn);
-        trial.beginsAt = now + m_options.settleTime;
+        trial.startsAt = now + m_options.trialStartDelay;
         trial.state = refusal == receipt.refused.end() ? claim_state::Granted : claim_state::Refused;
         if (refusal != receipt.refused.end())
             trial.why = refusal->why;
@@ -178,20 +179,20 @@
 
 std::vector<registry::quarantine_batch> quarantine_gate::takeBatches(bool all, steady_time now)
 {
-    dropReported(now);
+    dropExpiredReports(now);
     if (hasUnsentChanges()) {
-        m_sent.push_back({ { ++m_lastNumber, std::exchange(m_next, {}) }, {} });
-        if (m_sent.size() > m_options.mostNews)
+        m_sent.push_back({ { ++m_lastBatchNumber, std::exchange(m_unsentChanges, {}) }, {} });
+        if (m_sent.size() > m_options.maxUnconfirmedBatches)
             m_sent.pop_front();
     }
-    std::vector<registry::quarantine_batch> news;
+    std::vector<registry::quarantine_batch> batches;
     for (auto& one : m_sent) {
         if (!all && now < one.sendAgainAt)
             continue;
         one.sendAgainAt = now + m_options.resendAfter;
-        news.push_back(one.batch);
+        batches.push_back(one.batch);
     }
-    return news;
+    return batches;
 }
 
 } // namespace buckthornrail::gateway
