--- a/include/buckthornrail/gateway/target_pool.hpp
+++ b/include/buckthornrail/gateway/target_pool.hpp
@@ -5,8 +5,8 @@
 #include "buckthornrail/gateway/layer_path.hpp"
 #include "buckthornrail/gateway/rate_limiter.hpp"
 #include "buckthornrail/gateway/route_index.hpp"
-#include "buckthornrail/registry/limit_board.hpp"
-#include "buckthornrail/registry/load_board.hpp"
+#include "buckthornrail/registry/limit_table.hpp"
+#include "buckthornrail/registry/load_table.hpp"
 
 #include <array>
 #include <map>
@@ -117,9 +117,9 @@
     void setOtherGateways(std::size_t gateways, std::size_t openAttempts);
     /// @brief Sets the load of the other gateways by target.
     /// @param row in the order of the target ids of the last update(); ignored if its length differs from the table's
-    void setOtherGatewayLoads(const registry::load_row& row, steady_time now);
+    void setOtherGatewayLoads(const registry::target_loads& row, steady_time now);
     /// @brief Load of this gateway by target, to be reported to the others.
-    [[nodiscard]] registry::load_row loads() const;
+    [[nodiscard]] registry::target_loads loads() const;
     [[nodiscard]] std::size_t openAttempts() const { return m_openAttempts; }
 
     /// @brief Selects a target, or a path over several targets for a service with layers.
@@ -148,10 +148,10 @@
         bool namesNone, steady_time sentAt, steady_time now);
     /// @brief Merges limits that other gateways received; the most recently confirmed one wins.
     /// @return the limits that changed
-    std::vector<limit_change> mergeRemoteLimits(std::span<const registry::limit_news> reports, steady_time now);
+    std::vector<limit_change> mergeRemoteLimits(std::span<const registry::limit_report> reports, steady_time now);
     /// @brief Limits received here since the last call, to be sent to the other gateways.
     /// @param all also those that were already sent
-    std::vector<registry::limit_news> takeLimitReports(bool all, steady_time now);
+    std::vector<registry::limit_report> takeLimitReports(bool all, steady_time now);
     /// @brief Sets this gateway's share of the rate limits.
     void setShare(const gateway_share& share, steady_time now);
     /// @brief Whether the target's limit, backoff and leaving state allow sending now. Must be checked before sending
--- a/src/app/registry/document_feed.cpp
+++ b/src/app/registry/document_feed.cpp
@@ -48,7 +48,7 @@
 {
     if (committed.version == m_marks.version())
         return;
-    const auto outline = m_dialect.cutDocument(committed.text);
+    const auto outline = m_dialect.splitDocument(committed.text);
     if (!outline) {
         telemetry::logEvent(event_code::ConfigurationRejected,
             { { "version", std::to_string(committed.version) }, { "reason", outline.error().reason } },
--- a/src/app/registry/layer_orders.cpp
+++ b/src/app/registry/layer_orders.cpp
@@ -31,7 +31,7 @@
 }
 
 /// Least memory needs of a target. The memory size is 0 for an unknown accelerator.
-registry::memory_needs needsOf(const registry::target_record& record, const gateway::layered_engine& engine)
+registry::memory_requirements needsOf(const registry::target_record& record, const gateway::layered_engine& engine)
 {
     const double tokens = sequencesPerTarget * (engine.usualPromptTokens + engine.usualAnswerTokens);
     const double tokenBytesPerLayer = engine.tokenBytes / std::max(engine.layers, 1U);
--- a/src/app/registry/registry.hpp
+++ b/src/app/registry/registry.hpp
@@ -66,7 +66,7 @@
     };
 
     void onRequest(const net::whole_request& request, const net::responder& respond);
-    void onPublish(gateway::publish_call call, const net::responder& respond);
+    void onPublish(gateway::publish_request call, const net::responder& respond);
     void onRead(const net::responder& respond);
     void onAnnounce(const registry::target_record& record, const net::responder& respond);
     /// @brief Submits the announcement of a ready target to the log if it changes the target's record.
@@ -133,7 +133,7 @@
     /// @brief Address for a target's next heartbeats: a controller of its own failure domain if there is one.
     [[nodiscard]] std::string nextHeartbeatAddress(const registry::target_record& record) const;
     /// @brief Targets that are rate-limited or draining, and those that requested a backoff from this controller.
-    [[nodiscard]] std::vector<gateway::held_target> heldTargets(steady_time now) const;
+    [[nodiscard]] std::vector<gateway::restricted_target> heldTargets(steady_time now) const;
     [[nodiscard]] net::whole_response statusPage() const;
 
     link::event_loop& m_loop;
@@ -152,8 +152,8 @@
     std::map<link::channel_number, session> m_sessions;
     std::vector<link::controller_place> m_places; ///< of all members, to be sent to gateways
     std::uint64_t m_placesRevision = 0; ///< counts changes of m_places
-    registry::session_board m_board; ///< sessions are numbered by their channels
-    registry::limit_board m_limits;
+    registry::gateway_sessions m_board; ///< sessions are numbered by their channels
+    registry::limit_table m_limits;
     agreement::member_id m_lastReportedLeader = 0; ///< leader that the last report went to
     std::uint64_t m_limitsRevisionReported = 0; ///< of m_limits, in the last report
     std::map<link::channel_number, std::uint64_t> m_memberLimitsSent; ///< revision of m_limits, by member link
@@ -163,7 +163,7 @@
     steady_time m_nextTablePushAt {};
     quarantine_submission m_pendingQuarantine;
     bool m_isQuarantineInFlight = false; ///< a submission hasn't been answered by the log yet
-    registry::quarantine_clock m_quarantineClock;
+    registry::quarantine_timers m_quarantineClock;
     std::uint64_t m_loggedStageRevision = 0; ///< stage changes up to it have been logged
     std::set<request_fingerprint> m_loggedFingerprints; ///< fingerprints that were last logged as quarantined
     std::set<registry::target_incarnation> m_announcementsInFlight; ///< submitted to the log and not committed yet
--- a/src/app/registry/registry_sessions.cpp
+++ b/src/app/registry/registry_sessions.cpp
@@ -43,7 +43,7 @@
     gatewaySession.documentVersion
         = std::max(gatewaySession.documentVersion, heartbeat.sliceVersion.value_or(heartbeat.documentVersion));
     gatewaySession.targetRevision = std::max(gatewaySession.targetRevision, heartbeat.targetRevision);
-    const registry::gateway_life life { heartbeat.instance, heartbeat.life, heartbeat.repeats,
+    const registry::gateway_usage life { heartbeat.instance, heartbeat.life, heartbeat.repeats,
         heartbeat.isRepeatsComplete };
     m_board.heard(channel, { life, heartbeat.openAttempts, heartbeat.targetRevision, heartbeat.loads },
         m_state.targets(), steadyNow());
--- a/src/app/registry/registry_targets.cpp
+++ b/src/app/registry/registry_targets.cpp
@@ -22,7 +22,7 @@
         return;
     }
     const auto answer = [this, record, respond] {
-        respond(net::plainResponse(200, m_dialect.writeAnnounceAnswer(nextHeartbeatAddress(record))));
+        respond(net::plainResponse(200, m_dialect.writeAnnounceResponse(nextHeartbeatAddress(record))));
     };
     const auto* known = m_state.targets().find(record.id);
     // A target of an unknown service must not take over the address of a target in use, whatever state it announces.
--- a/src/buckthornrail/gateway/routing_test.cpp
+++ b/src/buckthornrail/gateway/routing_test.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// @brief Route documents, paths over layers, selections of the target pool and the retry budget.
-#include "buckthornrail/gateway/repeat_budget.hpp"
+#include "buckthornrail/gateway/shared_retry_budget.hpp"
 #include "buckthornrail/gateway/target_pool.hpp"
 
 #include <catch2/catch.hpp>
@@ -239,11 +239,11 @@
     pool.setOtherGatewayLoads({ 90, 90 }, now);
     pool.attemptStarted(*near, { 900, 100 }); // 10,000 tokens times layers, at each of the domain's ten gateways
     CHECK(pool.select("s", {}, now)->parts.front().target == "y");
-    CHECK(pool.loads() == registry::load_row { 10, 0 });
+    CHECK(pool.loads() == registry::target_loads { 10, 0 });
     pool.setOtherGatewayLoads({ 90, 90 }, now); // a newer report includes it
     CHECK(pool.select("s", {}, now)->parts.front().target == "x");
     pool.attemptEnded(*near, { 900, 100 }, false);
-    CHECK(pool.loads() == registry::load_row { 0, 0 });
+    CHECK(pool.loads() == registry::target_loads { 0, 0 });
 }
 
 TEST_CASE("pool: queued prefill counts until the first event", "[gateway]")
@@ -317,61 +317,61 @@
 
 TEST_CASE("budget: retries are bounded by the number of requests and by a share of the slack", "[gateway]")
 {
-    repeat_budget_options options;
+    shared_retry_budget_options options;
     options.ratio = 0.5;
     options.slack = 8;
-    options.part = 1;
-    repeat_budget budget(options);
+    options.usableShare = 1;
+    shared_retry_budget budget(options);
     const steady_time now {};
     for (int at = 0; at < 4; ++at)
-        budget.noteRequest(now);
+        budget.countRequest(now);
     int taken = 0;
-    budget.toldGateways(4, now);
-    while (budget.take(true, now))
+    budget.setGatewayCount(4, now);
+    while (budget.tryTake(true, now))
         ++taken;
     CHECK(taken == 2); // half of 4 * 0.5 + 8 / 4
-    while (budget.take(false, now))
+    while (budget.tryTake(false, now))
         ++taken;
     CHECK(taken == 4);
-    CHECK_FALSE(budget.take(false, now + milliseconds(9999)));
-    CHECK(budget.take(true, now + milliseconds(10000)));
+    CHECK_FALSE(budget.tryTake(false, now + milliseconds(9999)));
+    CHECK(budget.tryTake(true, now + milliseconds(10000)));
 }
 
 TEST_CASE("budget: a restarted process uses no slack until it knows what was spent", "[gateway]")
 {
     const steady_time now = steady_time {} + std::chrono::hours(1);
-    repeat_budget_options options;
+    shared_retry_budget_options options;
     options.ratio = 0.5;
     options.slack = 40;
-    options.part = 1;
-    options.partForRefused = 1;
+    options.usableShare = 1;
+    options.refusedShare = 1;
     options.slackFrom = now + options.window;
-    repeat_budgets budgets(options);
+    shared_retry_budgets budgets(options);
     const auto takeAll = [&budgets](steady_time when) {
         int taken = 0;
-        while (budgets.of("s").take(true, when))
+        while (budgets.of("s").tryTake(true, when))
             ++taken;
         return taken;
     };
-    budgets.toldGateways(4, now);
+    budgets.setGatewayCount(4, now);
     for (int at = 0; at < 4; ++at)
-        budgets.of("s").noteRequest(now);
+        budgets.of("s").countRequest(now);
     CHECK(takeAll(now) == 2); // the ratio of its own requests
     CHECK_FALSE(budgets.isComplete(now));
 
     SECTION("reported by the leader")
     {
-        budgets.resume({ { "s", 6 }, { "other", 10 } }, now);
+        budgets.restoreSpent({ { "s", 6 }, { "other", 10 } }, now);
         CHECK(budgets.isComplete(now));
         CHECK(takeAll(now) == 4); // 4 * 0.5 + 40 / 4 - 2 - 6
-        CHECK_FALSE(budgets.of("other").take(true, now));
-        CHECK(budgets.of("third").take(true, now));
+        CHECK_FALSE(budgets.of("other").tryTake(true, now));
+        CHECK(budgets.of("third").tryTake(true, now));
     }
     SECTION("not reported, for a stream that has begun")
     {
         const auto later = now + options.window * 3 / 10;
         int taken = 0;
-        while (budgets.of("s").take(false, later))
+        while (budgets.of("s").tryTake(false, later))
             ++taken;
         CHECK(taken == 3); // 4 * 0.5 + 0.3 * 40 / 4 - 2
         CHECK(takeAll(later) == 0);
@@ -388,18 +388,18 @@
     "[gateway]")
 {
     const steady_time now = steady_time {} + std::chrono::hours(1);
-    repeat_budget_options options;
+    shared_retry_budget_options options;
     options.ratio = 0;
     options.slack = 40;
-    options.part = 1;
-    repeat_budget budget(options);
-    CHECK_FALSE(budget.take(false, now));
-    budget.toldGateways(0, now);
-    CHECK_FALSE(budget.take(false, now));
-    budget.toldGateways(4, now);
+    options.usableShare = 1;
+    shared_retry_budget budget(options);
+    CHECK_FALSE(budget.tryTake(false, now));
+    budget.setGatewayCount(0, now);
+    CHECK_FALSE(budget.tryTake(false, now));
+    budget.setGatewayCount(4, now);
     const auto takeAll = [&budget](steady_time when) {
         int taken = 0;
-        while (budget.take(false, when))
+        while (budget.tryTake(false, when))
             ++taken;
         return taken;
     };
--- a/src/buckthornrail/gateway/target_incarnation_test.cpp
+++ b/src/buckthornrail/gateway/target_incarnation_test.cpp
@@ -48,7 +48,7 @@
         REQUIRE(bench.port.attempts == incarnation + 1);
     }
     call.onSent(zero);
-    call.onHead(ownAnswer(200), zero);
+    call.onHead(authenticResponse(200), zero);
     call.onBody(zero);
     CHECK(bench.port.outcome == "passed on");
 }
@@ -77,7 +77,7 @@
     call.onEvent("1", 1, zero);
     bench.startAnew("b0", secondStartMs);
     call.onTargetsChanged(zero);
-    bench.end("c1", registry::target_state::Draining);
+    bench.setState("c1", registry::target_state::Draining);
     call.onTargetsChanged(zero);
     CHECK(bench.port.attempts == 1);
 }
--- a/src/buckthornrail/gateway/target_limit_test.cpp
+++ b/src/buckthornrail/gateway/target_limit_test.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-target_answer answerWithLimit(int status, std::optional<double> perSecond, bool stream = false)
+target_response answerWithLimit(int status, std::optional<double> perSecond, bool stream = false)
 {
-    auto answer = ownAnswer(status, stream);
+    auto answer = authenticResponse(status, stream);
     answer.pushback = target_pushback { perSecond, {} };
     return answer;
 }
@@ -20,7 +20,7 @@
 /// Merges a limit that another gateway received from a target.
 void mergeLimit(target_pool& pool, const std::string& target, std::optional<double> perSecond, int ms)
 {
-    (void)pool.mergeRemoteLimits(std::vector<registry::limit_news> { { target, perSecond, 0 } }, at(ms));
+    (void)pool.mergeRemoteLimits(std::vector<registry::limit_report> { { target, perSecond, 0 } }, at(ms));
 }
 
 /// Makes `count` selections at intervals of 100 ms and counts each as sent.
@@ -111,7 +111,7 @@
     exchange_bench bench(request_kind::Safe, false, false);
     mergeLimit(bench.pool, "a0", 0.5, 0);
     for (const std::string target : { "a0", "b0", "c0" })
-        bench.end(target, registry::target_state::Gone);
+        bench.setState(target, registry::target_state::Gone);
     auto call = bench.make();
     call.start(zero);
     CHECK(bench.port.outcome == "answered");
@@ -151,7 +151,7 @@
     (void)bench.pool.recordPushback(a0, { 1, {} }, true, at(0), at(100));
     const auto reports = bench.pool.takeLimitReports(false, at(150));
     REQUIRE(reports.size() == 1);
-    CHECK(reports.front() == registry::limit_news { a0, 1, 50 });
+    CHECK(reports.front() == registry::limit_report { a0, 1, 50 });
     (void)bench.pool.recordPushback(a0, { 1, {} }, true, at(200), at(300));
     CHECK(bench.pool.takeLimitReports(false, at(300)).empty());
     (void)bench.pool.recordPushback(a0, { 1, {} }, true, at(1200), at(1300));
@@ -169,7 +169,7 @@
     bench.pool.setShare({ 1, 0 }, zero);
     mergeLimit(bench.pool, "a0", 0, 0);
     CHECK(bench.pool.limitedCount(at(0)) == 1);
-    bench.startAnew("a0", 500);
+    bench.restart("a0", 500);
     CHECK(bench.pool.limitedCount(at(0)) == 0);
 }
 
@@ -282,8 +282,8 @@
     const auto chosen = bench.pool.select("s", {}, zero);
     REQUIRE(chosen);
     CHECK(chosen->parts.back().target != registry::target_incarnation("a1"));
-    bench.end("b1", registry::target_state::Gone);
-    bench.end("c1", registry::target_state::Gone);
+    bench.setState("b1", registry::target_state::Gone);
+    bench.setState("c1", registry::target_state::Gone);
     CHECK(bench.pool.select("s", {}, zero)->parts.back().target == registry::target_incarnation("a1"));
 }
 
--- a/src/buckthornrail/gateway/target_pool_limits.cpp
+++ b/src/buckthornrail/gateway/target_pool_limits.cpp
@@ -81,7 +81,7 @@
     return change.hasChanged() ? std::optional(change) : std::nullopt;
 }
 
-std::vector<limit_change> target_pool::mergeRemoteLimits(std::span<const registry::limit_news> reports, steady_time now)
+std::vector<limit_change> target_pool::mergeRemoteLimits(std::span<const registry::limit_report> reports, steady_time now)
 {
     std::vector<limit_change> changes;
     for (const auto& one : reports) {
@@ -96,9 +96,9 @@
     return changes;
 }
 
-std::vector<registry::limit_news> target_pool::takeLimitReports(bool all, steady_time now)
+std::vector<registry::limit_report> target_pool::takeLimitReports(bool all, steady_time now)
 {
-    std::vector<registry::limit_news> reports;
+    std::vector<registry::limit_report> reports;
     for (auto& [id, target] : m_targets) {
         auto& limit = target.limit;
         if (!limit || (!limit->isUnannounced && !all) || now >= limit->heardAt + limitLifetime)
--- a/src/buckthornrail/gateway/target_pool_load.cpp
+++ b/src/buckthornrail/gateway/target_pool_load.cpp
@@ -19,7 +19,7 @@
 /// Prefill time that may be queued at a target at no cost, as latency targets of first events are 500 ms and more. Any
 /// time beyond it is added to the cost.
 constexpr double freePrefillMs = 60;
-constexpr double loadUnit = 1000; ///< unit of load_row, in tokens times layers
+constexpr double loadUnit = 1000; ///< unit of target_loads, in tokens times layers
 /// Loads older than this refuse no requests. Gateways report them every 100 ms, but not while there is no leader; after
 /// a second half of the attempts of that time have ended.
 constexpr milliseconds loadLifetime { 1000 };
@@ -124,7 +124,7 @@
     m_othersOpenAttempts = static_cast<double>(openAttempts);
 }
 
-void target_pool::setOtherGatewayLoads(const registry::load_row& row, steady_time now)
+void target_pool::setOtherGatewayLoads(const registry::target_loads& row, steady_time now)
 {
     m_otherGatewayLoadsAt = now;
     m_hasOtherGatewayLoads = !row.empty() && row.size() == m_targets.size();
