--- a/src/app/gateway/caller_channel.cpp
+++ b/src/app/gateway/caller_channel.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 /// Bytes of later requests that are taken in while one is served; then the connection is read no more.
-constexpr std::size_t mostBytesAhead = 64U << 10U;
+constexpr std::size_t maxPipelinedBytes = 64U << 10U;
 
 http1::parser_limits parserLimits(const gateway::caller_limits& limits)
 {
@@ -19,7 +19,7 @@
     : m_gateway(gateway)
     , m_channel(std::move(channel))
     , m_parser(parserLimits(gateway.limits()))
-    , m_patience(gateway.loop())
+    , m_timeoutTimer(gateway.loop())
 {
 }
 
@@ -42,20 +42,20 @@
                 self->onEnded();
         },
     });
-    awaitIdle();
+    startIdleTimer();
 }
 
 bool caller_channel::keepsAlive() const { return m_callerKeepsAlive && !m_gateway.context().isStopping; }
 
 void caller_channel::onBytes(std::string_view bytes)
 {
-    if (m_ended)
+    if (m_isClosed)
         return;
-    if (!m_requestBegun && !m_call) {
-        m_requestBegun = true;
+    if (!m_hasRequestStarted && !m_call) {
+        m_hasRequestStarted = true;
         m_firstByte = steadyNow();
         const std::weak_ptr<caller_channel> weak = weak_from_this();
-        m_patience.set(m_firstByte + m_gateway.limits().headPatience, [weak] {
+        m_timeoutTimer.set(m_firstByte + m_gateway.limits().headPatience, [weak] {
             const auto self = weak.lock();
             if (self && !self->m_call)
                 self->refuse(result_code::SlowSender);
@@ -63,7 +63,7 @@
     }
     m_parser.put(bytes);
     if (m_call) {
-        if (m_parser.leftOver() > mostBytesAhead)
+        if (m_parser.leftOver() > maxPipelinedBytes)
             m_channel->setReading(false);
         return;
     }
@@ -80,8 +80,8 @@
                                                             : result_code::MalformedRequest);
         return;
     }
-    if (state == http1::parse_state::Body && m_parser.head().expectsContinue && !m_toldContinue) {
-        m_toldContinue = true;
+    if (state == http1::parse_state::Body && m_parser.head().expectsContinue && !m_hasSentContinue) {
+        m_hasSentContinue = true;
         m_channel->write("HTTP/1.1 100 Continue\r\n\r\n");
     }
     if (state == http1::parse_state::Done)
@@ -90,33 +90,33 @@
 
 void caller_channel::startCall()
 {
-    m_patience.cancel();
+    m_timeoutTimer.cancel();
     m_callerKeepsAlive = m_parser.head().keepAlive;
     m_call = std::make_shared<gateway_call>(m_gateway.context(), *this, m_parser.head(), m_parser.takeBody());
     const auto keep = m_call;
     keep->start(m_firstByte);
 }
 
-void caller_channel::finished(bool broken)
+void caller_channel::finished(bool aborted)
 {
-    const bool goesOn = !broken && keepsAlive();
+    const bool staysOpen = !aborted && keepsAlive();
     const std::weak_ptr<caller_channel> weak = weak_from_this();
     // The call is still on the stack.
-    m_gateway.loop().post([weak, goesOn] {
+    m_gateway.loop().post([weak, staysOpen] {
         const auto self = weak.lock();
-        if (!self || self->m_ended)
+        if (!self || self->m_isClosed)
             return;
         self->m_call = nullptr;
-        if (!goesOn) {
+        if (!staysOpen) {
             self->close();
             return;
         }
-        self->m_requestBegun = self->m_parser.leftOver() > 0;
+        self->m_hasRequestStarted = self->m_parser.leftOver() > 0;
         self->m_firstByte = steadyNow();
-        self->m_toldContinue = false;
+        self->m_hasSentContinue = false;
         self->m_channel->setReading(true);
         self->m_parser.next();
-        self->awaitIdle();
+        self->startIdleTimer();
         self->advance();
     });
 }
@@ -132,10 +132,10 @@
     close();
 }
 
-void caller_channel::awaitIdle()
+void caller_channel::startIdleTimer()
 {
     const std::weak_ptr<caller_channel> weak = weak_from_this();
-    m_patience.set(steadyNow() + m_gateway.limits().idlePatience, [weak] {
+    m_timeoutTimer.set(steadyNow() + m_gateway.limits().idlePatience, [weak] {
         const auto self = weak.lock();
         if (self && !self->m_call)
             self->close();
@@ -144,30 +144,30 @@
 
 void caller_channel::onEnded()
 {
-    if (std::exchange(m_ended, true))
+    if (std::exchange(m_isClosed, true))
         return;
-    m_patience.cancel();
+    m_timeoutTimer.cancel();
     const auto call = std::exchange(m_call, nullptr);
     if (call)
         call->callerGone();
-    m_gateway.channelEnded(shared_from_this());
+    m_gateway.removeChannel(shared_from_this());
 }
 
 void caller_channel::close()
 {
-    if (m_ended)
+    if (m_isClosed)
         return;
     m_channel->closeAfterWrite();
     onEnded();
 }
 
-void caller_channel::closeWhenIdle()
+void caller_channel::closeIfIdle()
 {
     if (!m_call && m_parser.isUntouched())
         close();
 }
 
-void caller_channel::drop()
+void caller_channel::abort()
 {
     m_channel->abort(false);
     onEnded();
--- a/src/app/gateway/caller_channel.hpp
+++ b/src/app/gateway/caller_channel.hpp
@@ -7,21 +7,21 @@
 namespace buckthornrail::app {
 
 /// @brief Lives on the loop thread.
-class caller_channel : public call_sink, public std::enable_shared_from_this<caller_channel> {
+class caller_channel : public response_sink, public std::enable_shared_from_this<caller_channel> {
 public:
     caller_channel(gateway_role& gateway, net::channel_pointer channel);
 
     void begin();
     /// @brief Ends the connection now if no request is on it; else its answer will.
-    void closeWhenIdle();
+    void closeIfIdle();
     /// @brief Ends the connection at once, with the process.
-    void drop();
+    void abort();
 
     [[nodiscard]] bool keepsAlive() const override;
     [[nodiscard]] steady_time openedAt() const override { return m_openedAt; }
     void write(std::string_view bytes) override { m_channel->write(bytes); }
     [[nodiscard]] std::size_t pendingBytes() const override { return m_channel->pendingBytes(); }
-    void finished(bool broken) override;
+    void finished(bool aborted) override;
 
 private:
     void onBytes(std::string_view bytes);
@@ -29,7 +29,7 @@
     void advance();
     void startCall();
     void refuse(result_code code);
-    void awaitIdle();
+    void startIdleTimer();
     void close();
 
     gateway_role& m_gateway;
@@ -38,11 +38,11 @@
     steady_time m_openedAt = steadyNow();
     std::shared_ptr<gateway_call> m_call;
     steady_time m_firstByte {}; ///< of the request that is arriving
-    bool m_requestBegun = false;
-    bool m_toldContinue = false;
+    bool m_hasRequestStarted = false;
+    bool m_hasSentContinue = false;
     bool m_callerKeepsAlive = true;
-    bool m_ended = false;
-    net::loop_timer m_patience;
+    bool m_isClosed = false;
+    net::loop_timer m_timeoutTimer;
 };
 
 } // namespace buckthornrail::app
--- a/src/app/gateway/gateway.cpp
+++ b/src/app/gateway/gateway.cpp
@@ -13,11 +13,11 @@
 
 /// After SIGTERM callers are led here until the balancer has missed two checks, one a second; then idle connections are
 /// closed, and streams, of which the longest last over six seconds, are refused.
-constexpr milliseconds rotationTime { 2800 };
+constexpr milliseconds balancerDrainTime { 2800 };
 constexpr milliseconds stopCheckPeriod { 50 };
-constexpr milliseconds standstillPeriod { 200 };
+constexpr milliseconds stallCheckPeriod { 200 };
 /// For so long after its start a gateway lets calls wait for its first document.
-constexpr milliseconds youthTime { 4000 };
+constexpr milliseconds startupGracePeriod { 4000 };
 /// Left of the time that the platform grants for ending, for the process itself.
 constexpr milliseconds exitReserve { 400 };
 
@@ -49,7 +49,8 @@
         gateway::repeat_budgets(budgetOptions(settings)), nullptr, 0, std::mt19937_64(randomNumber()) }
     , m_listener(loop, [this](net::channel_pointer channel) { onChannel(std::move(channel)); })
     , m_health(loop,
-          [this](const net::whole_request& request, const net::responder& respond) { onHealthCall(request, respond); })
+          [this](
+              const net::whole_request& request, const net::responder& respond) { onHealthRequest(request, respond); })
     , m_session(loop, settings, m_document,
           gateway_session_callbacks {
               [this] { onDocument(); },
@@ -57,45 +58,45 @@
               [this] { return static_cast<std::uint32_t>(m_context.pool.openAttempts()); },
               [this] { return m_context.pool.loads(); },
               [this](const registry::load_row& others) { m_context.pool.setOthersLoads(others, steadyNow()); },
-              [this](const link::gateway_update& update) { onServed(update); },
+              [this](const link::gateway_update& update) { onSessionUpdate(update); },
               [this] { return m_context.pool.takeDark(); },
               [this](link::gateway_beat& beat) {
                   beat.repeats = m_context.budgets.spent(steadyNow());
                   beat.isRepeatsComplete = m_context.budgets.isComplete(steadyNow());
               },
-              [this](link::gateway_beat& beat, bool isFirst) { tellQuarantine(beat, isFirst); },
+              [this](link::gateway_beat& beat, bool isFirst) { fillQuarantine(beat, isFirst); },
               [this](const link::gateway_update& update) {
                   onQuarantine(update);
-                  m_context.confirmBy = {};
-                  resumeWaiting();
+                  m_context.confirmationDeadline = {};
+                  resumeWaitingCalls();
               },
               [this](bool all) { return m_context.pool.takeLimitNews(all, steadyNow()); },
-              [this](const std::vector<registry::limit_news>& news) { onLimits(news); },
+              [this](const std::vector<registry::limit_news>& news) { onRemoteLimits(news); },
               [this] { return m_context.pool.leavingUnknown(); },
           })
-    , m_standstillCheck(loop, standstillPeriod, [this] { lookForStandstill(); })
+    , m_stallCheck(loop, stallCheckPeriod, [this] { checkForStall(); })
 {
     m_context.reachability
         = std::make_unique<net::reachability_checks>(loop, [this](const std::string& address, net::reachability found) {
               if (found == net::reachability::Open)
-                  onAlive(address);
+                  onReachable(address);
               else
                   onUnreachable(address, found);
           });
-    m_context.lookForStandstill = [this] { lookForStandstill(); };
-    m_context.sendNews = [this] { m_session.beatSoon(); };
+    m_context.checkForStall = [this] { checkForStall(); };
+    m_context.requestHeartbeat = [this] { m_session.sendHeartbeatSoon(); };
 }
 
 gateway_role::~gateway_role()
 {
     const auto channels = m_channels;
     for (const auto& channel : channels)
-        channel->drop();
+        channel->abort();
 }
 
 tl::expected<void, failure> gateway_role::start()
 {
-    m_context.youngUntil = steadyNow() + youthTime;
+    m_context.startupGraceUntil = steadyNow() + startupGracePeriod;
     if (m_health.listen(m_settings.httpAddress) == 0)
         return tl::make_unexpected(failure { result_code::BadSettings, "can't listen on " + m_settings.httpAddress });
     if (m_listener.listen(m_settings.gatewayAddress) == 0)
@@ -109,26 +110,26 @@
     if (m_context.isStopping)
         return;
     m_context.isStopping = true;
-    m_stopped = std::move(done);
+    m_onStopped = std::move(done);
     const auto now = steadyNow();
-    m_earliestStop = now + rotationTime;
-    m_context.takesStreamsUntil = m_earliestStop;
-    m_context.stopBy
-        = now + std::max(milliseconds(std::chrono::seconds(m_settings.graceSeconds)) - exitReserve, rotationTime);
+    m_earliestStop = now + balancerDrainTime;
+    m_context.acceptStreamsUntil = m_earliestStop;
+    m_context.stopDeadline
+        = now + std::max(milliseconds(std::chrono::seconds(m_settings.graceSeconds)) - exitReserve, balancerDrainTime);
     m_stopCheck = std::make_unique<periodic_task>(m_loop, stopCheckPeriod, [this] { checkStopped(); });
 }
 
 void gateway_role::checkStopped()
 {
     const auto now = steadyNow();
-    if (now >= m_earliestStop && !std::exchange(m_closedIdle, true)) {
+    if (now >= m_earliestStop && !std::exchange(m_hasClosedIdle, true)) {
         const auto channels = m_channels;
         for (const auto& channel : channels)
-            channel->closeWhenIdle();
+            channel->closeIfIdle();
     }
     const bool isDone = now >= m_earliestStop && m_context.openCalls.empty();
-    if ((isDone || now >= m_context.stopBy) && m_stopped)
-        std::exchange(m_stopped, nullptr)();
+    if ((isDone || now >= m_context.stopDeadline) && m_onStopped)
+        std::exchange(m_onStopped, nullptr)();
 }
 
 gateway::caller_limits gateway_role::limits() const
@@ -143,7 +144,7 @@
     caller->begin();
 }
 
-void gateway_role::onServed(const link::gateway_update& update)
+void gateway_role::onSessionUpdate(const link::gateway_update& update)
 {
     const auto now = steadyNow();
     m_context.pool.setOthers(std::max<std::size_t>(update.gateways, 1), update.othersOpenAttempts);
@@ -160,7 +161,7 @@
             { { "gateways", std::to_string(update.budgetSharers) }, { "before", std::to_string(before) } });
 }
 
-void gateway_role::onLimits(const std::vector<registry::limit_news>& news)
+void gateway_role::onRemoteLimits(const std::vector<registry::limit_news>& news)
 {
     for (const auto& change : m_context.pool.toldLimits(news, steadyNow())) {
         telemetry::logEvent(event_code::TargetPushback,
@@ -174,13 +175,13 @@
 {
     m_context.document = m_document.index();
     if (std::exchange(m_services, m_context.document->rest()) != m_context.document->rest())
-        tellEngines();
+        updateEngines();
     telemetry::logEvent(event_code::ConfigurationApplied,
         { { "version", std::to_string(m_context.document->version()) },
             { "routes", std::to_string(m_context.document->routeCount()) } });
 }
 
-void gateway_role::tellEngines()
+void gateway_role::updateEngines()
 {
     std::set<std::string> engines;
     for (const auto& service : m_services->services) {
@@ -199,28 +200,28 @@
 {
     for (const auto& address : m_context.pool.update(targets.records())) {
         m_context.reachability->forget(address);
-        blameEnd(address, m_context.pool.idAt(address));
+        recordCrashes(address, m_context.pool.idAt(address));
     }
     for (const auto& call : openCalls())
         call->targetsChanged();
     m_context.metrics.gauge("target_revision", static_cast<double>(targets.revision()));
 }
 
-void gateway_role::lookForStandstill()
+void gateway_role::checkForStall()
 {
     const auto now = steadyNow();
-    const auto gap = m_standstill.look(now);
+    const auto gap = m_stallWatch.look(now);
     if (gap == milliseconds(0))
         return;
     telemetry::logEvent(event_code::ProcessStoodStill,
         { { "ms", std::to_string(gap.count()) },
             { "version", std::to_string(m_context.document ? m_context.document->version() : 0) } },
         telemetry::severity::Warning);
-    m_context.confirmBy = now + documentPatience;
-    m_session.beatSoon();
+    m_context.confirmationDeadline = now + controllerTimeout;
+    m_session.sendHeartbeatSoon();
 }
 
-void gateway_role::resumeWaiting()
+void gateway_role::resumeWaitingCalls()
 {
     if (!m_context.document)
         return;
@@ -243,7 +244,7 @@
     const auto target = m_context.pool.idAt(address);
     if (found == net::reachability::Refused) {
         m_context.pool.endedAt(address);
-        blameEnd(address, {});
+        recordCrashes(address, {});
     } else {
         m_context.pool.silentAt(address);
     }
@@ -257,44 +258,44 @@
         call->targetUnreachable(target);
 }
 
-void gateway_role::onAlive(const std::string& address)
+void gateway_role::onReachable(const std::string& address)
 {
     m_context.crashes.lives(address);
-    spreadQuarantine();
+    notifyQuarantineChanged();
 }
 
-void gateway_role::blameEnd(const std::string& address, const registry::target_incarnation& survivor)
+void gateway_role::recordCrashes(const std::string& address, const registry::target_incarnation& replacement)
 {
     const auto fingerprintOf = [this](gateway::call_number number) {
         const auto found = std::find_if(m_context.openCalls.begin(), m_context.openCalls.end(),
             [number](const auto* call) { return call->number() == number; });
         return found == m_context.openCalls.end() ? request_fingerprint {} : (*found)->fingerprint();
     };
-    bool isNews = false;
-    for (const auto& report : m_context.crashes.ended(address, survivor, fingerprintOf, steadyNow())) {
+    bool hasCrashes = false;
+    for (const auto& report : m_context.crashes.ended(address, replacement, fingerprintOf, steadyNow())) {
         // One that leaves ends by itself, as does one that has said its last word.
-        if (survivor.empty() && m_context.pool.isLeaving(report.target))
+        if (replacement.empty() && m_context.pool.isLeaving(report.target))
             continue;
-        isNews = true;
+        hasCrashes = true;
         m_context.metrics.count("crashes_blamed");
-        constexpr std::size_t mostNamed = 8;
-        std::string named;
-        for (std::size_t at = 0; at < std::min(report.begun.size(), mostNamed); ++at)
-            named += (at == 0 ? "" : ",") + text(report.begun[at]);
+        constexpr std::size_t maxFingerprints = 8;
+        std::string fingerprints;
+        for (std::size_t at = 0; at < std::min(report.begun.size(), maxFingerprints); ++at)
+            fingerprints += (at == 0 ? "" : ",") + text(report.begun[at]);
         telemetry::logEvent(event_code::CrashBlamed,
             { { "target", text(report.target) }, { "address", address },
-                { "how", survivor.empty() ? "refused" : "replaced" }, { "begun", std::to_string(report.begun.size()) },
-                { "fingerprints", named } },
+                { "how", replacement.empty() ? "refused" : "replaced" },
+                { "begun", std::to_string(report.begun.size()) }, { "fingerprints", fingerprints } },
             telemetry::severity::Warning);
         m_context.quarantine.crashed(report, steadyNow());
     }
-    if (!isNews)
+    if (!hasCrashes)
         return;
-    m_context.sendNews();
-    spreadQuarantine();
+    m_context.requestHeartbeat();
+    notifyQuarantineChanged();
 }
 
-void gateway_role::tellQuarantine(link::gateway_beat& beat, bool isFirst)
+void gateway_role::fillQuarantine(link::gateway_beat& beat, bool isFirst)
 {
     const auto now = steadyNow();
     for (const auto call : m_context.quarantine.callsOnTrial()) {
@@ -312,16 +313,16 @@
     for (const auto& receipt : update.quarantineReceipts)
         m_context.quarantine.received(receipt, steadyNow());
     if (!update.quarantine.empty() || !update.quarantineReceipts.empty())
-        spreadQuarantine();
+        notifyQuarantineChanged();
 }
 
-void gateway_role::spreadQuarantine()
+void gateway_role::notifyQuarantineChanged()
 {
     for (const auto& call : openCalls())
         call->quarantineChanged();
 }
 
-void gateway_role::onHealthCall(const net::whole_request& request, const net::responder& respond)
+void gateway_role::onHealthRequest(const net::whole_request& request, const net::responder& respond)
 {
     if (request.head.target == "/metrics") {
         m_context.metrics.gauge("quarantined_requests", static_cast<double>(m_context.quarantine.size()));
--- a/src/app/gateway/gateway.hpp
+++ b/src/app/gateway/gateway.hpp
@@ -30,36 +30,36 @@
     [[nodiscard]] gateway_context& context() { return m_context; }
     [[nodiscard]] link::event_loop& loop() { return m_loop; }
     [[nodiscard]] gateway::caller_limits limits() const;
-    void channelEnded(const std::shared_ptr<caller_channel>& channel) { m_channels.erase(channel); }
+    void removeChannel(const std::shared_ptr<caller_channel>& channel) { m_channels.erase(channel); }
 
 private:
     void onChannel(net::channel_pointer channel);
     /// @brief Takes over what the leader says of the other gateways.
-    void onServed(const link::gateway_update& update);
+    void onSessionUpdate(const link::gateway_update& update);
     /// @brief Other gateways have heard targets name limits.
-    void onLimits(const std::vector<registry::limit_news>& news);
+    void onRemoteLimits(const std::vector<registry::limit_news>& news);
     /// @brief Another version is in force.
     void onDocument();
     /// @brief What was told before a standstill may be long overtaken: calls wait until it is confirmed.
-    void lookForStandstill();
+    void checkForStall();
     /// @brief Lets calls go on that wait for the controllers' word.
-    void resumeWaiting();
+    void resumeWaitingCalls();
     void onTargets(const registry::target_view& targets);
     /// @brief Calls that are open now, kept alive while they are told something.
     [[nodiscard]] std::vector<std::shared_ptr<gateway_call>> openCalls() const;
     void onUnreachable(const std::string& address, net::reachability found);
     /// @brief A target that may have ended with what was cut off there takes connections.
-    void onAlive(const std::string& address);
+    void onReachable(const std::string& address);
     /// @brief Targets at an address have ended. @param survivor the one that has it now; empty: none
-    void blameEnd(const std::string& address, const registry::target_incarnation& survivor);
-    void tellQuarantine(link::gateway_beat& beat, bool isFirst);
+    void recordCrashes(const std::string& address, const registry::target_incarnation& replacement);
+    void fillQuarantine(link::gateway_beat& beat, bool isFirst);
     void onQuarantine(const link::gateway_update& update);
     /// @brief Tells open calls that what is held against requests has changed.
-    void spreadQuarantine();
-    void onHealthCall(const net::whole_request& request, const net::responder& respond);
+    void notifyQuarantineChanged();
+    void onHealthRequest(const net::whole_request& request, const net::responder& respond);
     void checkStopped();
     /// @brief Tells the pool which engines the services have.
-    void tellEngines();
+    void updateEngines();
     [[nodiscard]] bool isReady() const { return m_context.document != nullptr && !m_context.isStopping; }
 
     link::event_loop& m_loop;
@@ -72,12 +72,12 @@
     net::tcp_listener m_listener;
     net::http_service m_health;
     gateway_session m_session;
-    std::function<void()> m_stopped;
+    std::function<void()> m_onStopped;
     steady_time m_earliestStop {}; ///< callers are still led here until then
-    bool m_closedIdle = false;
+    bool m_hasClosedIdle = false;
     std::unique_ptr<periodic_task> m_stopCheck;
-    standstill_watch m_standstill;
-    periodic_task m_standstillCheck;
+    standstill_watch m_stallWatch;
+    periodic_task m_stallCheck;
 };
 
 /// @brief Runs the role until SIGTERM. @return the exit status
--- a/src/app/gateway/gateway_call.cpp
+++ b/src/app/gateway/gateway_call.cpp
@@ -9,45 +9,45 @@
 
 /// A connection that doesn't stand by then is given up; nothing has been written. Domains are 0.6 ms apart, and a
 /// target takes 1 ms for a new connection.
-constexpr milliseconds connectPatience { 150 };
-constexpr milliseconds reportPatience { 200 };
+constexpr milliseconds connectTimeout { 150 };
+constexpr milliseconds reportTimeout { 200 };
 /// Unread bytes at a caller from which on its target is read no more.
-constexpr std::size_t mostPendingBytes = 128U << 10U;
+constexpr std::size_t maxPendingBytes = 128U << 10U;
 constexpr gateway::exchange_options exchangeOptions {};
 constexpr http1::parser_limits responseLimits { 32U << 10U, 64U << 20U };
 /// When to come back after a refusal: a path that was lost is whole again after about three seconds.
-constexpr milliseconds noTargetPause { 1500 };
+constexpr milliseconds noTargetRetryDelay { 1500 };
 /// A full path has room again soon, as streams end all the time: a caller that is back after so long can still have its
 /// first event within a latency target of 500 ms. After 300 ms few had: 0.013 of worth under a burst with losses.
-constexpr milliseconds busyPause { 120 };
+constexpr milliseconds busyRetryDelay { 120 };
 /// A suspect that runs somewhere is cleared, or proven, with its first events.
-constexpr milliseconds heldPause { 1000 };
-constexpr milliseconds elsewherePause { 10 }; ///< another gateway takes it at once
+constexpr milliseconds heldRetryDelay { 1000 };
+constexpr milliseconds shutdownRetryDelay { 10 }; ///< another gateway takes it at once
 /// A process that ends is up again so long after it is gone, with its first document.
 constexpr milliseconds restartTime { 700 };
 /// A gateway that ends is often gone sooner than it must be, and others that end with it as well.
-constexpr milliseconds longestRestartPause { 2500 };
+constexpr milliseconds maxRestartRetryDelay { 2500 };
 
-milliseconds usualPause(result_code code)
+milliseconds defaultRetryDelay(result_code code)
 {
     switch (code) {
     case result_code::NoTarget:
     case result_code::NoConfiguration:
-        return noTargetPause;
+        return noTargetRetryDelay;
     case result_code::ShuttingDown:
-        return elsewherePause;
+        return shutdownRetryDelay;
     case result_code::RequestHeld:
-        return heldPause;
+        return heldRetryDelay;
     default:
-        return busyPause;
+        return busyRetryDelay;
     }
 }
 
 } // namespace
 
-gateway_call::gateway_call(gateway_context& context, call_sink& sink, http1::request_head head, std::string body)
+gateway_call::gateway_call(gateway_context& context, response_sink& sink, http1::request_head head, std::string body)
     : m_context(context)
-    , m_number(++context.lastCall)
+    , m_number(++context.lastCallNumber)
     , m_sink(&sink)
     , m_head(std::move(head))
     , m_body(std::move(body))
@@ -68,13 +68,13 @@
 {
     m_arrived = arrived;
     m_caller = m_context.dialect.readCaller(m_head);
-    m_context.lookForStandstill();
+    m_context.checkForStall();
     const auto now = steadyNow();
-    const auto waitsUntil = m_context.document ? m_context.confirmBy : m_context.youngUntil;
+    const auto waitsUntil = m_context.document ? m_context.confirmationDeadline : m_context.startupGraceUntil;
     if (now < waitsUntil) {
-        m_waits = true;
+        m_isWaiting = true;
         m_context.waiting.push_back(weak_from_this());
-        wakeAt(std::min(waitsUntil, now + documentPatience));
+        wakeAt(std::min(waitsUntil, now + controllerTimeout));
         return;
     }
     route();
@@ -82,7 +82,7 @@
 
 void gateway_call::resume()
 {
-    if (!std::exchange(m_waits, false) || m_sink == nullptr)
+    if (!std::exchange(m_isWaiting, false) || m_sink == nullptr)
         return;
     m_timer.cancel();
     route();
@@ -108,7 +108,7 @@
     }
     if (holder != nullptr)
         m_workspace = holder->workspace;
-    if (m_context.isStopping && comesTooLate(*route)) {
+    if (m_context.isStopping && outlastsShutdown(*route)) {
         refuse(result_code::ShuttingDown, "this gateway ends before the request could");
         return;
     }
@@ -128,13 +128,13 @@
     m_exchange->start(steadyNow());
 }
 
-bool gateway_call::comesTooLate(const gateway::route& route) const
+bool gateway_call::outlastsShutdown(const gateway::route& route) const
 {
     const auto now = steadyNow();
     // How long a stream takes can't be told before: the caller names its longest answer, which few come near.
     if (route.kind == gateway::request_kind::Stream)
-        return now >= m_context.takesStreamsUntil;
-    return now + std::min(route.longestWait, m_caller.patience.value_or(route.longestWait)) > m_context.stopBy;
+        return now >= m_context.acceptStreamsUntil;
+    return now + std::min(route.longestWait, m_caller.patience.value_or(route.longestWait)) > m_context.stopDeadline;
 }
 
 void gateway_call::callerGone()
@@ -157,12 +157,12 @@
     std::uint32_t number, const gateway::selection& where, std::optional<std::uint64_t> lastEventId)
 {
     m_attempt = number;
-    m_where = where;
+    m_selection = where;
     m_parser = std::make_unique<http1::response_parser>(responseLimits);
-    m_events = {};
-    m_headTold = false;
+    m_eventReader = {};
+    m_isHeadReported = false;
     m_isStream = false;
-    m_connected = false;
+    m_isConnected = false;
     const auto now = steadyNow();
     gateway::forwarding added;
     added.targetId = where.parts.front().target.id;
@@ -182,7 +182,7 @@
         {
             [ifCurrent] {
                 ifCurrent([](gateway_call& self) {
-                    self.m_connected = true;
+                    self.m_isConnected = true;
                     self.m_connectTimer.cancel();
                     self.m_exchange->onSent(steadyNow());
                 });
@@ -197,9 +197,9 @@
     }
     m_context.crashes.opened(m_number, where.parts, now);
     m_channel->write(http1::formatRequest(m_context.dialect.writeForwarded(m_head, added), m_body));
-    m_connectTimer.set(now + connectPatience, [ifCurrent] {
+    m_connectTimer.set(now + connectTimeout, [ifCurrent] {
         ifCurrent([](gateway_call& self) {
-            if (!self.m_connected)
+            if (!self.m_isConnected)
                 self.m_exchange->onLost(gateway::attempt_loss::NotReached, steadyNow());
         });
     });
@@ -209,26 +209,26 @@
 {
     m_connectTimer.cancel();
     m_context.crashes.closed(m_number);
-    if (m_report)
-        std::exchange(m_report, nullptr)->cancel();
+    if (m_reportCall)
+        std::exchange(m_reportCall, nullptr)->cancel();
     if (m_channel)
         std::exchange(m_channel, nullptr)->abort(false);
 }
 
 void gateway_call::askForReport()
 {
-    if (m_report)
+    if (m_reportCall)
         return;
     const std::weak_ptr<gateway_call> weak = weak_from_this();
     m_context.metrics.count("reports_asked");
-    m_report = net::http_call::start(m_context.loop, m_where.parts.front().address,
-        { m_context.dialect.writeReportCall(m_where.parts.front().target.id), {} }, steadyNow() + reportPatience,
+    m_reportCall = net::http_call::start(m_context.loop, m_selection.parts.front().address,
+        { m_context.dialect.writeReportCall(m_selection.parts.front().target.id), {} }, steadyNow() + reportTimeout,
         [weak, attempt = m_attempt, asked = steadyNow()](
             net::call_outcome outcome, const net::whole_response& response) {
             const auto self = weak.lock();
             if (!self || self->m_attempt != attempt)
                 return;
-            self->m_report = nullptr;
+            self->m_reportCall = nullptr;
             const bool answered = outcome == net::call_outcome::Answered;
             constexpr int misdirected = 421; // another target has the address
             if (answered && response.head.status != misdirected)
@@ -239,7 +239,7 @@
             // One that can't be read names nobody; that it came shows that the target lives.
             const std::string faulty = read.value_or(std::string());
             telemetry::logEvent(event_code::ReportReceived,
-                { { "request", self->m_caller.requestId }, { "target", text(self->m_where.parts.front().target) },
+                { { "request", self->m_caller.requestId }, { "target", text(self->m_selection.parts.front().target) },
                     { "outcome",
                         !answered  ? "none"
                             : read ? "answered"
@@ -251,12 +251,12 @@
 
 void gateway_call::checkMembers(steady_time passedSince)
 {
-    for (const auto& part : m_where.parts) {
-        const bool isHeard
+    for (const auto& part : m_selection.parts) {
+        const bool isResponsive
             = std::any_of(m_context.openCalls.begin(), m_context.openCalls.end(), [&](const gateway_call* other) {
                   return other->m_exchange && other->m_exchange->heardThrough(part.target, passedSince);
               });
-        if (!isHeard)
+        if (!isResponsive)
             m_context.reachability->check(part.address);
     }
 }
@@ -289,11 +289,11 @@
             return;
         }
     }
-    const auto loss = m_connected ? gateway::attempt_loss::Broken : gateway::attempt_loss::NotReached;
+    const auto loss = m_isConnected ? gateway::attempt_loss::Broken : gateway::attempt_loss::NotReached;
     m_channel = nullptr;
     if (loss == gateway::attempt_loss::Broken && m_context.crashes.isFresh(m_number, steadyNow())) {
         (void)m_context.crashes.cutOff(m_number, fingerprint(), steadyNow());
-        m_context.reachability->checkAnew(m_where.parts.front().address);
+        m_context.reachability->checkAnew(m_selection.parts.front().address);
     }
     m_exchange->onLost(loss, steadyNow());
 }
@@ -309,8 +309,8 @@
     }
     if (m_parser->state() == http1::parse_state::Head)
         return;
-    if (!m_headTold) {
-        m_headTold = true;
+    if (!m_isHeadReported) {
+        m_isHeadReported = true;
         const auto decoded = m_context.dialect.readAnswer(m_parser->head(), m_caller.requestId);
         m_isStream = decoded.isEventStream && m_exchange->request().isStream() && decoded.status == 200;
         m_exchange->onHead(decoded, steadyNow());
@@ -330,13 +330,13 @@
 void gateway_call::readStream()
 {
     const std::uint32_t attempt = m_attempt;
-    for (const auto& event : m_events.put(m_parser->takeBody())) {
+    for (const auto& event : m_eventReader.put(m_parser->takeBody())) {
         if (!m_channel || m_attempt != attempt)
             return;
         m_context.crashes.firstEvent(m_number, steadyNow());
         m_exchange->onEvent(event.bytes, event.id, steadyNow());
     }
-    if (m_channel && m_sink != nullptr && m_sink->pendingBytes() > mostPendingBytes)
+    if (m_channel && m_sink != nullptr && m_sink->pendingBytes() > maxPendingBytes)
         m_channel->setReading(false);
 }
 
@@ -357,7 +357,7 @@
     m_sink->write(http1::formatResponse(head, m_parser->takeBody(), m_sink->keepsAlive()));
     countAnswer(head.status < 300 ? "served" : "target_failure");
     if (head.status < 300)
-        noteAnswered();
+        recordAnswered();
     finish(false);
 }
 
@@ -365,14 +365,14 @@
 {
     m_streamHead = m_parser->head();
     m_streamHead.fields = answerFields(m_streamHead);
-    m_streamHeadPending = true; // goes out together with the first event
+    m_isStreamHeadPending = true; // goes out together with the first event
 }
 
 void gateway_call::passEvent(std::string_view bytes)
 {
     if (m_sink == nullptr)
         return;
-    if (std::exchange(m_streamHeadPending, false)) {
+    if (std::exchange(m_isStreamHeadPending, false)) {
         m_context.metrics.observeMs("first_event_ms",
             static_cast<double>(std::chrono::duration_cast<milliseconds>(steadyNow() - m_arrived).count()));
         m_sink->write(http1::formatChunkedHead(m_streamHead, m_sink->keepsAlive()) + http1::formatChunk(bytes));
@@ -387,7 +387,7 @@
         return;
     m_sink->write(http1::lastChunk);
     countAnswer("served");
-    noteAnswered();
+    recordAnswered();
     finish(false);
 }
 
@@ -406,15 +406,15 @@
     answer(code, ran_state::No, reason);
 }
 
-milliseconds gateway_call::comeBackAfter(result_code code) const
+milliseconds gateway_call::retryDelay(result_code code) const
 {
     if (m_exchange && m_exchange->roomExpectedAt())
-        return std::max(busyPause, between(steadyNow(), *m_exchange->roomExpectedAt()));
-    if (code != result_code::ShuttingDown || m_sink->openedAt() < m_context.takesStreamsUntil)
-        return usualPause(code);
+        return std::max(busyRetryDelay, between(steadyNow(), *m_exchange->roomExpectedAt()));
+    if (code != result_code::ShuttingDown || m_sink->openedAt() < m_context.acceptStreamsUntil)
+        return defaultRetryDelay(code);
     // The balancer has long left this gateway out, and still leads new connections here: no other one is there.
-    const auto untilEnd = std::chrono::duration_cast<milliseconds>(m_context.stopBy - steadyNow());
-    return std::min(std::max(untilEnd, milliseconds(0)) + restartTime, longestRestartPause);
+    const auto untilEnd = std::chrono::duration_cast<milliseconds>(m_context.stopDeadline - steadyNow());
+    return std::min(std::max(untilEnd, milliseconds(0)) + restartTime, maxRestartRetryDelay);
 }
 
 void gateway_call::answer(result_code code, ran_state ran, const std::string& /*reason*/)
@@ -426,18 +426,18 @@
         "{\"code\":" + std::to_string(static_cast<int>(code)) + ",\"name\":\"" + std::string(info.name)
             + "\",\"ran\":\"" + std::string(nameOf(ran)) + "\"}");
     if (ran == ran_state::No && info.retryAfterSeconds > 0)
-        response.head.fields.push_back(m_context.dialect.writeComeBack(comeBackAfter(code)));
+        response.head.fields.push_back(m_context.dialect.writeComeBack(retryDelay(code)));
     m_sink->write(http1::formatResponse(response.head, response.body, m_sink->keepsAlive()));
     countAnswer(std::string(info.name));
     finish(false);
 }
 
-void gateway_call::finish(bool broken)
+void gateway_call::finish(bool aborted)
 {
     m_timer.cancel();
     auto* sink = std::exchange(m_sink, nullptr);
     if (sink != nullptr)
-        sink->finished(broken);
+        sink->finished(aborted);
 }
 
 void gateway_call::countAnswer(const std::string& outcome)
--- a/src/app/gateway/gateway_call_quarantine.cpp
+++ b/src/app/gateway/gateway_call_quarantine.cpp
@@ -14,13 +14,13 @@
     if (m_context.quarantine.isQuiet())
         return gateway::dispatch_verdict::Go;
     const auto verdict = m_context.quarantine.mayBegin(m_number, fingerprint(), where.parts.front().target, now);
-    noteVerdict(verdict, where);
+    logVerdict(verdict, where);
     if (m_context.quarantine.hasNews())
-        m_context.sendNews();
+        m_context.requestHeartbeat();
     return verdict;
 }
 
-void gateway_call::noteVerdict(gateway::dispatch_verdict verdict, const gateway::selection& where)
+void gateway_call::logVerdict(gateway::dispatch_verdict verdict, const gateway::selection& where)
 {
     if (std::exchange(m_verdict, verdict) == verdict)
         return;
@@ -44,7 +44,7 @@
         m_exchange->onQuarantineChanged(steadyNow());
 }
 
-void gateway_call::noteAnswered()
+void gateway_call::recordAnswered()
 {
     if (m_context.quarantine.isQuiet())
         return;
@@ -54,7 +54,7 @@
     telemetry::logEvent(event_code::RequestCleared,
         { { "request", m_caller.requestId }, { "fingerprint", text(fingerprint()) },
             { "stage", std::string(nameIn(registry::quarantineStageNames, stage)) } });
-    m_context.sendNews();
+    m_context.requestHeartbeat();
 }
 
 request_fingerprint gateway_call::fingerprint()
--- a/src/app/gateway/gateway_document.cpp
+++ b/src/app/gateway/gateway_document.cpp
@@ -14,7 +14,7 @@
     if (taken || taken.error().code != result_code::InvalidDocument)
         return taken;
     logUnreadable(slice.to, taken.error());
-    m_needsWhole = true;
+    m_needsFullDocument = true;
     return {};
 }
 
@@ -37,14 +37,14 @@
     return {};
 }
 
-tl::expected<bool, failure> gateway_document::putInForce()
+tl::expected<bool, failure> gateway_document::activate()
 {
     bool isChanged = false;
     for (auto& finished : m_assembly.takeFinished()) {
         if (finished.change.to <= version())
             continue; // sent before the controller knew what is held
-        if (const auto put = putInForce(std::move(finished)); !put) {
-            m_needsWhole = true;
+        if (const auto put = activate(std::move(finished)); !put) {
+            m_needsFullDocument = true;
             return tl::make_unexpected(put.error());
         }
         isChanged = true;
@@ -52,7 +52,7 @@
     return isChanged;
 }
 
-tl::expected<void, failure> gateway_document::putInForce(gateway::finished_change finished)
+tl::expected<void, failure> gateway_document::activate(gateway::finished_change finished)
 {
     if (!finished.whole) {
         if (m_index)
@@ -62,7 +62,7 @@
     if (auto sealed = finished.whole->seal(finished.change.to, finished.change.digest); !sealed)
         return sealed;
     m_index = std::move(finished.whole);
-    m_needsWhole = false;
+    m_needsFullDocument = false;
     return {};
 }
 
--- a/src/app/gateway/gateway_document.hpp
+++ b/src/app/gateway/gateway_document.hpp
@@ -23,28 +23,28 @@
     tl::expected<void, failure> take(const link::text_update& update);
     /// @brief Puts changes that are whole in force. @return whether there were any; MalformedMessage when one doesn't
     /// follow from what is in force: the whole is needed then
-    tl::expected<bool, failure> putInForce();
+    tl::expected<bool, failure> activate();
     /// @brief The link ended: what is missing comes anew.
-    void linkEnded() { m_assembly.drop(); }
+    void discardPartial() { m_assembly.drop(); }
 
     /// @brief In force; 0: none.
     [[nodiscard]] std::uint64_t version() const { return m_index ? m_index->version() : 0; }
     /// @brief What controllers are told to be held; 0: the whole is needed, as none is held or a change didn't fit.
-    [[nodiscard]] std::uint64_t toldVersion() const { return m_needsWhole ? 0 : version(); }
+    [[nodiscard]] std::uint64_t reportedVersion() const { return m_needsFullDocument ? 0 : version(); }
     /// @brief Of the text that is held; 0: none.
     [[nodiscard]] std::uint64_t textVersion() const { return m_text.version; }
     /// @brief Empty: none yet.
     [[nodiscard]] std::shared_ptr<const gateway::route_index> index() const { return m_index; }
 
 private:
-    tl::expected<void, failure> putInForce(gateway::finished_change finished);
+    tl::expected<void, failure> activate(gateway::finished_change finished);
     /// @brief Logs a version that can't be read. The one before stays in force.
     static void logUnreadable(std::uint64_t version, const failure& fault);
 
     const gateway::control_dialect& m_dialect;
     gateway::document_assembly m_assembly;
     std::shared_ptr<gateway::route_index> m_index;
-    bool m_needsWhole = false; ///< changes from what is in force lead nowhere
+    bool m_needsFullDocument = false; ///< changes from what is in force lead nowhere
     versioned_text m_text; ///< only while the controller is of the program before, which sends texts
 };
 
--- a/src/app/gateway/gateway_document_test.cpp
+++ b/src/app/gateway/gateway_document_test.cpp
@@ -39,9 +39,9 @@
 }
 
 /// A registry and the gateways that it tells.
-class registry_side {
+class fake_registry {
 public:
-    explicit registry_side(const versioned_text& first)
+    explicit fake_registry(const versioned_text& first)
         : m_newest(first)
     {
         m_feed.follow(m_newest);
@@ -54,15 +54,15 @@
     }
 
     /// @brief What a gateway lacks, taken over. @return slices
-    std::size_t tell(gateway_document& gateway)
+    std::size_t deliverTo(gateway_document& gateway)
     {
-        const auto messages = m_feed.messagesFrom(gateway.toldVersion(), m_newest);
+        const auto messages = m_feed.messagesFrom(gateway.reportedVersion(), m_newest);
         for (const auto* bytes : messages) {
             const auto decoded = link::decode(*bytes);
             REQUIRE(decoded);
             REQUIRE(gateway.take(std::get<link::document_slice>(*decoded)));
         }
-        REQUIRE(gateway.putInForce());
+        REQUIRE(gateway.activate());
         return messages.size();
     }
 
@@ -84,9 +84,9 @@
 
 TEST_CASE("gateway document: slices make what was published", "[gateway_document]")
 {
-    registry_side registry(manyRoutes(3, 500));
+    fake_registry registry(manyRoutes(3, 500));
     gateway_document held(dialect());
-    CHECK(registry.tell(held) > 1);
+    CHECK(registry.deliverTo(held) > 1);
     CHECK(held.version() == 3);
     CHECK(held.index()->routeCount() == 500);
     CHECK(held.index()->find("h", "/r499/x")->name == "r499");
@@ -96,31 +96,31 @@
 
     registry.publish(manyRoutes(4, 501));
     registry.publish(manyRoutes(8, 499));
-    CHECK(registry.tell(held) == 2); // one for each version
+    CHECK(registry.deliverTo(held) == 2); // one for each version
     CHECK(held.version() == 8);
     CHECK(held.index()->find("h", "/r499/x") == nullptr);
     CHECK(held.index()->find("h", "/r498/x")->name == "r498");
-    CHECK(registry.tell(held) == 0);
+    CHECK(registry.deliverTo(held) == 0);
 }
 
 TEST_CASE("gateway document: one that lags by many versions, or by those of a later start, gets the whole",
     "[gateway_document]")
 {
-    registry_side registry(manyRoutes(1, 10));
+    fake_registry registry(manyRoutes(1, 10));
     gateway_document held(dialect());
-    registry.tell(held);
+    registry.deliverTo(held);
     SECTION("many versions")
     {
         for (std::uint64_t version = 2; version < 40; ++version)
             registry.publish(manyRoutes(version, 10 + static_cast<int>(version)));
-        registry.tell(held);
+        registry.deliverTo(held);
         CHECK(held.version() == 39);
         CHECK(held.index()->routeCount() == 49);
     }
     SECTION("a registry that has just started")
     {
-        registry_side other(manyRoutes(2, 12));
-        other.tell(held);
+        fake_registry other(manyRoutes(2, 12));
+        other.deliverTo(held);
         CHECK(held.version() == 2);
         CHECK(held.index()->routeCount() == 12);
     }
@@ -128,7 +128,7 @@
 
 TEST_CASE("gateway document: slices of a link that ended are forgotten", "[gateway_document]")
 {
-    registry_side registry(manyRoutes(1, 1000));
+    fake_registry registry(manyRoutes(1, 1000));
     gateway_document held(dialect());
     const auto messages = registry.feed().messagesFrom(0, registry.newest());
     REQUIRE(messages.size() > 2);
@@ -136,19 +136,19 @@
         = [&messages](std::size_t at) { return std::get<link::document_slice>(*link::decode(*messages[at])); };
     REQUIRE(held.take(sliceAt(0)));
     REQUIRE(held.take(sliceAt(1)));
-    CHECK(*held.putInForce() == false);
+    CHECK(*held.activate() == false);
     CHECK(held.index() == nullptr);
-    held.linkEnded();
+    held.discardPartial();
     CHECK_FALSE(held.take(sliceAt(2))); // its beginning is gone
-    registry.tell(held);
+    registry.deliverTo(held);
     CHECK(held.index()->routeCount() == 1000);
 }
 
 TEST_CASE("gateway document: damaged slices are refused and change nothing", "[gateway_document]")
 {
-    registry_side registry(manyRoutes(1, 10));
+    fake_registry registry(manyRoutes(1, 10));
     gateway_document held(dialect());
-    registry.tell(held);
+    registry.deliverTo(held);
     registry.publish(manyRoutes(2, 11));
     const auto messages = registry.feed().messagesFrom(1, registry.newest());
     REQUIRE(messages.size() == 1);
@@ -167,61 +167,61 @@
     {
         ++slice.digest;
         CHECK(held.take(slice));
-        CHECK_FALSE(held.putInForce());
-        CHECK(held.toldVersion() == 0);
+        CHECK_FALSE(held.activate());
+        CHECK(held.reportedVersion() == 0);
     }
     SECTION("its start")
     {
         slice.from = 7;
         CHECK(held.take(slice));
-        CHECK_FALSE(held.putInForce());
+        CHECK_FALSE(held.activate());
     }
     CHECK(held.version() == 1);
     CHECK(held.index()->routeCount() == 10);
-    held.linkEnded();
-    registry.tell(held);
+    held.discardPartial();
+    registry.deliverTo(held);
     CHECK(held.version() == 2);
 }
 
 TEST_CASE("gateway document: an entry that can't be read leaves the version before in force", "[gateway_document]")
 {
-    registry_side registry(manyRoutes(1, 10));
+    fake_registry registry(manyRoutes(1, 10));
     gateway_document held(dialect());
-    registry.tell(held);
+    registry.deliverTo(held);
     json unreadable = documentOf(2, { routeOf("a", "s") });
     unreadable["routes"][0]["timeout-ms"] = "soon";
     registry.publish({ 2, unreadable.dump() });
-    registry.tell(held);
+    registry.deliverTo(held);
     CHECK(held.version() == 1);
     CHECK(held.index()->routeCount() == 10);
-    CHECK(held.toldVersion() == 0); // the next version follows from one that it doesn't hold
+    CHECK(held.reportedVersion() == 0); // the next version follows from one that it doesn't hold
     registry.publish(manyRoutes(3, 11));
-    registry.tell(held);
+    registry.deliverTo(held);
     CHECK(held.version() == 3);
-    CHECK(held.toldVersion() == 3);
+    CHECK(held.reportedVersion() == 3);
     CHECK(held.index()->routeCount() == 11);
 }
 
 TEST_CASE("gateway document: an upgrade can be rolled", "[gateway_document]")
 {
-    registry_side registry(manyRoutes(5, 20));
+    fake_registry registry(manyRoutes(5, 20));
     gateway_document held(dialect());
-    registry.tell(held);
+    registry.deliverTo(held);
     CHECK(held.textVersion() == 0); // so a controller of the program before sends the whole text
     SECTION("to a controller of the program before, which is ahead, and back")
     {
         const auto ahead = manyRoutes(6, 30);
         REQUIRE(held.take(wholeText(ahead)));
-        CHECK(*held.putInForce());
+        CHECK(*held.activate());
         CHECK(held.version() == 6);
         CHECK(held.textVersion() == 6);
         CHECK(held.index()->routeCount() == 30);
         const auto next = manyRoutes(7, 31);
         REQUIRE(held.take(link::text_update { 6, 7, compression::makePatch(ahead.text, next.text) }));
-        CHECK(*held.putInForce());
+        CHECK(*held.activate());
         CHECK(held.index()->routeCount() == 31);
         registry.publish(manyRoutes(8, 32));
-        registry.tell(held);
+        registry.deliverTo(held);
         CHECK(held.version() == 8);
         CHECK(held.index()->routeCount() == 32);
         CHECK(held.textVersion() == 0);
@@ -229,7 +229,7 @@
     SECTION("to one that is behind: never an older version")
     {
         REQUIRE(held.take(wholeText(manyRoutes(4, 3))));
-        CHECK(*held.putInForce() == false);
+        CHECK(*held.activate() == false);
         CHECK(held.version() == 5);
         CHECK(held.index()->routeCount() == 20);
     }
@@ -251,7 +251,7 @@
 {
     rc::prop("any versions", [] {
         const auto names = rc::gen::unique<std::vector<int>>(rc::gen::inRange(0, 30));
-        registry_side registry(manyRoutes(1, 1));
+        fake_registry registry(manyRoutes(1, 1));
         gateway_document held(dialect());
         gateway_document other(dialect());
         const auto versions = *rc::gen::inRange<std::uint64_t>(2, 6);
@@ -265,8 +265,8 @@
             const std::string text = *rc::gen::arbitrary<bool>() ? whole.dump() : whole.dump(2);
             registry.publish({ version, text });
             if (*rc::gen::arbitrary<bool>())
-                registry.tell(other); // this one lags now and then
-            registry.tell(held);
+                registry.deliverTo(other); // this one lags now and then
+            registry.deliverTo(held);
             const auto read = dialect().readDocument(text);
             RC_ASSERT(read.has_value());
             const gateway::route_index expected(*read);
@@ -278,7 +278,7 @@
             }
             RC_ASSERT((held.index()->holderOf("k") != nullptr) == (expected.holderOf("k") != nullptr));
         }
-        registry.tell(other);
+        registry.deliverTo(other);
         RC_ASSERT(other.index()->routeCount() == held.index()->routeCount());
     });
 }
--- a/src/app/gateway/gateway_session.cpp
+++ b/src/app/gateway/gateway_session.cpp
@@ -15,26 +15,26 @@
 
 /// A controller of which nothing comes for so long is left: a beat is answered within one round of the quorum and
 /// the wait for it, about 120 ms, and drained targets must be known everywhere within two seconds.
-constexpr milliseconds silenceLimit { 900 };
+constexpr milliseconds answerTimeout { 900 };
 /// A controller that answers, but knows of no leader, is left after so long: it may be on the smaller side of a cut. An
 /// election takes about as long.
-constexpr milliseconds leaderlessPatience { 150 };
+constexpr milliseconds leaderTimeout { 150 };
 /// A nearer controller that was lost, or doesn't serve since it is slow, cut off or empty, is tried again after so
 /// long: each try costs a silence of 0.9 s at most, so a tenth of the time.
-constexpr milliseconds movePause { 10000 };
+constexpr milliseconds moveBackoff { 10000 };
 /// Heartbeats that can't wait gather what comes within so long.
-constexpr milliseconds soonPeriod { 3 };
+constexpr milliseconds heartbeatDelay { 3 };
 /// A change of many slices is taken with pauses for so long, then without: it must be in force within two seconds.
-constexpr milliseconds unhurriedTime { 800 };
+constexpr milliseconds slicePauseTime { 800 };
 /// Pauses as long as this many times a slice's own work leave streams most of the processor.
-constexpr int pausesPerSlice = 2;
+constexpr int pauseToWorkRatio = 2;
 
-constexpr std::array leaveCauseNames {
-    enum_name<leave_cause> { leave_cause::None, "link_ended" },
-    enum_name<leave_cause> { leave_cause::Silence, "no_answer" },
-    enum_name<leave_cause> { leave_cause::Nearer, "nearer" },
-    enum_name<leave_cause> { leave_cause::NoLeader, "no_leader" },
-    enum_name<leave_cause> { leave_cause::Unfitting, "unfitting_change" },
+constexpr std::array disconnectCauseNames {
+    enum_name<disconnect_cause> { disconnect_cause::None, "link_ended" },
+    enum_name<disconnect_cause> { disconnect_cause::NoAnswer, "no_answer" },
+    enum_name<disconnect_cause> { disconnect_cause::Nearer, "nearer" },
+    enum_name<disconnect_cause> { disconnect_cause::NoLeader, "no_leader" },
+    enum_name<disconnect_cause> { disconnect_cause::InvalidChange, "unfitting_change" },
 };
 
 link::hub_options hubOptions(const settings::settings& settings)
@@ -65,9 +65,9 @@
           },
           hubOptions(settings))
     , m_leaderlessTimer(loop)
-    , m_soonTimer(loop)
+    , m_heartbeatTimer(loop)
     , m_inboxTimer(loop)
-    , m_beats(loop, milliseconds(settings.heartbeatMs), [this] { beat(); })
+    , m_heartbeats(loop, milliseconds(settings.heartbeatMs), [this] { sendHeartbeat(); })
 {
     loop.post([this] { connect(); });
 }
@@ -92,11 +92,11 @@
     if (all.empty())
         return;
     // The one that was left is tried again after all others: it may have fallen silent, which costs 0.9 s to find out.
-    if (m_next.empty() && all[m_nextAddress % all.size()] == m_address)
+    if (m_nextController.empty() && all[m_nextAddress % all.size()] == m_address)
         ++m_nextAddress;
-    m_address = m_next.empty() ? all[m_nextAddress++ % all.size()] : std::exchange(m_next, {});
-    m_leaveCause = leave_cause::None;
-    m_silenceDeadline = steadyNow() + silenceLimit;
+    m_address = m_nextController.empty() ? all[m_nextAddress++ % all.size()] : std::exchange(m_nextController, {});
+    m_disconnectCause = disconnect_cause::None;
+    m_answerDeadline = steadyNow() + answerTimeout;
     m_channel = m_hub.dial(m_address);
 }
 
@@ -104,16 +104,17 @@
 {
     if (channel != m_channel)
         return;
-    m_open = true;
-    beat();
+    m_isOpen = true;
+    sendHeartbeat();
 }
 
 void gateway_session::onEnding(link::channel_number channel, const link::link_end& end)
 {
-    if (channel != m_channel || !m_isServed || m_leaveCause == leave_cause::Nearer)
+    if (channel != m_channel || !m_isServed || m_disconnectCause == disconnect_cause::Nearer)
         return;
-    const std::string why = m_leaveCause == leave_cause::None ? link::nameOf(end.cause)
-                                                              : std::string(nameIn(leaveCauseNames, m_leaveCause));
+    const std::string why = m_disconnectCause == disconnect_cause::None
+        ? link::nameOf(end.cause)
+        : std::string(nameIn(disconnectCauseNames, m_disconnectCause));
     telemetry::logEvent(event_code::SessionLost,
         { { "controller", m_address }, { "reason", why },
             { "silent_ms", std::to_string(between(m_answeredAt, steadyNow()).count()) },
@@ -127,30 +128,30 @@
     if (channel != m_channel)
         return;
     m_channel = 0;
-    m_open = false;
-    forgetInbox();
-    m_hasBeaten = false;
+    m_isOpen = false;
+    clearInbox();
+    m_hasSentHeartbeat = false;
     const bool wasServed = std::exchange(m_isServed, false);
-    if (wasServed && m_leaveCause != leave_cause::Nearer)
-        m_moveAt = steadyNow() + movePause; // the nearest may be the one that was lost, and still be told of
-    if (wasServed || std::exchange(m_triesNext, false) || !m_next.empty())
+    if (wasServed && m_disconnectCause != disconnect_cause::Nearer)
+        m_nextMoveAt = steadyNow() + moveBackoff; // the nearest may be the one that was lost, and still be told of
+    if (wasServed || std::exchange(m_isSwitching, false) || !m_nextController.empty())
         connect(); // otherwise the next beat does, so that refused connections don't follow each other at once
 }
 
-void gateway_session::leave(leave_cause cause, const std::string& next)
+void gateway_session::disconnect(disconnect_cause cause, const std::string& next)
 {
-    m_leaveCause = cause;
-    m_next = next;
+    m_disconnectCause = cause;
+    m_nextController = next;
     m_hub.close(m_channel);
 }
 
-void gateway_session::leaveLeaderless()
+void gateway_session::disconnectUnlessServed()
 {
-    m_leaderlessTimer.set(steadyNow() + leaderlessPatience, [this, channel = m_channel] {
+    m_leaderlessTimer.set(steadyNow() + leaderTimeout, [this, channel = m_channel] {
         if (channel == 0 || channel != m_channel || m_isServed)
             return;
-        m_triesNext = true;
-        leave(leave_cause::NoLeader, {});
+        m_isSwitching = true;
+        disconnect(disconnect_cause::NoLeader, {});
     });
 }
 
@@ -169,50 +170,50 @@
     return preferredAddress(m_settings.id, near);
 }
 
-void gateway_session::moveNearer()
+void gateway_session::moveToNearest()
 {
     const steady_time now = steadyNow();
     const std::string nearest = nearestController();
-    if (now < m_moveAt || nearest.empty() || nearest == m_address)
+    if (now < m_nextMoveAt || nearest.empty() || nearest == m_address)
         return;
-    m_moveAt = now + movePause;
+    m_nextMoveAt = now + moveBackoff;
     telemetry::logEvent(event_code::SessionMoved,
         { { "controller", m_address }, { "to", nearest }, { "version", std::to_string(m_document.version()) } });
-    leave(leave_cause::Nearer, nearest);
+    disconnect(disconnect_cause::Nearer, nearest);
 }
 
-void gateway_session::beat()
+void gateway_session::sendHeartbeat()
 {
     if (m_channel == 0) {
         connect();
         return;
     }
-    if (steadyNow() >= m_silenceDeadline) {
-        leave(leave_cause::Silence, {});
+    if (steadyNow() >= m_answerDeadline) {
+        disconnect(disconnect_cause::NoAnswer, {});
         return;
     }
-    if (!m_open)
+    if (!m_isOpen)
         return;
-    for (auto& target : m_callbacks.takeDarkTargets())
-        m_dark.push_back(std::move(target));
-    link::gateway_beat beat { m_settings.id, ++m_sequence, m_document.textVersion(), m_document.toldVersion(),
-        m_targets.revision(), m_callbacks.openAttempts(), std::exchange(m_dark, {}), m_callbacks.loads(), m_life, {},
-        false };
-    m_callbacks.tellRepeats(beat);
-    const bool isFirst = !std::exchange(m_hasBeaten, true);
-    m_callbacks.tellQuarantine(beat, isFirst);
+    for (auto& target : m_callbacks.takeUnreachableTargets())
+        m_unreachable.push_back(std::move(target));
+    link::gateway_beat beat { m_settings.id, ++m_sequence, m_document.textVersion(), m_document.reportedVersion(),
+        m_targets.revision(), m_callbacks.openAttempts(), std::exchange(m_unreachable, {}), m_callbacks.loads(),
+        m_incarnation, {}, false };
+    m_callbacks.fillRepeats(beat);
+    const bool isFirst = !std::exchange(m_hasSentHeartbeat, true);
+    m_callbacks.fillQuarantine(beat, isFirst);
     beat.limits = m_callbacks.takeLimitNews(isFirst);
     beat.leavingTargets = m_callbacks.leavingTargets();
     m_hub.send(m_channel, link::encode(link::message(std::move(beat))));
 }
 
-void gateway_session::beatSoon()
+void gateway_session::sendHeartbeatSoon()
 {
-    if (!m_open || std::exchange(m_isSoon, true))
+    if (!m_isOpen || std::exchange(m_isHeartbeatScheduled, true))
         return;
-    m_soonTimer.set(steadyNow() + soonPeriod, [this] {
-        m_isSoon = false;
-        beat();
+    m_heartbeatTimer.set(steadyNow() + heartbeatDelay, [this] {
+        m_isHeartbeatScheduled = false;
+        sendHeartbeat();
     });
 }
 
@@ -225,10 +226,10 @@
         onProgress(channel);
     m_inbox.push_back(std::move(*message));
     if (!m_isPausing)
-        workThroughInbox();
+        processInbox();
 }
 
-void gateway_session::workThroughInbox()
+void gateway_session::processInbox()
 {
     m_isPausing = false;
     while (!m_inbox.empty()) {
@@ -241,51 +242,51 @@
             continue;
         const steady_time begun = steadyNow();
         if (slice->number == 0)
-            m_unhurriedUntil = begun + unhurriedTime;
+            m_pauseSlicesUntil = begun + slicePauseTime;
         onSlice(*slice);
         onProgress(m_channel);
         // Many slices may come within one turn: streams get theirs between them.
         const steady_time now = steadyNow();
         m_isPausing = true;
-        m_inboxTimer.set(now + pauseAfter(now - begun), [this] { workThroughInbox(); });
+        m_inboxTimer.set(now + pauseAfter(now - begun), [this] { processInbox(); });
         return;
     }
 }
 
 steady_time::duration gateway_session::pauseAfter(steady_time::duration slice) const
 {
-    const bool isUnhurried = m_document.version() != 0 && steadyNow() < m_unhurriedUntil;
-    return isUnhurried ? slice * pausesPerSlice : steady_time::duration(0);
+    const bool mayPause = m_document.version() != 0 && steadyNow() < m_pauseSlicesUntil;
+    return mayPause ? slice * pauseToWorkRatio : steady_time::duration(0);
 }
 
-void gateway_session::forgetInbox()
+void gateway_session::clearInbox()
 {
     m_inbox.clear();
     m_inboxTimer.cancel();
     m_isPausing = false;
-    m_document.linkEnded();
+    m_document.discardPartial();
 }
 
 void gateway_session::onProgress(link::channel_number channel)
 {
     // A document on its way is an answer that has begun: left now, it would be sent anew from its first byte.
     if (channel == m_channel)
-        m_silenceDeadline = steadyNow() + silenceLimit;
+        m_answerDeadline = steadyNow() + answerTimeout;
 }
 
-void gateway_session::leaveUnfitting(std::uint64_t version, const failure& fault)
+void gateway_session::rejectChange(std::uint64_t version, const failure& fault)
 {
     telemetry::logEvent(event_code::ConfigurationRejected,
         { { "version", std::to_string(version) }, { "reason", fault.reason } }, telemetry::severity::Warning);
-    forgetInbox();
-    leave(leave_cause::Unfitting, {});
+    clearInbox();
+    disconnect(disconnect_cause::InvalidChange, {});
 }
 
 void gateway_session::onSlice(const link::document_slice& slice)
 {
     const link::named_work work(m_loop, "document slice");
     if (const auto taken = m_document.take(slice); !taken)
-        leaveUnfitting(slice.to, taken.error());
+        rejectChange(slice.to, taken.error());
 }
 
 bool gateway_session::takeDocument(const link::gateway_update& update)
@@ -293,13 +294,13 @@
     const link::named_work work(m_loop, "document");
     for (const auto& change : update.document) {
         if (const auto taken = m_document.take(change); !taken) {
-            leaveUnfitting(change.to, taken.error());
+            rejectChange(change.to, taken.error());
             return false;
         }
     }
-    const auto changed = m_document.putInForce();
+    const auto changed = m_document.activate();
     if (!changed) {
-        leaveUnfitting(m_document.version(), changed.error());
+        rejectChange(m_document.version(), changed.error());
         return false;
     }
     if (*changed)
@@ -311,19 +312,19 @@
 {
     if (!update.isServed) {
         if (update.waitsForQuorum)
-            m_silenceDeadline = steadyNow() + silenceLimit;
+            m_answerDeadline = steadyNow() + answerTimeout;
         else
-            leaveLeaderless();
+            disconnectUnlessServed();
         return;
     }
     if (!std::exchange(m_isServed, true))
         telemetry::logEvent(event_code::SessionOpened, { { "controller", m_address } });
     m_answeredAt = steadyNow();
     m_receivedBefore = m_hub.bytesReceived();
-    m_silenceDeadline = m_answeredAt + silenceLimit;
+    m_answerDeadline = m_answeredAt + answerTimeout;
     if (!update.controllers.empty())
         m_controllers = update.controllers;
-    m_callbacks.served(update);
+    m_callbacks.updateReceived(update);
     if (!takeDocument(update))
         return;
     for (const auto& change : update.targets) {
@@ -333,16 +334,16 @@
             telemetry::logEvent(event_code::MessageRejected,
                 { { "what", "targets" }, { "reason", delta.error().reason } }, telemetry::severity::Warning);
         if (!delta || !m_targets.apply(*delta)) {
-            leave(leave_cause::Unfitting, {});
+            disconnect(disconnect_cause::InvalidChange, {});
             return;
         }
         m_callbacks.targetsChanged(m_targets);
     }
-    m_callbacks.othersLoads(update.othersLoads);
+    m_callbacks.otherLoadsReceived(update.othersLoads);
     if (!update.limits.empty())
-        m_callbacks.limitsTold(update.limits);
-    m_callbacks.quarantineTold(update);
-    moveNearer();
+        m_callbacks.limitsReceived(update.limits);
+    m_callbacks.quarantineReceived(update);
+    moveToNearest();
 }
 
 } // namespace buckthornrail::app
--- a/src/app/gateway/gateway_session_test.cpp
+++ b/src/app/gateway/gateway_session_test.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 /// A controller that answers each beat, as one that a quorum has confirmed or as one that reaches no leader.
-class stand_in_controller {
+class fake_controller {
 public:
-    stand_in_controller(link::event_loop& loop, bool serves)
+    fake_controller(link::event_loop& loop, bool serves)
         : m_serves(serves)
         , m_hub(loop,
               link::hub_handlers { [this](link::channel_number, bool) { ++m_sessions; }, [](link::channel_number) {},
@@ -23,7 +23,7 @@
                       link::gateway_update update;
                       update.isServed = m_serves;
                       update.controllers = m_places;
-                      ++m_beats;
+                      ++m_heartbeats;
                       m_hub.send(channel, link::encode(link::message(update)));
                   } })
         , m_port(m_hub.listen("127.0.0.1:0"))
@@ -31,7 +31,7 @@
     }
 
     [[nodiscard]] std::string address() const { return "127.0.0.1:" + std::to_string(m_port); }
-    [[nodiscard]] int beats() const { return m_beats; }
+    [[nodiscard]] int beats() const { return m_heartbeats; }
     [[nodiscard]] int sessions() const { return m_sessions; }
     /// @brief It reaches a leader again, or none any more.
     void setServes(bool serves) { m_serves = serves; }
@@ -44,7 +44,7 @@
     bool m_serves;
     link::link_hub m_hub;
     std::uint16_t m_port;
-    int m_beats = 0;
+    int m_heartbeats = 0;
     int m_sessions = 0;
     std::vector<link::controller_place> m_places;
 };
@@ -53,19 +53,19 @@
 
 namespace {
 
-gateway_session_callbacks silentCallbacks()
+gateway_session_callbacks emptyCallbacks()
 {
     gateway_session_callbacks callbacks;
     callbacks.documentChanged = [] {};
     callbacks.targetsChanged = [](const registry::target_view&) {};
     callbacks.openAttempts = [] { return 0U; };
     callbacks.loads = [] { return registry::load_row(); };
-    callbacks.othersLoads = [](const registry::load_row&) {};
-    callbacks.tellRepeats = [](link::gateway_beat&) {};
-    callbacks.tellQuarantine = [](link::gateway_beat&, bool) {};
-    callbacks.quarantineTold = [](const link::gateway_update&) {};
-    callbacks.takeDarkTargets = [] { return std::vector<registry::target_incarnation>(); };
-    callbacks.served = [](const link::gateway_update&) {};
+    callbacks.otherLoadsReceived = [](const registry::load_row&) {};
+    callbacks.fillRepeats = [](link::gateway_beat&) {};
+    callbacks.fillQuarantine = [](link::gateway_beat&, bool) {};
+    callbacks.quarantineReceived = [](const link::gateway_update&) {};
+    callbacks.takeUnreachableTargets = [] { return std::vector<registry::target_incarnation>(); };
+    callbacks.updateReceived = [](const link::gateway_update&) {};
     return callbacks;
 }
 
@@ -76,8 +76,8 @@
 {
     constexpr milliseconds enough { 1500 };
     link::event_loop loop;
-    stand_in_controller near(loop, true);
-    stand_in_controller far(loop, true);
+    fake_controller near(loop, true);
+    fake_controller far(loop, true);
     const std::vector<link::controller_place> places { { near.address(), "", "own" }, { far.address(), "", "other" } };
     near.setPlaces(places);
     far.setPlaces(places);
@@ -87,7 +87,7 @@
     settings.heartbeatMs = 100;
     settings.controllers = { near.address() };
     gateway_document held(platform::controlDialect());
-    gateway_session session(loop, settings, held, silentCallbacks());
+    gateway_session session(loop, settings, held, emptyCallbacks());
     const auto begun = boot_clock::now();
     int nearBeats = 0;
     int farBeats = 0;
@@ -109,19 +109,19 @@
     // Two rounds past five of them at the old patience of 900 ms each would take four seconds and more.
     constexpr milliseconds enough { 2000 };
     link::event_loop loop;
-    std::vector<std::unique_ptr<stand_in_controller>> leaderless;
+    std::vector<std::unique_ptr<fake_controller>> leaderless;
     settings::settings settings;
     settings.id = "gateway";
     settings.heartbeatMs = 300;
-    stand_in_controller leader(loop, true);
+    fake_controller leader(loop, true);
     for (int at = 0; at < 5; ++at) {
-        leaderless.push_back(std::make_unique<stand_in_controller>(loop, false));
+        leaderless.push_back(std::make_unique<fake_controller>(loop, false));
         settings.controllers.push_back(leaderless.back()->address());
     }
     settings.controllers.push_back(leader.address());
     bool isServed = false;
-    auto callbacks = silentCallbacks();
-    callbacks.served = [&](const link::gateway_update&) {
+    auto callbacks = emptyCallbacks();
+    callbacks.updateReceived = [&](const link::gateway_update&) {
         isServed = true;
         loop.stop();
     };
@@ -161,7 +161,7 @@
     settings.id = "gateway";
     settings.controllers = { "127.0.0.1:" + std::to_string(controller->listen("127.0.0.1:0")) };
     gateway_document held(platform::controlDialect());
-    auto callbacks = silentCallbacks();
+    auto callbacks = emptyCallbacks();
     callbacks.documentChanged = [&loop] { loop.stop(); };
     gateway_session session(loop, settings, held, std::move(callbacks));
     // Other work that is always ready gets a turn between any two slices.
@@ -189,15 +189,15 @@
     "[gateway_session]")
 {
     link::event_loop loop;
-    stand_in_controller cutOff(loop, true);
-    stand_in_controller other(loop, true);
+    fake_controller cutOff(loop, true);
+    fake_controller other(loop, true);
     settings::settings settings;
     settings.id = "gateway";
     settings.heartbeatMs = 100;
     settings.controllers = { cutOff.address() };
     cutOff.setPlaces({ { cutOff.address(), "", "" }, { other.address(), "", "" } });
     gateway_document held(platform::controlDialect());
-    gateway_session session(loop, settings, held, silentCallbacks());
+    gateway_session session(loop, settings, held, emptyCallbacks());
     const auto begun = boot_clock::now();
     loop.runAt(begun + milliseconds(500), [&cutOff] { cutOff.setServes(false); });
     loop.runAt(begun + milliseconds(2500), [&loop] { loop.stop(); });
--- a/tools/bench_document.cpp
+++ b/tools/bench_document.cpp
@@ -91,7 +91,7 @@
             longest = std::max(longest, std::chrono::duration<double, std::micro>(now - last).count());
             last = now;
         }
-        (void)held.putInForce();
+        (void)held.activate();
     }
     state.counters["longest_slice_us"] = longest;
     state.counters["slices"] = static_cast<double>(slices.size());
@@ -105,7 +105,7 @@
     app::gateway_document held(platform::controlDialect());
     for (const auto& slice : slicesFrom(feed, 0, text))
         (void)held.take(slice);
-    (void)held.putInForce();
+    (void)held.activate();
     std::uint64_t version = firstVersion;
     for (auto _ : state) {
         state.PauseTiming();
@@ -116,7 +116,7 @@
         state.ResumeTiming();
         for (const auto& slice : slices)
             (void)held.take(slice);
-        (void)held.putInForce();
+        (void)held.activate();
     }
 }
 
