--- a/src/app/gateway/caller_channel.cpp
+++ b/src/app/gateway/caller_channel.cpp
@@ -1,11 +1,11 @@
 /// @file
-/// @brief Reading requests off a caller's connection.
+/// @brief Reads requests from a caller's connection.
 #include "app/gateway/caller_channel.hpp"
 
 namespace buckthornrail::app {
 namespace {
 
-/// Bytes of later requests that are taken in while one is served; then the connection is read no more.
+/// Bytes of pipelined requests that are buffered during a call; above that, reading pauses.
 constexpr std::size_t maxPipelinedBytes = 64U << 10U;
 
 http1::parser_limits parserLimits(const gateway::caller_limits& limits)
@@ -101,7 +101,7 @@
 {
     const bool staysOpen = !aborted && keepsAlive();
     const std::weak_ptr<caller_channel> weak = weak_from_this();
-    // The call is still on the stack.
+    // Deferred, as the call is still on the stack.
     m_gateway.loop().post([weak, staysOpen] {
         const auto self = weak.lock();
         if (!self || self->m_isClosed)
--- a/src/app/gateway/caller_channel.hpp
+++ b/src/app/gateway/caller_channel.hpp
@@ -1,20 +1,22 @@
 /// @file
-/// @brief One caller's connection at a gateway: requests one after the other.
+/// @brief One caller's connection at a gateway: processes its requests in sequence.
 #pragma once
 
 #include "app/gateway/gateway.hpp"
 
 namespace buckthornrail::app {
 
-/// @brief Lives on the loop thread.
+/// @brief Parses requests and starts a call for each. To be used only on the event loop's thread.
 class caller_channel : public response_sink, public std::enable_shared_from_this<caller_channel> {
 public:
+    /// @param gateway must outlive the connection
     caller_channel(gateway_role& gateway, net::channel_pointer channel);
 
+    /// @brief Starts reading. Not in the constructor, as the handlers need a weak pointer to this object.
     void begin();
-    /// @brief Ends the connection now if no request is on it; else its answer will.
+    /// @brief Closes the connection if no request is in progress; otherwise it closes after the response.
     void closeIfIdle();
-    /// @brief Ends the connection at once, with the process.
+    /// @brief Closes the connection at once, when the process exits.
     void abort();
 
     [[nodiscard]] bool keepsAlive() const override;
@@ -28,8 +30,11 @@
     void onEnded();
     void advance();
     void startCall();
+    /// @brief Answers a request that can't be parsed or is too slow, and closes the connection.
     void refuse(result_code code);
+    /// @brief Closes the connection when the idle timeout passes without a request.
     void startIdleTimer();
+    /// @brief Closes the connection once all pending bytes are written.
     void close();
 
     gateway_role& m_gateway;
@@ -37,12 +42,12 @@
     http1::request_parser m_parser;
     steady_time m_openedAt = steadyNow();
     std::shared_ptr<gateway_call> m_call;
-    steady_time m_firstByte {}; ///< of the request that is arriving
+    steady_time m_firstByte {}; ///< when the current request began to arrive
     bool m_hasRequestStarted = false;
     bool m_hasSentContinue = false;
     bool m_callerKeepsAlive = true;
     bool m_isClosed = false;
-    net::loop_timer m_timeoutTimer;
+    net::loop_timer m_timeoutTimer; ///< header timeout while a request arrives, otherwise idle timeout
 };
 
 } // namespace buckthornrail::app
--- a/src/app/gateway/gateway.cpp
+++ b/src/app/gateway/gateway.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Wiring of a gateway.
+/// @brief Connects listeners, target pool and controller session of a gateway.
 #include "app/gateway/gateway.hpp"
 
 #include "app/gateway/caller_channel.hpp"
@@ -11,14 +11,14 @@
 namespace buckthornrail::app {
 namespace {
 
-/// After SIGTERM callers are led here until the balancer has missed two checks, one a second; then idle connections are
-/// closed, and streams, of which the longest last over six seconds, are refused.
+/// After SIGTERM the load balancer still routes callers here until two of its health checks, one per second, have
+/// failed. Then idle connections are closed and new streams, the longest of which last over six seconds, are refused.
 constexpr milliseconds balancerDrainTime { 2800 };
 constexpr milliseconds stopCheckPeriod { 50 };
 constexpr milliseconds stallCheckPeriod { 200 };
-/// For so long after its start a gateway lets calls wait for its first document.
+/// Time after the start in which calls wait for the first document instead of being refused.
 constexpr milliseconds startupGracePeriod { 4000 };
-/// Left of the time that the platform grants for ending, for the process itself.
+/// Part of the platform's termination grace period that is reserved for the exit of the process.
 constexpr milliseconds exitReserve { 400 };
 
 gateway::pool_options poolOptions(const settings::settings& settings)
@@ -151,7 +151,7 @@
     if (!update.earlierRepeats.empty() && !m_context.budgets.isComplete(now))
         m_context.budgets.resume(update.earlierRepeats.front(), now);
     if (update.budgetSharers == 0)
-        return; // not known there yet: what was told before holds
+        return; // unknown to the leader yet: the previous count stays valid
     m_context.budgets.toldGateways(update.budgetSharers, now);
     if (update.ordinal)
         m_context.pool.setShare({ update.budgetSharers, *update.ordinal }, now);
@@ -249,7 +249,7 @@
         m_context.pool.silentAt(address);
     }
     if (target.empty())
-        return; // controllers have told of its end already
+        return; // the controllers have already reported its end
     telemetry::logEvent(event_code::TargetUnreachable,
         { { "target", text(target) }, { "address", address },
             { "how", found == net::reachability::Refused ? "refused" : "silent" } });
@@ -273,7 +273,7 @@
     };
     bool hasCrashes = false;
     for (const auto& report : m_context.crashes.ended(address, replacement, fingerprintOf, steadyNow())) {
-        // One that leaves ends by itself, as does one that has said its last word.
+        // A target that is leaving, or has deregistered, ends on its own.
         if (replacement.empty() && m_context.pool.isLeaving(report.target))
             continue;
         hasCrashes = true;
--- a/src/app/gateway/gateway.hpp
+++ b/src/app/gateway/gateway.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The gateway role: callers in front, targets behind, without sidecars.
+/// @brief The gateway role: accepts requests from callers and forwards them directly to targets, without sidecars.
 #pragma once
 
 #include "app/gateway/gateway_call.hpp"
@@ -12,53 +12,68 @@
 
 class caller_channel;
 
-/// @brief Lives on the loop thread.
+/// @brief Owns the listeners, the target pool and the controller session of a gateway. Not thread-safe: to be used
+/// only on the event loop's thread.
 class gateway_role {
 public:
+    /// @param settings must outlive the role, as must all other parameters
     gateway_role(link::event_loop& loop, const settings::settings& settings, const gateway::traffic_dialect& traffic,
         const gateway::control_dialect& control, telemetry::metrics& metrics);
     gateway_role(const gateway_role&) = delete;
     gateway_role& operator=(const gateway_role&) = delete;
     ~gateway_role();
 
+    /// @brief Opens the listeners. @return BadSettings if an address can't be listened on
     tl::expected<void, failure> start();
-    /// @brief Not ready at once; work in flight ends; then calls `done`.
+    /// @brief Shuts down gracefully: reports not ready at once and lets requests in flight finish.
+    /// @param done called once the load balancer has drained and no call is open, or at the end of the grace period
     void stop(std::function<void()> done);
-    /// @brief Takes what may change while it runs: the controllers' addresses.
+    /// @brief Applies the settings that may change at run time: the addresses of the controllers.
     void reload(const settings::settings& changed) { m_session.setSeeds(changed.controllers); }
 
     [[nodiscard]] gateway_context& context() { return m_context; }
     [[nodiscard]] link::event_loop& loop() { return m_loop; }
+    /// @return the limits of the active document; defaults before the first one
     [[nodiscard]] gateway::caller_limits limits() const;
+    /// @brief Drops a caller's connection that has closed.
     void removeChannel(const std::shared_ptr<caller_channel>& channel) { m_channels.erase(channel); }
 
 private:
+    /// @brief Accepts a caller's connection.
     void onChannel(net::channel_pointer channel);
-    /// @brief Takes over what the leader says of the other gateways.
+    /// @brief Applies what the leader reports about the other gateways.
     void onSessionUpdate(const link::gateway_update& update);
-    /// @brief Other gateways have heard targets name limits.
+    /// @brief Applies rate limits that targets have reported to other gateways.
     void onRemoteLimits(const std::vector<registry::limit_news>& news);
-    /// @brief Another version is in force.
+    /// @brief Another version of the document has become active.
     void onDocument();
-    /// @brief What was told before a standstill may be long overtaken: calls wait until it is confirmed.
+    /// @brief Detects that the process was suspended. State received before may be stale then, so new calls wait until
+    /// a controller has confirmed it.
     void checkForStall();
-    /// @brief Lets calls go on that wait for the controllers' word.
+    /// @brief Resumes calls that wait for an answer of the controllers.
     void resumeWaitingCalls();
+    /// @brief Updates the pool with the controllers' table of targets.
     void onTargets(const registry::target_view& targets);
-    /// @brief Calls that are open now, kept alive while they are told something.
+    /// @return the open calls; the pointers keep them alive while they are notified
     [[nodiscard]] std::vector<std::shared_ptr<gateway_call>> openCalls() const;
+    /// @brief Reports a target that refuses connections or doesn't respond to them.
     void onUnreachable(const std::string& address, net::reachability found);
-    /// @brief A target that may have ended with what was cut off there takes connections.
+    /// @brief A target accepts connections: attempts cut off there haven't ended it.
     void onReachable(const std::string& address);
-    /// @brief Targets at an address have ended. @param survivor the one that has it now; empty: none
+    /// @brief Reports the requests that may have crashed the targets at an address.
+    /// @param replacement the target that has the address now; empty: none
     void recordCrashes(const std::string& address, const registry::target_incarnation& replacement);
+    /// @brief Adds changes of the quarantine to a heartbeat. @param isFirst whether it is the first of its session
     void fillQuarantine(link::gateway_beat& beat, bool isFirst);
+    /// @brief Applies changes of the quarantine and receipts from the controllers.
     void onQuarantine(const link::gateway_update& update);
-    /// @brief Tells open calls that what is held against requests has changed.
+    /// @brief Notifies open calls that the quarantine has changed.
     void notifyQuarantineChanged();
+    /// @brief Answers health checks and requests for metrics and rate limits.
     void onHealthRequest(const net::whole_request& request, const net::responder& respond);
+    /// @brief Closes idle connections after the drain time, and ends the shutdown when no call is open any more.
     void checkStopped();
-    /// @brief Tells the pool which engines the services have.
+    /// @brief Updates the pool with the engines of the services.
     void updateEngines();
     [[nodiscard]] bool isReady() const { return m_context.document != nullptr && !m_context.isStopping; }
 
@@ -66,14 +81,14 @@
     const settings::settings& m_settings;
     gateway_document m_document;
     gateway_context m_context;
-    std::set<std::string> m_engines; ///< services that the pool knows an engine of
-    std::shared_ptr<const gateway::document_rest> m_services; ///< that the pool knows
+    std::set<std::string> m_engines; ///< services with an engine set in the pool
+    std::shared_ptr<const gateway::document_rest> m_services; ///< as last applied to the pool
     std::set<std::shared_ptr<caller_channel>> m_channels;
     net::tcp_listener m_listener;
     net::http_service m_health;
     gateway_session m_session;
     std::function<void()> m_onStopped;
-    steady_time m_earliestStop {}; ///< callers are still led here until then
+    steady_time m_earliestStop {}; ///< the load balancer still routes callers here until then
     bool m_hasClosedIdle = false;
     std::unique_ptr<periodic_task> m_stopCheck;
     standstill_watch m_stallWatch;
--- a/src/app/gateway/gateway_call.cpp
+++ b/src/app/gateway/gateway_call.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Carrying out what an exchange asks for.
+/// @brief Routing of a request, its attempts at targets and the response to the caller.
 #include "app/gateway/gateway_call.hpp"
 
 #include <algorithm>
@@ -7,25 +7,26 @@
 namespace buckthornrail::app {
 namespace {
 
-/// A connection that doesn't stand by then is given up; nothing has been written. Domains are 0.6 ms apart, and a
-/// target takes 1 ms for a new connection.
+/// No request bytes have been sent when it expires. The latency between failure domains is 0.6 ms, and a target accepts
+/// a connection within 1 ms.
 constexpr milliseconds connectTimeout { 150 };
 constexpr milliseconds reportTimeout { 200 };
-/// Unread bytes at a caller from which on its target is read no more.
+/// Bytes pending at a caller above which reading from its target pauses.
 constexpr std::size_t maxPendingBytes = 128U << 10U;
 constexpr gateway::exchange_options exchangeOptions {};
 constexpr http1::parser_limits responseLimits { 32U << 10U, 64U << 20U };
-/// When to come back after a refusal: a path that was lost is whole again after about three seconds.
+/// Retry-After of a refusal without a target. A lost path is restored after about three seconds.
 constexpr milliseconds noTargetRetryDelay { 1500 };
-/// A full path has room again soon, as streams end all the time: a caller that is back after so long can still have its
-/// first event within a latency target of 500 ms. After 300 ms few had: 0.013 of worth under a burst with losses.
+/// Streams end continuously, so a full path soon has capacity again, and a caller that retries after this time can
+/// still get its first event within a latency target of 500 ms. With 300 ms few did, which lowered the score under a
+/// burst with target losses by 0.013.
 constexpr milliseconds busyRetryDelay { 120 };
-/// A suspect that runs somewhere is cleared, or proven, with its first events.
+/// A suspected request that runs elsewhere is cleared or confirmed by its first events.
 constexpr milliseconds heldRetryDelay { 1000 };
-constexpr milliseconds shutdownRetryDelay { 10 }; ///< another gateway takes it at once
-/// A process that ends is up again so long after it is gone, with its first document.
+constexpr milliseconds shutdownRetryDelay { 10 }; ///< another gateway can accept the request at once
+/// Time from the exit of a gateway until its replacement has its first document.
 constexpr milliseconds restartTime { 700 };
-/// A gateway that ends is often gone sooner than it must be, and others that end with it as well.
+/// Gateways that shut down, and others that do so at the same time, often exit well before their deadline.
 constexpr milliseconds maxRestartRetryDelay { 2500 };
 
 milliseconds defaultRetryDelay(result_code code)
@@ -91,7 +92,7 @@
 void gateway_call::route()
 {
     if (!m_context.document) {
-        refuse(result_code::NoConfiguration, "no document yet");
+        refuse(result_code::NoConfiguration, "no document received yet");
         return;
     }
     const auto& index = *m_context.document;
@@ -103,13 +104,13 @@
     }
     const auto holder = m_caller.key.empty() ? nullptr : index.holderOf(m_caller.key);
     if (index.rest()->needsKeys && !route->isPublic && holder == nullptr) {
-        refuse(result_code::Unauthorized, "no workspace holds the key");
+        refuse(result_code::Unauthorized, "missing or unknown API key");
         return;
     }
     if (holder != nullptr)
         m_workspace = holder->workspace;
     if (m_context.isStopping && outlastsShutdown(*route)) {
-        refuse(result_code::ShuttingDown, "this gateway ends before the request could");
+        refuse(result_code::ShuttingDown, "the gateway shuts down before the request could finish");
         return;
     }
     gateway::exchange_request request;
@@ -131,7 +132,7 @@
 bool gateway_call::outlastsShutdown(const gateway::route& route) const
 {
     const auto now = steadyNow();
-    // How long a stream takes can't be told before: the caller names its longest answer, which few come near.
+    // The duration of a stream is unknown: the caller only states its maximum length, which few streams come near.
     if (route.kind == gateway::request_kind::Stream)
         return now >= m_context.acceptStreamsUntil;
     return now + std::min(route.longestWait, m_caller.patience.value_or(route.longestWait)) > m_context.stopDeadline;
@@ -230,13 +231,13 @@
                 return;
             self->m_reportCall = nullptr;
             const bool answered = outcome == net::call_outcome::Answered;
-            constexpr int misdirected = 421; // another target has the address
+            constexpr int misdirected = 421; // the address belongs to another target
             if (answered && response.head.status != misdirected)
                 self->m_exchange->onPushback(
                     self->m_context.dialect.readPushback(response.head), false, asked, steadyNow());
             const auto read = answered ? self->m_context.dialect.readReport(response.body, self->m_caller.requestId)
                                        : tl::expected<std::string, failure>();
-            // One that can't be read names nobody; that it came shows that the target lives.
+            // An unreadable report names no faulty member, but shows that the target is alive.
             const std::string faulty = read.value_or(std::string());
             telemetry::logEvent(event_code::ReportReceived,
                 { { "request", self->m_caller.requestId }, { "target", text(self->m_selection.parts.front().target) },
@@ -365,7 +366,7 @@
 {
     m_streamHead = m_parser->head();
     m_streamHead.fields = answerFields(m_streamHead);
-    m_isStreamHeadPending = true; // goes out together with the first event
+    m_isStreamHeadPending = true; // written together with the first event
 }
 
 void gateway_call::passEvent(std::string_view bytes)
@@ -412,7 +413,8 @@
         return std::max(busyRetryDelay, between(steadyNow(), *m_exchange->roomExpectedAt()));
     if (code != result_code::ShuttingDown || m_sink->openedAt() < m_context.acceptStreamsUntil)
         return defaultRetryDelay(code);
-    // The balancer has long left this gateway out, and still leads new connections here: no other one is there.
+    // The load balancer has stopped using this gateway, yet new connections still arrive: no other gateway is
+    // available.
     const auto untilEnd = std::chrono::duration_cast<milliseconds>(m_context.stopDeadline - steadyNow());
     return std::min(std::max(untilEnd, milliseconds(0)) + restartTime, maxRestartRetryDelay);
 }
--- a/src/app/gateway/gateway_call.hpp
+++ b/src/app/gateway/gateway_call.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One request at a gateway: the exchange's port, with the connection to the target.
+/// @brief One request at a gateway: implements the exchange's port on a connection to the target.
 #pragma once
 
 #include "app/shared/process.hpp"
@@ -14,37 +14,37 @@
 
 namespace buckthornrail::app {
 
-/// What the calls of a gateway share. Lives on the loop thread.
+/// State shared by the calls of a gateway. To be used only on the event loop's thread.
 struct gateway_context {
     link::event_loop& loop;
     const gateway::traffic_dialect& dialect;
     telemetry::metrics& metrics;
     gateway::target_pool pool;
     gateway::repeat_budgets budgets;
-    std::shared_ptr<const gateway::route_index> document; ///< empty: none yet
-    std::size_t budgetSharers = 0; ///< gateways that share the budgets, as told last; 0: never
+    std::shared_ptr<const gateway::route_index> document; ///< the active one; empty: none yet
+    std::size_t budgetSharers = 0; ///< gateways that share the budgets, as last reported; 0: not reported yet
     std::mt19937_64 random;
-    std::vector<std::weak_ptr<class gateway_call>> waiting; ///< calls that came before the first document
-    steady_time startupGraceUntil {}; ///< until then calls wait for the first document
-    std::function<void()> checkForStall; ///< before a call rests on what controllers told
-    /// Until then calls wait for the controllers' word, after the process has stood still; see document.
+    std::vector<std::weak_ptr<class gateway_call>> waiting; ///< calls that wait for an answer of the controllers
+    steady_time startupGraceUntil {}; ///< calls wait for the first document until then
+    std::function<void()> checkForStall; ///< called before a call relies on state from controllers
+    /// After the process was suspended, calls wait until then for a controller to confirm `document`.
     steady_time confirmationDeadline {};
     bool isStopping = false;
-    steady_time stopDeadline {}; ///< while stopping: what can't end by then is refused
-    steady_time acceptStreamsUntil {}; ///< while stopping: a stream that comes later may outlast the process
+    steady_time stopDeadline {}; ///< while stopping: requests that can't finish by then are refused
+    steady_time acceptStreamsUntil {}; ///< while stopping: a later stream may outlast the process
     std::set<class gateway_call*> openCalls;
     std::unique_ptr<net::reachability_checks> reachability;
     gateway::crash_watch crashes = gateway::crash_watch();
     gateway::quarantine_gate quarantine { random() };
-    std::function<void()> requestHeartbeat; ///< of the quarantine, soon
+    std::function<void()> requestHeartbeat; ///< soon, to report changes of the quarantine
     gateway::call_number lastCallNumber = 0;
 };
 
-/// A call to a gateway that has just started, or has stood still, waits so long for the controllers' word: controllers
-/// that restart at the same moment elect a leader within a second, and callers wait two seconds for a first event.
+/// Maximum time for which a call waits for the controllers after the gateway has started or was suspended. Controllers
+/// that restart at the same time elect a leader within a second, and callers wait two seconds for the first event.
 inline constexpr milliseconds controllerTimeout { 1400 };
 
-/// Where a call's answer goes.
+/// Receives a call's response.
 class response_sink {
 public:
     response_sink() = default;
@@ -52,24 +52,31 @@
     response_sink& operator=(const response_sink&) = delete;
     virtual ~response_sink() = default;
 
-    /// @brief Whether the connection stays open after this answer.
+    /// @brief Whether the connection stays open after this response.
     [[nodiscard]] virtual bool keepsAlive() const = 0;
+    /// @return when the connection was accepted
     [[nodiscard]] virtual steady_time openedAt() const = 0;
     virtual void write(std::string_view bytes) = 0;
+    /// @return bytes written that the connection hasn't sent yet
     [[nodiscard]] virtual std::size_t pendingBytes() const = 0;
-    /// @brief The answer is whole. @param aborted true: it isn't, and must not look so
+    /// @brief Ends the response. @param aborted whether it is incomplete and must not pass for complete
     virtual void finished(bool aborted) = 0;
 };
 
-/// @brief Lives on the loop thread.
+/// @brief Carries out the requests of one exchange: connects to targets and passes their responses to the caller. To be
+/// used only on the event loop's thread.
 class gateway_call : public gateway::exchange_port, public std::enable_shared_from_this<gateway_call> {
 public:
+    /// @param context must outlive the call
+    /// @param sink receives the response; must stay valid until it is finished or callerGone() is called
     gateway_call(gateway_context& context, response_sink& sink, http1::request_head head, std::string body);
     ~gateway_call() override;
 
+    /// @brief Routes the request, or lets it wait for the controllers. @param arrived when its first byte arrived
     void start(steady_time arrived);
+    /// @brief The caller's connection has closed: nothing is written any more and the open attempt is cancelled.
     void callerGone();
-    /// @brief Everything written so far has been taken by the caller's connection.
+    /// @brief The caller's connection has sent everything written so far.
     void drained();
 
     gateway::dispatch_verdict mayBegin(const gateway::selection& where) override;
@@ -89,43 +96,49 @@
     [[nodiscard]] request_fingerprint fingerprint() override;
     void note(event_code event, std::initializer_list<log_field> fields) override;
 
-    /// @brief The first document has come.
+    /// @brief Continues a call that waits for the controllers; does nothing otherwise.
     void resume();
-    /// @brief A target takes no connection.
+    /// @brief A target doesn't accept connections.
     void targetUnreachable(const registry::target_incarnation& target);
+    /// @brief The table of targets has changed.
     void targetsChanged();
-    /// @brief What is held against requests has changed, or a target that may have ended was found alive.
+    /// @brief The quarantine has changed, or a target that may have crashed was found alive.
     void quarantineChanged();
     [[nodiscard]] gateway::call_number number() const { return m_number; }
 
 private:
+    /// @brief Finds the route and starts the exchange, or refuses the request.
     void route();
-    /// @brief Whether the request can't end before this process does.
+    /// @brief Whether the request might not finish before this process exits.
     [[nodiscard]] bool outlastsShutdown(const gateway::route& route) const;
+    /// @brief Logs the reason and answers with an error of the gateway.
     void refuse(result_code code, const std::string& reason);
-    /// @brief When a refused caller should come back.
+    /// @return how long a refused caller should wait before its next try
     [[nodiscard]] milliseconds retryDelay(result_code code) const;
-    /// @brief The target has given its whole answer: the request doesn't end those who run it.
+    /// @brief Clears the request of suspicion: a target that completes its response wasn't crashed by it.
     void recordAnswered();
-    /// @brief Writes a line on a change of the verdict.
+    /// @brief Logs a change of the verdict.
     void logVerdict(gateway::dispatch_verdict verdict, const gateway::selection& where);
     void onBytes(std::string_view bytes);
     void onEnded(net::channel_end how);
+    /// @brief Passes what the parser has completed on to the exchange.
     void advance();
     void readStream();
     void finish(bool aborted);
+    /// @brief Counts a response and its duration in the metrics. @param outcome label of the count
     void countAnswer(const std::string& outcome);
+    /// @return header fields for the caller: a target's without those of its connection and body length
     [[nodiscard]] std::vector<http1::field> answerFields(const http1::response_head& head) const;
 
     gateway_context& m_context;
     gateway::call_number m_number;
-    response_sink* m_sink; ///< empty once the caller is gone or has its answer
+    response_sink* m_sink; ///< null once the caller has disconnected or has its response
     http1::request_head m_head;
     std::string m_body;
     gateway::caller_head m_caller;
     std::string m_workspace;
-    std::optional<request_fingerprint> m_fingerprint; ///< empty: nobody has asked
-    gateway::dispatch_verdict m_verdict = gateway::dispatch_verdict::Go; ///< as logged last
+    std::optional<request_fingerprint> m_fingerprint; ///< empty: not computed yet
+    gateway::dispatch_verdict m_verdict = gateway::dispatch_verdict::Go; ///< as last logged
     std::unique_ptr<gateway::exchange> m_exchange;
     steady_time m_arrived {};
 
@@ -138,9 +151,9 @@
     bool m_isStream = false;
     bool m_isConnected = false;
     std::shared_ptr<net::http_call> m_reportCall;
-    http1::response_head m_streamHead; ///< not written yet
-    bool m_isStreamHeadPending = false;
-    bool m_isWaiting = false;
+    http1::response_head m_streamHead; ///< of the caller's response
+    bool m_isStreamHeadPending = false; ///< written with the first event
+    bool m_isWaiting = false; ///< for the controllers
     net::loop_timer m_timer;
     net::loop_timer m_connectTimer;
 };
--- a/src/app/gateway/gateway_call_quarantine.cpp
+++ b/src/app/gateway/gateway_call_quarantine.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A call's part in finding requests that end targets: whether it may run, and what its answer clears.
+/// @brief Quarantine of requests that crash targets: whether a call may be dispatched, and clearing it of suspicion.
 #include "app/gateway/gateway_call.hpp"
 
 #include "buckthornrail/gateway/fingerprint_request.hpp"
--- a/src/app/gateway/gateway_document.cpp
+++ b/src/app/gateway/gateway_document.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Taking changes of the document over.
+/// @brief Decoding and activating changes of the document.
 #include "app/gateway/gateway_document.hpp"
 
 namespace buckthornrail::app {
@@ -42,7 +42,7 @@
     bool isChanged = false;
     for (auto& finished : m_assembly.takeFinished()) {
         if (finished.change.to <= version())
-            continue; // sent before the controller knew what is held
+            continue; // sent before the controller knew which version is held
         if (const auto put = activate(std::move(finished)); !put) {
             m_needsFullDocument = true;
             return tl::make_unexpected(put.error());
@@ -57,7 +57,8 @@
     if (!finished.whole) {
         if (m_index)
             return m_index->apply(finished.change);
-        return tl::make_unexpected(failure { result_code::MalformedMessage, "a change, and no document is held" });
+        return tl::make_unexpected(
+            failure { result_code::MalformedMessage, "change received, but no document is held" });
     }
     if (auto sealed = finished.whole->seal(finished.change.to, finished.change.digest); !sealed)
         return sealed;
--- a/src/app/gateway/gateway_document_test.cpp
+++ b/src/app/gateway/gateway_document_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The document's way from registries to a gateway, of this program and of the one before.
+/// @brief Transfer of the document from registries to a gateway, by this release and by the previous one.
 #include "app/gateway/gateway_document.hpp"
 
 #include "buckthornrail/compression/text_patch.hpp"
@@ -38,7 +38,7 @@
     return { version, documentOf(version, all).dump() };
 }
 
-/// A registry and the gateways that it tells.
+/// A registry that publishes documents and delivers them to gateways.
 class fake_registry {
 public:
     explicit fake_registry(const versioned_text& first)
@@ -53,7 +53,7 @@
         m_feed.follow(m_newest);
     }
 
-    /// @brief What a gateway lacks, taken over. @return slices
+    /// @brief Sends a gateway the slices that it lacks and activates them. @return how many were sent
     std::size_t deliverTo(gateway_document& gateway)
     {
         const auto messages = m_feed.messagesFrom(gateway.reportedVersion(), m_newest);
@@ -74,7 +74,7 @@
     document_feed m_feed { dialect() };
 };
 
-/// What the program before sends.
+/// A full text, as the previous release sends it.
 link::text_update wholeText(const versioned_text& text)
 {
     return { 0, text.version, compression::makePatch({}, text.text) };
@@ -82,7 +82,7 @@
 
 } // namespace
 
-TEST_CASE("gateway document: slices make what was published", "[gateway_document]")
+TEST_CASE("gateway document: slices reproduce the published document", "[gateway_document]")
 {
     fake_registry registry(manyRoutes(3, 500));
     gateway_document held(dialect());
@@ -103,7 +103,8 @@
     CHECK(registry.deliverTo(held) == 0);
 }
 
-TEST_CASE("gateway document: one that lags by many versions, or by those of a later start, gets the whole",
+TEST_CASE("gateway document: a gateway that is many versions behind, or unknown to a restarted registry, gets the full "
+          "document",
     "[gateway_document]")
 {
     fake_registry registry(manyRoutes(1, 10));
@@ -126,7 +127,7 @@
     }
 }
 
-TEST_CASE("gateway document: slices of a link that ended are forgotten", "[gateway_document]")
+TEST_CASE("gateway document: incomplete slices are discarded when the link closes", "[gateway_document]")
 {
     fake_registry registry(manyRoutes(1, 1000));
     gateway_document held(dialect());
@@ -139,12 +140,12 @@
     CHECK(*held.activate() == false);
     CHECK(held.index() == nullptr);
     held.discardPartial();
-    CHECK_FALSE(held.take(sliceAt(2))); // its beginning is gone
+    CHECK_FALSE(held.take(sliceAt(2))); // its first slices were discarded
     registry.deliverTo(held);
     CHECK(held.index()->routeCount() == 1000);
 }
 
-TEST_CASE("gateway document: damaged slices are refused and change nothing", "[gateway_document]")
+TEST_CASE("gateway document: damaged slices are rejected and change nothing", "[gateway_document]")
 {
     fake_registry registry(manyRoutes(1, 10));
     gateway_document held(dialect());
@@ -183,7 +184,7 @@
     CHECK(held.version() == 2);
 }
 
-TEST_CASE("gateway document: an entry that can't be read leaves the version before in force", "[gateway_document]")
+TEST_CASE("gateway document: an unreadable entry leaves the previous version active", "[gateway_document]")
 {
     fake_registry registry(manyRoutes(1, 10));
     gateway_document held(dialect());
@@ -194,7 +195,7 @@
     registry.deliverTo(held);
     CHECK(held.version() == 1);
     CHECK(held.index()->routeCount() == 10);
-    CHECK(held.reportedVersion() == 0); // the next version follows from one that it doesn't hold
+    CHECK(held.reportedVersion() == 0); // the next change would be based on a version that it doesn't hold
     registry.publish(manyRoutes(3, 11));
     registry.deliverTo(held);
     CHECK(held.version() == 3);
@@ -202,13 +203,13 @@
     CHECK(held.index()->routeCount() == 11);
 }
 
-TEST_CASE("gateway document: an upgrade can be rolled", "[gateway_document]")
+TEST_CASE("gateway document: rolling upgrades are supported", "[gateway_document]")
 {
     fake_registry registry(manyRoutes(5, 20));
     gateway_document held(dialect());
     registry.deliverTo(held);
-    CHECK(held.textVersion() == 0); // so a controller of the program before sends the whole text
-    SECTION("to a controller of the program before, which is ahead, and back")
+    CHECK(held.textVersion() == 0); // so a controller of the previous release sends the full text
+    SECTION("to a controller of the previous release that is ahead, and back")
     {
         const auto ahead = manyRoutes(6, 30);
         REQUIRE(held.take(wholeText(ahead)));
@@ -226,14 +227,14 @@
         CHECK(held.index()->routeCount() == 32);
         CHECK(held.textVersion() == 0);
     }
-    SECTION("to one that is behind: never an older version")
+    SECTION("a controller that is behind never sets an older version")
     {
         REQUIRE(held.take(wholeText(manyRoutes(4, 3))));
         CHECK(*held.activate() == false);
         CHECK(held.version() == 5);
         CHECK(held.index()->routeCount() == 20);
     }
-    SECTION("a beat tells controllers of both programs what they need")
+    SECTION("a heartbeat reports the version for controllers of both releases")
     {
         link::gateway_beat beat;
         beat.documentVersion = held.textVersion();
@@ -247,7 +248,7 @@
     }
 }
 
-TEST_CASE("gateway document: what gateways hold is what a reading of the whole text gives", "[gateway_document]")
+TEST_CASE("gateway document: the assembled document equals the parsed full text", "[gateway_document]")
 {
     rc::prop("any versions", [] {
         const auto names = rc::gen::unique<std::vector<int>>(rc::gen::inRange(0, 30));
@@ -265,7 +266,7 @@
             const std::string text = *rc::gen::arbitrary<bool>() ? whole.dump() : whole.dump(2);
             registry.publish({ version, text });
             if (*rc::gen::arbitrary<bool>())
-                registry.deliverTo(other); // this one lags now and then
+                registry.deliverTo(other); // this one falls behind at times
             registry.deliverTo(held);
             const auto read = dialect().readDocument(text);
             RC_ASSERT(read.has_value());
--- a/src/app/gateway/gateway_session.cpp
+++ b/src/app/gateway/gateway_session.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Keeping a session with a controller.
+/// @brief Choosing a controller and keeping a session with it.
 #include "app/gateway/gateway_session.hpp"
 
 #include "app/shared/preferred_address.hpp"
@@ -13,20 +13,21 @@
 namespace buckthornrail::app {
 namespace {
 
-/// A controller of which nothing comes for so long is left: a beat is answered within one round of the quorum and
-/// the wait for it, about 120 ms, and drained targets must be known everywhere within two seconds.
+/// Time without data from a controller after which the gateway disconnects. A heartbeat is answered within one quorum
+/// round and the wait for it, about 120 ms, and drained targets must be known everywhere within two seconds.
 constexpr milliseconds answerTimeout { 900 };
-/// A controller that answers, but knows of no leader, is left after so long: it may be on the smaller side of a cut. An
-/// election takes about as long.
+/// Time after which the gateway disconnects from a controller that answers but knows no leader: it may be in the
+/// minority of a network partition. An election takes about as long.
 constexpr milliseconds leaderTimeout { 150 };
-/// A nearer controller that was lost, or doesn't serve since it is slow, cut off or empty, is tried again after so
-/// long: each try costs a silence of 0.9 s at most, so a tenth of the time.
+/// Time before a nearer controller is tried again that was lost, or doesn't serve because it is slow, partitioned or
+/// empty. Each try costs up to 0.9 s without answers, less than a tenth of the time.
 constexpr milliseconds moveBackoff { 10000 };
-/// Heartbeats that can't wait gather what comes within so long.
+/// Urgent heartbeats are delayed to batch the reports that arrive meanwhile.
 constexpr milliseconds heartbeatDelay { 3 };
-/// A change of many slices is taken with pauses for so long, then without: it must be in force within two seconds.
+/// Time in which slices of a change are followed by pauses; later ones are not, as a change must become active within
+/// two seconds.
 constexpr milliseconds slicePauseTime { 800 };
-/// Pauses as long as this many times a slice's own work leave streams most of the processor.
+/// Ratio of a pause to the processing time of the slice before it: leaves most of the processor to streams.
 constexpr int pauseToWorkRatio = 2;
 
 constexpr std::array disconnectCauseNames {
@@ -91,7 +92,7 @@
     const auto all = addresses();
     if (all.empty())
         return;
-    // The one that was left is tried again after all others: it may have fallen silent, which costs 0.9 s to find out.
+    // The last controller is tried again after all others: if it no longer answers, detecting that takes 0.9 s.
     if (m_nextController.empty() && all[m_nextAddress % all.size()] == m_address)
         ++m_nextAddress;
     m_address = m_nextController.empty() ? all[m_nextAddress++ % all.size()] : std::exchange(m_nextController, {});
@@ -133,9 +134,9 @@
     m_hasSentHeartbeat = false;
     const bool wasServed = std::exchange(m_isServed, false);
     if (wasServed && m_disconnectCause != disconnect_cause::Nearer)
-        m_nextMoveAt = steadyNow() + moveBackoff; // the nearest may be the one that was lost, and still be told of
+        m_nextMoveAt = steadyNow() + moveBackoff; // the nearest may be the lost one, and still be reported by others
     if (wasServed || std::exchange(m_isSwitching, false) || !m_nextController.empty())
-        connect(); // otherwise the next beat does, so that refused connections don't follow each other at once
+        connect(); // otherwise the next heartbeat connects, which spaces out refused connections
 }
 
 void gateway_session::disconnect(disconnect_cause cause, const std::string& next)
@@ -162,7 +163,8 @@
         return m_address;
     if (!near.empty())
         return preferredAddress(m_settings.id, near);
-    // Without one of its own domain any is as good: those that were heard of lately share the sessions.
+    // Without a controller in the own domain, sessions are spread over those heard of recently, whose failure domain
+    // is known.
     for (const auto& place : m_controllers) {
         if (!place.failureDomain.empty())
             near.push_back(place.address);
@@ -199,7 +201,7 @@
     link::gateway_beat beat { m_settings.id, ++m_sequence, m_document.textVersion(), m_document.reportedVersion(),
         m_targets.revision(), m_callbacks.openAttempts(), std::exchange(m_unreachable, {}), m_callbacks.loads(),
         m_incarnation, {}, false };
-    m_callbacks.fillRepeats(beat);
+    m_callbacks.fillRetries(beat);
     const bool isFirst = !std::exchange(m_hasSentHeartbeat, true);
     m_callbacks.fillQuarantine(beat, isFirst);
     beat.limits = m_callbacks.takeLimitNews(isFirst);
@@ -245,7 +247,7 @@
             m_pauseSlicesUntil = begun + slicePauseTime;
         onSlice(*slice);
         onProgress(m_channel);
-        // Many slices may come within one turn: streams get theirs between them.
+        // Many slices may arrive in one turn of the loop: streams are served between them.
         const steady_time now = steadyNow();
         m_isPausing = true;
         m_inboxTimer.set(now + pauseAfter(now - begun), [this] { processInbox(); });
@@ -269,7 +271,7 @@
 
 void gateway_session::onProgress(link::channel_number channel)
 {
-    // A document on its way is an answer that has begun: left now, it would be sent anew from its first byte.
+    // A partly received document counts as an answer: after a disconnect it would be sent again from its first byte.
     if (channel == m_channel)
         m_answerDeadline = steadyNow() + answerTimeout;
 }
--- a/src/app/gateway/gateway_session.hpp
+++ b/src/app/gateway/gateway_session.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief A gateway's session with the controllers: finds one that reaches the leader, in its own failure domain where
-/// there is one, and takes document and targets over.
+/// @brief A gateway's session with the controllers: connects to one that reaches the leader, if possible in its own
+/// failure domain, and receives the document and the targets from it.
 #pragma once
 
 #include "app/gateway/gateway_document.hpp"
@@ -12,107 +12,119 @@
 
 namespace buckthornrail::app {
 
-/// Why a gateway leaves a controller.
+/// Why a gateway disconnects from a controller.
 enum class disconnect_cause : std::uint8_t {
-    None, ///< it doesn't: the link ended
+    None, ///< it doesn't: the link ended by itself
     NoAnswer, ///< no answer by the deadline
-    Nearer, ///< another is in this gateway's failure domain, or ranks first for it
-    NoLeader, ///< it reaches none, for as long as a gateway waits
-    InvalidChange, ///< it sent a change that doesn't follow from what is held
+    Nearer, ///< another controller is in this gateway's failure domain, or is preferred for it
+    NoLeader, ///< it has reached no leader within the leader timeout
+    InvalidChange, ///< it sent a change that can't be applied to the state held here
 };
 
+/// Connects a session with the gateway's state. All are called on the event loop's thread.
 struct gateway_session_callbacks {
-    std::function<void()> documentChanged; ///< another version is in force
-    std::function<void(const registry::target_view&)> targetsChanged;
-    std::function<std::uint32_t()> openAttempts;
-    std::function<registry::load_row()> loads; ///< of own attempts, at the targets told of last
-    std::function<void(const registry::load_row&)> otherLoadsReceived; ///< at the same targets
-    std::function<void(const link::gateway_update&)> updateReceived; ///< before the changes that it brings
+    std::function<void()> documentChanged; ///< another version is active
+    std::function<void(const registry::target_view&)> targetsChanged; ///< with all targets known now
+    std::function<std::uint32_t()> openAttempts; ///< number of this gateway's open attempts
+    std::function<registry::load_row()> loads; ///< this gateway's open attempts, per target of the last update
+    std::function<void(const registry::load_row&)> otherLoadsReceived; ///< of the other gateways, for the same targets
+    std::function<void(const link::gateway_update&)> updateReceived; ///< before its changes are applied
     std::function<std::vector<registry::target_incarnation>()> takeUnreachableTargets; ///< seen since the last call
-    std::function<void(link::gateway_beat&)> fillRepeats; ///< fills in what the budgets of repeats have spent
-    /// Fills in what is to be said of the quarantine. @param isFirst of this session
+    std::function<void(link::gateway_beat&)> fillRetries; ///< fills in the retries spent of the budgets
+    /// Fills in changes of the quarantine. @param isFirst whether the heartbeat is the first of this session
     std::function<void(link::gateway_beat&, bool isFirst)> fillQuarantine;
     std::function<void(const link::gateway_update&)> quarantineReceived;
-    /// Limits of targets that were heard here. @param all also those told in an earlier session
+    /// Rate limits that targets have reported to this gateway. @param all also those sent in an earlier session
     std::function<std::vector<registry::limit_news>(bool all)> takeLimitNews
         = [](bool) { return std::vector<registry::limit_news>(); };
     std::function<void(const std::vector<registry::limit_news>&)> limitsReceived = [](const auto&) {};
-    /// Targets that said that they leave, and that the table doesn't show so.
+    /// Targets that have reported that they are leaving and that the controllers' table doesn't show as leaving.
     std::function<std::vector<registry::target_incarnation>()> leavingTargets
         = [] { return std::vector<registry::target_incarnation>(); };
 };
 
-/// @brief Lives on the loop thread. What it holds only ever gets newer, and first comes from a controller that a
-/// quorum has just confirmed.
+/// @brief Keeps a session with one controller at a time. To be used only on the event loop's thread.
+///
+/// Versions held only ever increase, and the first state comes from a controller that a quorum has just confirmed.
 class gateway_session {
 public:
+    /// @param settings must outlive the session, as must `held`
+    /// @param held receives the changes of the document
     gateway_session(link::event_loop& loop, const settings::settings& settings, gateway_document& held,
         gateway_session_callbacks callbacks);
 
-    /// @brief Takes other seeds over.
+    /// @brief Replaces the addresses of the controllers to try first.
     void setSeeds(std::vector<std::string> seeds) { m_seeds = std::move(seeds); }
-    /// @brief Sends the next heartbeat soon, for what can't wait.
+    /// @brief Sends a heartbeat within a few milliseconds, for urgent reports.
     void sendHeartbeatSoon();
 
 private:
+    /// @brief Dials the next controller, unless there is a link already.
     void connect();
+    /// @brief Sends a heartbeat; connects or disconnects first if there is no link or no answer in time.
     void sendHeartbeat();
     void onOpened(link::channel_number channel);
     void onClosed(link::channel_number channel);
     void onMessage(link::channel_number channel, const std::string& bytes);
+    /// @brief Postpones the answer deadline: part of an answer has arrived.
     void onProgress(link::channel_number channel);
     void onUpdate(const link::gateway_update& update);
     void onSlice(const link::document_slice& slice);
-    /// @brief Works through what has come, with pauses for the loop's other work after slices of the document.
+    /// @brief Processes received messages; after each slice of the document it yields to other work of the loop.
     void processInbox();
-    /// @return how long the rest waits after a slice that took so long
+    /// @return how long to pause after a slice
+    /// @param slice time taken to process the slice
     [[nodiscard]] steady_time::duration pauseAfter(steady_time::duration slice) const;
+    /// @brief Discards unprocessed messages and incomplete changes of the document.
     void clearInbox();
-    /// @brief Takes the document over as far as it has come. @return false: the session is being left
+    /// @brief Applies the complete changes of the document. @return false: one was rejected and the session is closing
     bool takeDocument(const link::gateway_update& update);
-    /// @brief Leaves a controller whose change can't be taken: the next session tells what is held.
+    /// @brief Disconnects after a change that can't be applied; the next session reports the version held.
     void rejectChange(std::uint64_t version, const failure& fault);
+    /// @param next address of the controller to dial next; empty: any
     void disconnect(disconnect_cause cause, const std::string& next);
+    /// @brief Logs the loss of a session.
     void onEnding(link::channel_number channel, const link::link_end& end);
-    /// @brief Tries another controller soon, unless this one is heard of a leader meanwhile.
+    /// @brief Disconnects after the leader timeout, unless this controller reaches a leader by then.
     void disconnectUnlessServed();
-    /// @brief Moves the session to a nearer controller, if one is known and wasn't tried lately.
+    /// @brief Moves the session to a nearer controller if one is known and the backoff has passed.
     void moveToNearest();
-    /// @return the controller to have the session with; empty: none is known
+    /// @return address of the preferred controller; empty: none is known
     [[nodiscard]] std::string nearestController() const;
+    /// @return addresses of the known controllers, then the seeds, without duplicates
     [[nodiscard]] std::vector<std::string> addresses() const;
 
     link::event_loop& m_loop;
     const settings::settings& m_settings;
     gateway_session_callbacks m_callbacks;
     std::vector<std::string> m_seeds;
-    std::vector<link::controller_place> m_controllers; ///< as told last
+    std::vector<link::controller_place> m_controllers; ///< as last reported
     std::string m_address; ///< of the controller dialled
-    std::string m_nextController; ///< controller to dial next; empty: any
-    steady_time m_nextMoveAt {}; ///< no move to a nearer controller before
+    std::string m_nextController; ///< address of the controller to dial next; empty: any
+    steady_time m_nextMoveAt {}; ///< earliest time of a move to a nearer controller
     std::size_t m_nextAddress = 0;
     link::channel_number m_channel = 0;
     bool m_isOpen = false;
-    bool m_isServed = false; ///< this controller has answered, confirmed by a quorum
-    bool m_isSwitching = false; ///< the channel is being closed for another controller's
-    std::uint64_t m_incarnation = randomNumber(); ///< tells this process from the one before under the same id
+    bool m_isServed = false; ///< this controller has answered and was confirmed by a quorum
+    bool m_isSwitching = false; ///< the link is being closed to try another controller
+    std::uint64_t m_incarnation = randomNumber(); ///< distinguishes this process from earlier ones with the same id
     std::uint64_t m_sequence = 0;
     disconnect_cause m_disconnectCause = disconnect_cause::None;
     steady_time m_answeredAt {};
-    std::uint64_t m_receivedBefore = 0; ///< bytes, until the last answer
-    steady_time m_answerDeadline {}; ///< without an answer until then another controller is tried
+    std::uint64_t m_receivedBefore = 0; ///< bytes received up to the last answer
+    steady_time m_answerDeadline {}; ///< another controller is tried if no answer has arrived by then
     gateway_document& m_document;
-    std::deque<link::message> m_inbox; ///< of the controller, to be worked through in order
+    std::deque<link::message> m_inbox; ///< received messages, processed in order
     bool m_isPausing = false; ///< the inbox timer is set
-    steady_time m_pauseSlicesUntil {}; ///< slices are taken with pauses until then
+    steady_time m_pauseSlicesUntil {}; ///< pauses follow slices until then
     registry::target_view m_targets;
-    std::vector<registry::target_incarnation> m_unreachable; ///< not told yet
+    std::vector<registry::target_incarnation> m_unreachable; ///< not reported yet
     bool m_hasSentHeartbeat = false; ///< in this session
     link::link_hub m_hub;
     net::loop_timer m_leaderlessTimer;
     net::loop_timer m_heartbeatTimer;
     net::loop_timer m_inboxTimer;
-    bool m_isHeartbeatScheduled = false; ///< that timer is set
+    bool m_isHeartbeatScheduled = false; ///< the heartbeat timer is set
     periodic_task m_heartbeats;
 };
 
--- a/src/app/gateway/gateway_session_test.cpp
+++ b/src/app/gateway/gateway_session_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Finding the controller that leads.
+/// @brief Choosing a controller that reaches the leader.
 #include "app/gateway/gateway_session.hpp"
 #include "platform/dialects.hpp"
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A controller that answers each beat, as one that a quorum has confirmed or as one that reaches no leader.
+/// A controller that answers each heartbeat, either as confirmed by a quorum or as one that reaches no leader.
 class fake_controller {
 public:
     fake_controller(link::event_loop& loop, bool serves)
@@ -33,11 +33,11 @@
     [[nodiscard]] std::string address() const { return "127.0.0.1:" + std::to_string(m_port); }
     [[nodiscard]] int beats() const { return m_heartbeats; }
     [[nodiscard]] int sessions() const { return m_sessions; }
-    /// @brief It reaches a leader again, or none any more.
+    /// @brief Sets whether it reaches a leader.
     void setServes(bool serves) { m_serves = serves; }
-    /// @brief It is gone.
+    /// @brief Closes its listener and links.
     void stop() { m_hub.stop(); }
-    /// @brief What it tells of all controllers.
+    /// @brief Sets the controllers that it reports.
     void setPlaces(std::vector<link::controller_place> places) { m_places = std::move(places); }
 
 private:
@@ -61,7 +61,7 @@
     callbacks.openAttempts = [] { return 0U; };
     callbacks.loads = [] { return registry::load_row(); };
     callbacks.otherLoadsReceived = [](const registry::load_row&) {};
-    callbacks.fillRepeats = [](link::gateway_beat&) {};
+    callbacks.fillRetries = [](link::gateway_beat&) {};
     callbacks.fillQuarantine = [](link::gateway_beat&, bool) {};
     callbacks.quarantineReceived = [](const link::gateway_update&) {};
     callbacks.takeUnreachableTargets = [] { return std::vector<registry::target_incarnation>(); };
@@ -71,8 +71,7 @@
 
 } // namespace
 
-TEST_CASE("gateway session: it doesn't move back to the controller of its own domain that it has just lost",
-    "[gateway_session]")
+TEST_CASE("gateway session: it doesn't move back at once to a lost controller of its own domain", "[gateway_session]")
 {
     constexpr milliseconds enough { 1500 };
     link::event_loop loop;
@@ -100,13 +99,13 @@
     loop.run();
     CHECK(nearBeats > 8);
     CHECK(farBeats == 0);
-    CHECK(far.beats() > 11); // of 15; a try of the one that is gone would cost the session and two beats
+    CHECK(far.beats() > 11); // of 15; a try of the stopped one would cost the session and two heartbeats
     CHECK(far.sessions() == 1);
 }
 
-TEST_CASE("gateway session: controllers without a leader are left soon", "[gateway_session]")
+TEST_CASE("gateway session: it disconnects soon from controllers without a leader", "[gateway_session]")
 {
-    // Two rounds past five of them at the old patience of 900 ms each would take four seconds and more.
+    // Two rounds past the five of them, with a timeout of 900 ms each, would take more than four seconds.
     constexpr milliseconds enough { 2000 };
     link::event_loop loop;
     std::vector<std::unique_ptr<fake_controller>> leaderless;
@@ -133,7 +132,7 @@
     CHECK(leader.beats() > 0);
 }
 
-TEST_CASE("gateway session: slices that come together are taken one a turn of the loop", "[gateway_session]")
+TEST_CASE("gateway session: slices that arrive together are processed one per turn of the loop", "[gateway_session]")
 {
     constexpr int routes = 3000;
     link::event_loop loop;
@@ -164,7 +163,7 @@
     auto callbacks = emptyCallbacks();
     callbacks.documentChanged = [&loop] { loop.stop(); };
     gateway_session session(loop, settings, held, std::move(callbacks));
-    // Other work that is always ready gets a turn between any two slices.
+    // Other work, always ready, must run between any two slices.
     std::size_t slicesInARow = 0;
     std::size_t mostInARow = 0;
     std::function<void()> other = [&] {
@@ -185,7 +184,7 @@
     CHECK(mostInARow == 1);
 }
 
-TEST_CASE("gateway session: a controller that reaches no leader any more is left, though it answers each beat",
+TEST_CASE("gateway session: it disconnects from a controller that has lost the leader but still answers heartbeats",
     "[gateway_session]")
 {
     link::event_loop loop;
@@ -203,5 +202,5 @@
     loop.runAt(begun + milliseconds(2500), [&loop] { loop.stop(); });
     loop.run();
     CHECK(cutOff.beats() > 3);
-    CHECK(other.beats() > 5); // from 0.9 s after the last answer on
+    CHECK(other.beats() > 5); // from 0.9 s after the last answer of the first controller
 }
