--- a/src/app/gateway/gateway_call.cpp
+++ b/src/app/gateway/gateway_call.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Carrying out what an exchange asks for.
+/// @brief Routing of a request, its attempts at targets and the response to the caller.
 #include "app/gateway/gateway_call.hpp"
 
 #include <algorithm>
@@ -7,47 +7,48 @@
 namespace buckthornrail::app {
 namespace {
 
-/// A connection that doesn't stand by then is given up; nothing has been written. Domains are 0.6 ms apart, and a
-/// target takes 1 ms for a new connection.
-constexpr milliseconds connectPatience { 150 };
-constexpr milliseconds reportPatience { 200 };
-/// Unread bytes at a caller from which on its target is read no more.
-constexpr std::size_t mostPendingBytes = 128U << 10U;
+/// No request bytes have been sent when it expires. The latency between failure domains is 0.6 ms, and a target accepts
+/// a connection within 1 ms.
+constexpr milliseconds connectTimeout { 150 };
+constexpr milliseconds reportTimeout { 200 };
+/// Bytes pending at a caller above which reading from its target pauses.
+constexpr std::size_t maxPendingBytes = 128U << 10U;
 constexpr gateway::exchange_options exchangeOptions {};
 constexpr http1::parser_limits responseLimits { 32U << 10U, 64U << 20U };
-/// When to come back after a refusal: a path that was lost is whole again after about three seconds.
-constexpr milliseconds noTargetPause { 1500 };
-/// A full path has room again soon, as streams end all the time: a caller that is back after so long can still have its
-/// first event within a latency target of 500 ms. After 300 ms few had: 0.013 of worth under a burst with losses.
-constexpr milliseconds busyPause { 120 };
-/// A suspect that runs somewhere is cleared, or proven, with its first events.
-constexpr milliseconds heldPause { 1000 };
-constexpr milliseconds elsewherePause { 10 }; ///< another gateway takes it at once
-/// A process that ends is up again so long after it is gone, with its first document.
+/// Retry-After of a refusal without a target. A lost path is restored after about three seconds.
+constexpr milliseconds noTargetRetryDelay { 1500 };
+/// Streams end continuously, so a full path soon has capacity again, and a caller that retries after this time can
+/// still get its first event within a latency target of 500 ms. With 300 ms few did, which lowered the score under a
+/// burst with target losses by 0.013.
+constexpr milliseconds busyRetryDelay { 120 };
+/// A suspected request that runs elsewhere is cleared or confirmed by its first events.
+constexpr milliseconds heldRetryDelay { 1000 };
+constexpr milliseconds shutdownRetryDelay { 10 }; ///< another gateway can accept the request at once
+/// Time from the exit of a gateway until its replacement has its first document.
 constexpr milliseconds restartTime { 700 };
-/// A gateway that ends is often gone sooner than it must be, and others that end with it as well.
-constexpr milliseconds longestRestartPause { 2500 };
+/// Gateways that shut down, and others that do so at the same time, often exit well before their deadline.
+constexpr milliseconds maxRestartRetryDelay { 2500 };
 
-milliseconds usualPause(result_code code)
+milliseconds defaultRetryDelay(result_code code)
 {
     switch (code) {
     case result_code::NoTarget:
     case result_code::NoConfiguration:
-        return noTargetPause;
+        return noTargetRetryDelay;
     case result_code::ShuttingDown:
-        return elsewherePause;
+        return shutdownRetryDelay;
     case result_code::RequestHeld:
-        return heldPause;
+        return heldRetryDelay;
     default:
-        return busyPause;
+        return busyRetryDelay;
     }
 }
 
 } // namespace
 
-gateway_call::gateway_call(gateway_context& context, call_sink& sink, http1::request_head head, std::string body)
+gateway_call::gateway_call(gateway_context& context, response_sink& sink, http1::request_head head, std::string body)
     : m_context(context)
-    , m_number(++context.lastCall)
+    , m_number(++context.lastCallNumber)
     , m_sink(&sink)
     , m_head(std::move(head))
     , m_body(std::move(body))
@@ -68,13 +69,13 @@
 {
     m_arrived = arrived;
     m_caller = m_context.dialect.readCaller(m_head);
-    m_context.lookForStandstill();
+    m_context.checkForStall();
     const auto now = steadyNow();
-    const auto waitsUntil = m_context.document ? m_context.confirmBy : m_context.youngUntil;
+    const auto waitsUntil = m_context.document ? m_context.confirmationDeadline : m_context.startupGraceUntil;
     if (now < waitsUntil) {
-        m_waits = true;
+        m_isWaiting = true;
         m_context.waiting.push_back(weak_from_this());
-        setTimer(std::min(waitsUntil, now + documentPatience));
+        wakeAt(std::min(waitsUntil, now + controllerTimeout));
         return;
     }
     route();
@@ -82,7 +83,7 @@
 
 void gateway_call::resume()
 {
-    if (!std::exchange(m_waits, false) || m_sink == nullptr)
+    if (!std::exchange(m_isWaiting, false) || m_sink == nullptr)
         return;
     m_timer.cancel();
     route();
@@ -91,7 +92,7 @@
 void gateway_call::route()
 {
     if (!m_context.document) {
-        refuse(result_code::NoConfiguration, "no document yet");
+        refuse(result_code::NoConfiguration, "no document received yet");
         return;
     }
     const auto& index = *m_context.document;
@@ -103,13 +104,13 @@
     }
     const auto holder = m_caller.key.empty() ? nullptr : index.findWorkspace(m_caller.key);
     if (index.rest()->needsKeys && !route->isPublic && holder == nullptr) {
-        refuse(result_code::Unauthorized, "no workspace holds the key");
+        refuse(result_code::Unauthorized, "missing or unknown API key");
         return;
     }
     if (holder != nullptr)
         m_workspace = holder->workspace;
-    if (m_context.isStopping && comesTooLate(*route)) {
-        refuse(result_code::ShuttingDown, "this gateway ends before the request could");
+    if (m_context.isStopping && outlastsShutdown(*route)) {
+        refuse(result_code::ShuttingDown, "the gateway shuts down before the request could finish");
         return;
     }
     gateway::exchange_request request;
@@ -128,13 +129,13 @@
     m_exchange->start(steadyNow());
 }
 
-bool gateway_call::comesTooLate(const gateway::route& route) const
+bool gateway_call::outlastsShutdown(const gateway::route& route) const
 {
     const auto now = steadyNow();
-    // How long a stream takes can't be told before: the caller names its longest answer, which few come near.
+    // The duration of a stream is unknown: the caller only states its maximum length, which few streams come near.
     if (route.kind == gateway::request_kind::Stream)
-        return now >= m_context.takesStreamsUntil;
-    return now + std::min(route.timeout, m_caller.patience.value_or(route.timeout)) > m_context.stopBy;
+        return now >= m_context.acceptStreamsUntil;
+    return now + std::min(route.longestWait, m_caller.patience.value_or(route.longestWait)) > m_context.stopDeadline;
 }
 
 void gateway_call::callerGone()
@@ -157,12 +158,12 @@
     std::uint32_t number, const gateway::selection& where, std::optional<std::uint64_t> lastEventId)
 {
     m_attempt = number;
-    m_where = where;
+    m_selection = where;
     m_parser = std::make_unique<http1::response_parser>(responseLimits);
-    m_events = {};
-    m_headTold = false;
+    m_eventReader = {};
+    m_isHeadReported = false;
     m_isStream = false;
-    m_connected = false;
+    m_isConnected = false;
     const auto now = steadyNow();
     gateway::forwarding_context added;
     added.targetId = where.parts.front().target.id;
@@ -182,7 +183,7 @@
         {
             [ifCurrent] {
                 ifCurrent([](gateway_call& self) {
-                    self.m_connected = true;
+                    self.m_isConnected = true;
                     self.m_connectTimer.cancel();
                     self.m_exchange->onSent(steadyNow());
                 });
@@ -197,10 +198,10 @@
     }
     m_context.crashes.onAttemptOpened(m_number, where.parts, now);
     m_channel->write(http1::formatRequest(m_context.dialect.writeForwarded(m_head, added), m_body));
-    m_connectTimer.set(now + connectPatience, [ifCurrent] {
+    m_connectTimer.set(now + connectTimeout, [ifCurrent] {
         ifCurrent([](gateway_call& self) {
-            if (!self.m_connected)
-                self.m_exchange->onAttemptFailed(gateway::attempt_failure::ConnectFailed, steadyNow());
+            if (!self.m_isConnected)
+                self.m_exchange->onLost(gateway::attempt_failure::NotReached, steadyNow());
         });
     });
 }
@@ -208,38 +209,38 @@
 void gateway_call::cancelAttempt()
 {
     m_connectTimer.cancel();
-    m_context.crashes.onAttemptClosed(m_number);
-    if (m_report)
-        std::exchange(m_report, nullptr)->cancel();
+    m_context.crashes.closed(m_number);
+    if (m_reportCall)
+        std::exchange(m_reportCall, nullptr)->cancel();
     if (m_channel)
         std::exchange(m_channel, nullptr)->abort(false);
 }
 
 void gateway_call::requestReport()
 {
-    if (m_report)
+    if (m_reportCall)
         return;
     const std::weak_ptr<gateway_call> weak = weak_from_this();
     m_context.metrics.count("reports_asked");
-    m_report = net::http_call::start(m_context.loop, m_where.parts.front().address,
-        { m_context.dialect.writeReportRequest(m_where.parts.front().target.id), {} }, steadyNow() + reportPatience,
+    m_reportCall = net::http_call::start(m_context.loop, m_selection.parts.front().address,
+        { m_context.dialect.writeReportCall(m_selection.parts.front().target.id), {} }, steadyNow() + reportTimeout,
         [weak, attempt = m_attempt, asked = steadyNow()](
             net::call_outcome outcome, const net::whole_response& response) {
             const auto self = weak.lock();
             if (!self || self->m_attempt != attempt)
                 return;
-            self->m_report = nullptr;
+            self->m_reportCall = nullptr;
             const bool answered = outcome == net::call_outcome::Answered;
-            constexpr int misdirected = 421; // another target has the address
+            constexpr int misdirected = 421; // the address belongs to another target
             if (answered && response.head.status != misdirected)
                 self->m_exchange->onPushback(
                     self->m_context.dialect.readPushback(response.head), false, asked, steadyNow());
             const auto read = answered ? self->m_context.dialect.readReport(response.body, self->m_caller.requestId)
                                        : tl::expected<std::string, failure>();
-            // One that can't be read names nobody; that it came shows that the target lives.
+            // An unreadable report names no faulty member, but shows that the target is alive.
             const std::string faulty = read.value_or(std::string());
             telemetry::logEvent(event_code::ReportReceived,
-                { { "request", self->m_caller.requestId }, { "target", text(self->m_where.parts.front().target) },
+                { { "request", self->m_caller.requestId }, { "target", text(self->m_selection.parts.front().target) },
                     { "outcome",
                         !answered  ? "none"
                             : read ? "answered"
@@ -251,12 +252,12 @@
 
 void gateway_call::probeMembers(steady_time aliveSince)
 {
-    for (const auto& part : m_where.parts) {
-        const bool isHeard
+    for (const auto& part : m_selection.parts) {
+        const bool isResponsive
             = std::any_of(m_context.openCalls.begin(), m_context.openCalls.end(), [&](const gateway_call* other) {
                   return other->m_exchange && other->m_exchange->hadEventThrough(part.target, aliveSince);
               });
-        if (!isHeard)
+        if (!isResponsive)
             m_context.reachability->check(part.address);
     }
 }
@@ -289,12 +290,11 @@
             return;
         }
     }
-    const auto loss = m_connected ? gateway::attempt_failure::ConnectionLost : gateway::attempt_failure::ConnectFailed;
+    const auto loss = m_isConnected ? gateway::attempt_failure::Broken : gateway::attempt_failure::NotReached;
     m_channel = nullptr;
-    if (loss == gateway::attempt_failure::ConnectionLost
-        && m_context.crashes.mayHaveCrashedTarget(m_number, steadyNow())) {
-        (void)m_context.crashes.onConnectionLost(m_number, fingerprint(), steadyNow());
-        m_context.reachability->checkAnew(m_where.parts.front().address);
+    if (loss == gateway::attempt_failure::Broken && m_context.crashes.isFresh(m_number, steadyNow())) {
+        (void)m_context.crashes.cutOff(m_number, fingerprint(), steadyNow());
+        m_context.reachability->checkAnew(m_selection.parts.front().address);
     }
     m_exchange->onAttemptFailed(loss, steadyNow());
 }
@@ -310,9 +310,9 @@
     }
     if (m_parser->state() == http1::parse_state::Head)
         return;
-    if (!m_headTold) {
-        m_headTold = true;
-        const auto decoded = m_context.dialect.readResponse(m_parser->head(), m_caller.requestId);
+    if (!m_isHeadReported) {
+        m_isHeadReported = true;
+        const auto decoded = m_context.dialect.readAnswer(m_parser->head(), m_caller.requestId);
         m_isStream = decoded.isEventStream && m_exchange->request().isStream() && decoded.status == 200;
         m_exchange->onHead(decoded, steadyNow());
         if (!isCurrent())
@@ -331,13 +331,13 @@
 void gateway_call::readStream()
 {
     const std::uint32_t attempt = m_attempt;
-    for (const auto& event : m_events.put(m_parser->takeBody())) {
+    for (const auto& event : m_eventReader.put(m_parser->takeBody())) {
         if (!m_channel || m_attempt != attempt)
             return;
         m_context.crashes.onFirstEvent(m_number, steadyNow());
         m_exchange->onEvent(event.bytes, event.id, steadyNow());
     }
-    if (m_channel && m_sink != nullptr && m_sink->pendingBytes() > mostPendingBytes)
+    if (m_channel && m_sink != nullptr && m_sink->pendingBytes() > maxPendingBytes)
         m_channel->setReading(false);
 }
 
@@ -358,7 +358,7 @@
     m_sink->write(http1::formatResponse(head, m_parser->takeBody(), m_sink->keepsAlive()));
     countAnswer(head.status < 300 ? "served" : "target_failure");
     if (head.status < 300)
-        noteAnswered();
+        recordAnswered();
     finish(false);
 }
 
@@ -366,14 +366,14 @@
 {
     m_streamHead = m_parser->head();
     m_streamHead.fields = answerFields(m_streamHead);
-    m_streamHeadPending = true; // goes out together with the first event
+    m_isStreamHeadPending = true; // written together with the first event
 }
 
 void gateway_call::forwardEvent(std::string_view bytes)
 {
     if (m_sink == nullptr)
         return;
-    if (std::exchange(m_streamHeadPending, false)) {
+    if (std::exchange(m_isStreamHeadPending, false)) {
         m_context.metrics.observeMs("first_event_ms",
             static_cast<double>(std::chrono::duration_cast<milliseconds>(steadyNow() - m_arrived).count()));
         m_sink->write(http1::formatChunkedHead(m_streamHead, m_sink->keepsAlive()) + http1::formatChunk(bytes));
@@ -388,7 +388,7 @@
         return;
     m_sink->write(http1::lastChunk);
     countAnswer("served");
-    noteAnswered();
+    recordAnswered();
     finish(false);
 }
 
@@ -407,15 +407,16 @@
     sendError(code, ran_state::No, reason);
 }
 
-milliseconds gateway_call::comeBackAfter(result_code code) const
+milliseconds gateway_call::retryDelay(result_code code) const
 {
     if (m_exchange && m_exchange->roomExpectedAt())
-        return std::max(busyPause, between(steadyNow(), *m_exchange->roomExpectedAt()));
-    if (code != result_code::ShuttingDown || m_sink->openedAt() < m_context.takesStreamsUntil)
-        return usualPause(code);
-    // The balancer has long left this gateway out, and still leads new connections here: no other one is there.
-    const auto untilEnd = std::chrono::duration_cast<milliseconds>(m_context.stopBy - steadyNow());
-    return std::min(std::max(untilEnd, milliseconds(0)) + restartTime, longestRestartPause);
+        return std::max(busyRetryDelay, between(steadyNow(), *m_exchange->roomExpectedAt()));
+    if (code != result_code::ShuttingDown || m_sink->openedAt() < m_context.acceptStreamsUntil)
+        return defaultRetryDelay(code);
+    // The load balancer has stopped using this gateway, yet new connections still arrive: no other gateway is
+    // available.
+    const auto untilEnd = std::chrono::duration_cast<milliseconds>(m_context.stopDeadline - steadyNow());
+    return std::min(std::max(untilEnd, milliseconds(0)) + restartTime, maxRestartRetryDelay);
 }
 
 void gateway_call::sendError(result_code code, ran_state ran, const std::string& /*reason*/)
@@ -427,18 +428,18 @@
         "{\"code\":" + std::to_string(static_cast<int>(code)) + ",\"name\":\"" + std::string(info.name)
             + "\",\"ran\":\"" + std::string(nameOf(ran)) + "\"}");
     if (ran == ran_state::No && info.retryAfterSeconds > 0)
-        response.head.fields.push_back(m_context.dialect.writeRetryAfter(comeBackAfter(code)));
+        response.head.fields.push_back(m_context.dialect.writeComeBack(retryDelay(code)));
     m_sink->write(http1::formatResponse(response.head, response.body, m_sink->keepsAlive()));
     countAnswer(std::string(info.name));
     finish(false);
 }
 
-void gateway_call::finish(bool broken)
+void gateway_call::finish(bool aborted)
 {
     m_timer.cancel();
     auto* sink = std::exchange(m_sink, nullptr);
     if (sink != nullptr)
-        sink->finished(broken);
+        sink->finished(aborted);
 }
 
 void gateway_call::countAnswer(const std::string& outcome)
--- a/src/app/gateway/gateway_call_quarantine.cpp
+++ b/src/app/gateway/gateway_call_quarantine.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A call's part in finding requests that end targets: whether it may run, and what its answer clears.
+/// @brief Quarantine of requests that crash targets: whether a call may be dispatched, and clearing it of suspicion.
 #include "app/gateway/gateway_call.hpp"
 
 #include "buckthornrail/gateway/fingerprint_request.hpp"
@@ -13,14 +13,14 @@
         return gateway::dispatch_verdict::Wait;
     if (m_context.quarantine.isEmpty())
         return gateway::dispatch_verdict::Go;
-    const auto verdict = m_context.quarantine.requestDispatch(m_number, fingerprint(), where.parts.front().target, now);
-    noteVerdict(verdict, where);
-    if (m_context.quarantine.hasUnsentChanges())
-        m_context.sendNews();
+    const auto verdict = m_context.quarantine.mayBegin(m_number, fingerprint(), where.parts.front().target, now);
+    logVerdict(verdict, where);
+    if (m_context.quarantine.hasNews())
+        m_context.requestHeartbeat();
     return verdict;
 }
 
-void gateway_call::noteVerdict(gateway::dispatch_verdict verdict, const gateway::selection& where)
+void gateway_call::logVerdict(gateway::dispatch_verdict verdict, const gateway::selection& where)
 {
     if (std::exchange(m_verdict, verdict) == verdict)
         return;
@@ -44,7 +44,7 @@
         m_exchange->onQuarantineChanged(steadyNow());
 }
 
-void gateway_call::noteAnswered()
+void gateway_call::recordAnswered()
 {
     if (m_context.quarantine.isEmpty())
         return;
@@ -54,7 +54,7 @@
     telemetry::logEvent(event_code::RequestCleared,
         { { "request", m_caller.requestId }, { "fingerprint", text(fingerprint()) },
             { "stage", std::string(nameIn(registry::quarantineStageNames, stage)) } });
-    m_context.sendNews();
+    m_context.requestHeartbeat();
 }
 
 request_fingerprint gateway_call::fingerprint()
--- a/src/app/gateway/gateway_document.cpp
+++ b/src/app/gateway/gateway_document.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Taking changes of the document over.
+/// @brief Decoding and activating changes of the document.
 #include "app/gateway/gateway_document.hpp"
 
 namespace buckthornrail::app {
@@ -14,7 +14,7 @@
     if (taken || taken.error().code != result_code::InvalidDocument)
         return taken;
     logUnreadable(slice.to, taken.error());
-    m_needsWhole = true;
+    m_needsFullDocument = true;
     return {};
 }
 
@@ -37,14 +37,14 @@
     return {};
 }
 
-tl::expected<bool, failure> gateway_document::putInForce()
+tl::expected<bool, failure> gateway_document::activate()
 {
     bool isChanged = false;
     for (auto& finished : m_assembly.takeCompleted()) {
         if (finished.change.to <= version())
-            continue; // sent before the controller knew what is held
-        if (const auto put = putInForce(std::move(finished)); !put) {
-            m_needsWhole = true;
+            continue; // sent before the controller knew which version is held
+        if (const auto put = activate(std::move(finished)); !put) {
+            m_needsFullDocument = true;
             return tl::make_unexpected(put.error());
         }
         isChanged = true;
@@ -52,17 +52,18 @@
     return isChanged;
 }
 
-tl::expected<void, failure> gateway_document::putInForce(gateway::completed_change finished)
+tl::expected<void, failure> gateway_document::activate(gateway::completed_change finished)
 {
     if (!finished.whole) {
         if (m_index)
             return m_index->apply(finished.change);
-        return tl::make_unexpected(failure { result_code::MalformedMessage, "a change, and no document is held" });
+        return tl::make_unexpected(
+            failure { result_code::MalformedMessage, "change received, but no document is held" });
     }
     if (auto sealed = finished.whole->finalize(finished.change.to, finished.change.digest); !sealed)
         return sealed;
     m_index = std::move(finished.whole);
-    m_needsWhole = false;
+    m_needsFullDocument = false;
     return {};
 }
 
--- a/src/app/gateway/gateway_session_test.cpp
+++ b/src/app/gateway/gateway_session_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Finding the controller that leads.
+/// @brief Choosing a controller that reaches the leader.
 #include "app/gateway/gateway_session.hpp"
 #include "platform/dialects.hpp"
 
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// A controller that answers each beat, as one that a quorum has confirmed or as one that reaches no leader.
-class stand_in_controller {
+/// A controller that answers each heartbeat, either as confirmed by a quorum or as one that reaches no leader.
+class fake_controller {
 public:
-    stand_in_controller(link::event_loop& loop, bool serves)
+    fake_controller(link::event_loop& loop, bool serves)
         : m_serves(serves)
         , m_hub(loop,
               link::hub_handlers { [this](link::channel_number, bool) { ++m_sessions; }, [](link::channel_number) {},
@@ -23,7 +23,7 @@
                       link::gateway_update update;
                       update.isServed = m_serves;
                       update.controllers = m_places;
-                      ++m_beats;
+                      ++m_heartbeats;
                       m_hub.send(channel, link::encode(link::message(update)));
                   } })
         , m_port(m_hub.listen("127.0.0.1:0"))
@@ -31,20 +31,20 @@
     }
 
     [[nodiscard]] std::string address() const { return "127.0.0.1:" + std::to_string(m_port); }
-    [[nodiscard]] int beats() const { return m_beats; }
+    [[nodiscard]] int beats() const { return m_heartbeats; }
     [[nodiscard]] int sessions() const { return m_sessions; }
-    /// @brief It reaches a leader again, or none any more.
+    /// @brief Sets whether it reaches a leader.
     void setServes(bool serves) { m_serves = serves; }
-    /// @brief It is gone.
+    /// @brief Closes its listener and links.
     void stop() { m_hub.stop(); }
-    /// @brief What it tells of all controllers.
+    /// @brief Sets the controllers that it reports.
     void setPlaces(std::vector<link::controller_place> places) { m_places = std::move(places); }
 
 private:
     bool m_serves;
     link::link_hub m_hub;
     std::uint16_t m_port;
-    int m_beats = 0;
+    int m_heartbeats = 0;
     int m_sessions = 0;
     std::vector<link::controller_place> m_places;
 };
@@ -53,31 +53,30 @@
 
 namespace {
 
-gateway_session_callbacks silentCallbacks()
+gateway_session_callbacks emptyCallbacks()
 {
     gateway_session_callbacks callbacks;
     callbacks.documentChanged = [] {};
     callbacks.targetsChanged = [](const registry::target_view&) {};
     callbacks.openAttempts = [] { return 0U; };
     callbacks.loads = [] { return registry::target_loads(); };
-    callbacks.othersLoads = [](const registry::target_loads&) {};
-    callbacks.tellRepeats = [](link::gateway_beat&) {};
-    callbacks.tellQuarantine = [](link::gateway_beat&, bool) {};
-    callbacks.quarantineTold = [](const link::gateway_update&) {};
-    callbacks.takeDarkTargets = [] { return std::vector<registry::target_incarnation>(); };
-    callbacks.served = [](const link::gateway_update&) {};
+    callbacks.otherLoadsReceived = [](const registry::target_loads&) {};
+    callbacks.fillRetries = [](link::gateway_beat&) {};
+    callbacks.fillQuarantine = [](link::gateway_beat&, bool) {};
+    callbacks.quarantineReceived = [](const link::gateway_update&) {};
+    callbacks.takeUnreachableTargets = [] { return std::vector<registry::target_incarnation>(); };
+    callbacks.updateReceived = [](const link::gateway_update&) {};
     return callbacks;
 }
 
 } // namespace
 
-TEST_CASE("gateway session: it doesn't move back to the controller of its own domain that it has just lost",
-    "[gateway_session]")
+TEST_CASE("gateway session: it doesn't move back at once to a lost controller of its own domain", "[gateway_session]")
 {
     constexpr milliseconds enough { 1500 };
     link::event_loop loop;
-    stand_in_controller near(loop, true);
-    stand_in_controller far(loop, true);
+    fake_controller near(loop, true);
+    fake_controller far(loop, true);
     const std::vector<link::controller_place> places { { near.address(), "", "own" }, { far.address(), "", "other" } };
     near.setPlaces(places);
     far.setPlaces(places);
@@ -87,7 +86,7 @@
     settings.heartbeatMs = 100;
     settings.controllers = { near.address() };
     gateway_document held(platform::controlDialect());
-    gateway_session session(loop, settings, held, silentCallbacks());
+    gateway_session session(loop, settings, held, emptyCallbacks());
     const auto begun = boot_clock::now();
     int nearBeats = 0;
     int farBeats = 0;
@@ -100,28 +99,28 @@
     loop.run();
     CHECK(nearBeats > 8);
     CHECK(farBeats == 0);
-    CHECK(far.beats() > 11); // of 15; a try of the one that is gone would cost the session and two beats
+    CHECK(far.beats() > 11); // of 15; a try of the stopped one would cost the session and two heartbeats
     CHECK(far.sessions() == 1);
 }
 
-TEST_CASE("gateway session: controllers without a leader are left soon", "[gateway_session]")
+TEST_CASE("gateway session: it disconnects soon from controllers without a leader", "[gateway_session]")
 {
-    // Two rounds past five of them at the old patience of 900 ms each would take four seconds and more.
+    // Two rounds past the five of them, with a timeout of 900 ms each, would take more than four seconds.
     constexpr milliseconds enough { 2000 };
     link::event_loop loop;
-    std::vector<std::unique_ptr<stand_in_controller>> leaderless;
+    std::vector<std::unique_ptr<fake_controller>> leaderless;
     settings::settings settings;
     settings.id = "gateway";
     settings.heartbeatMs = 300;
-    stand_in_controller leader(loop, true);
+    fake_controller leader(loop, true);
     for (int at = 0; at < 5; ++at) {
-        leaderless.push_back(std::make_unique<stand_in_controller>(loop, false));
+        leaderless.push_back(std::make_unique<fake_controller>(loop, false));
         settings.controllers.push_back(leaderless.back()->address());
     }
     settings.controllers.push_back(leader.address());
     bool isServed = false;
-    auto callbacks = silentCallbacks();
-    callbacks.served = [&](const link::gateway_update&) {
+    auto callbacks = emptyCallbacks();
+    callbacks.updateReceived = [&](const link::gateway_update&) {
         isServed = true;
         loop.stop();
     };
@@ -133,7 +132,7 @@
     CHECK(leader.beats() > 0);
 }
 
-TEST_CASE("gateway session: slices that come together are taken one a turn of the loop", "[gateway_session]")
+TEST_CASE("gateway session: slices that arrive together are processed one per turn of the loop", "[gateway_session]")
 {
     constexpr int routes = 3000;
     link::event_loop loop;
@@ -161,10 +160,10 @@
     settings.id = "gateway";
     settings.controllers = { "127.0.0.1:" + std::to_string(controller->listen("127.0.0.1:0")) };
     gateway_document held(platform::controlDialect());
-    auto callbacks = silentCallbacks();
+    auto callbacks = emptyCallbacks();
     callbacks.documentChanged = [&loop] { loop.stop(); };
     gateway_session session(loop, settings, held, std::move(callbacks));
-    // Other work that is always ready gets a turn between any two slices.
+    // Other work, always ready, must run between any two slices.
     std::size_t slicesInARow = 0;
     std::size_t mostInARow = 0;
     std::function<void()> other = [&] {
@@ -185,23 +184,23 @@
     CHECK(mostInARow == 1);
 }
 
-TEST_CASE("gateway session: a controller that reaches no leader any more is left, though it answers each beat",
+TEST_CASE("gateway session: it disconnects from a controller that has lost the leader but still answers heartbeats",
     "[gateway_session]")
 {
     link::event_loop loop;
-    stand_in_controller cutOff(loop, true);
-    stand_in_controller other(loop, true);
+    fake_controller cutOff(loop, true);
+    fake_controller other(loop, true);
     settings::settings settings;
     settings.id = "gateway";
     settings.heartbeatMs = 100;
     settings.controllers = { cutOff.address() };
     cutOff.setPlaces({ { cutOff.address(), "", "" }, { other.address(), "", "" } });
     gateway_document held(platform::controlDialect());
-    gateway_session session(loop, settings, held, silentCallbacks());
+    gateway_session session(loop, settings, held, emptyCallbacks());
     const auto begun = boot_clock::now();
     loop.runAt(begun + milliseconds(500), [&cutOff] { cutOff.setServes(false); });
     loop.runAt(begun + milliseconds(2500), [&loop] { loop.stop(); });
     loop.run();
     CHECK(cutOff.beats() > 3);
-    CHECK(other.beats() > 5); // from 0.9 s after the last answer on
+    CHECK(other.beats() > 5); // from 0.9 s after the last answer of the first controller
 }
