--- a/src/app/gateway/caller_channel.cpp
+++ b/src/app/gateway/caller_channel.cpp
@@ -55,7 +55,7 @@
         m_hasRequestStarted = true;
         m_firstByte = steadyNow();
         const std::weak_ptr<caller_channel> weak = weak_from_this();
-        m_timeoutTimer.set(m_firstByte + m_gateway.limits().headPatience, [weak] {
+        m_timeoutTimer.set(m_firstByte + m_gateway.limits().headerTimeout, [weak] {
             const auto self = weak.lock();
             if (self && !self->m_call)
                 self->refuse(result_code::SlowSender);
@@ -135,7 +135,7 @@
 void caller_channel::startIdleTimer()
 {
     const std::weak_ptr<caller_channel> weak = weak_from_this();
-    m_timeoutTimer.set(steadyNow() + m_gateway.limits().idlePatience, [weak] {
+    m_timeoutTimer.set(steadyNow() + m_gateway.limits().idleTimeout, [weak] {
         const auto self = weak.lock();
         if (self && !self->m_call)
             self->close();
--- a/src/app/gateway/gateway.cpp
+++ b/src/app/gateway/gateway.cpp
@@ -57,9 +57,9 @@
               [this](const registry::target_view& targets) { onTargets(targets); },
               [this] { return static_cast<std::uint32_t>(m_context.pool.openAttempts()); },
               [this] { return m_context.pool.loads(); },
-              [this](const registry::target_loads& others) { m_context.pool.setOthersLoads(others, steadyNow()); },
+              [this](const registry::target_loads& others) { m_context.pool.setOtherGatewayLoads(others, steadyNow()); },
               [this](const link::gateway_update& update) { onSessionUpdate(update); },
-              [this] { return m_context.pool.takeDark(); },
+              [this] { return m_context.pool.takeUnreachable(); },
               [this](link::gateway_beat& beat) {
                   beat.repeats = m_context.budgets.spent(steadyNow());
                   beat.isRepeatsComplete = m_context.budgets.isComplete(steadyNow());
@@ -70,9 +70,9 @@
                   m_context.confirmationDeadline = {};
                   resumeWaitingCalls();
               },
-              [this](bool all) { return m_context.pool.takeLimitNews(all, steadyNow()); },
+              [this](bool all) { return m_context.pool.takeLimitReports(all, steadyNow()); },
               [this](const std::vector<registry::limit_report>& news) { onRemoteLimits(news); },
-              [this] { return m_context.pool.leavingUnknown(); },
+              [this] { return m_context.pool.unreportedLeaving(); },
           })
     , m_stallCheck(loop, stallCheckPeriod, [this] { checkForStall(); })
 {
@@ -152,7 +152,7 @@
         m_context.budgets.restoreSpent(update.earlierRepeats.front(), now);
     if (update.budgetSharers == 0)
         return; // unknown to the leader yet: the previous count stays valid
-    m_context.budgets.toldGateways(update.budgetSharers, now);
+    m_context.budgets.setGatewayCount(update.budgetSharers, now);
     if (update.ordinal)
         m_context.pool.setShare({ update.budgetSharers, *update.ordinal }, now);
     const std::size_t before = std::exchange(m_context.budgetSharers, update.budgetSharers);
@@ -243,7 +243,7 @@
 {
     const auto target = m_context.pool.idAt(address);
     if (found == net::reachability::Refused) {
-        m_context.pool.endedAt(address);
+        m_context.pool.markEnded(address);
         recordCrashes(address, {});
     } else {
         m_context.pool.markUnresponsive(address);
@@ -260,7 +260,7 @@
 
 void gateway_role::onReachable(const std::string& address)
 {
-    m_context.crashes.lives(address);
+    m_context.crashes.onTargetAlive(address);
     notifyQuarantineChanged();
 }
 
@@ -272,7 +272,7 @@
         return found == m_context.openCalls.end() ? request_fingerprint {} : (*found)->fingerprint();
     };
     bool hasCrashes = false;
-    for (const auto& report : m_context.crashes.ended(address, replacement, fingerprintOf, steadyNow())) {
+    for (const auto& report : m_context.crashes.onTargetsEnded(address, replacement, fingerprintOf, steadyNow())) {
         // A target that is leaving, or has deregistered, ends on its own.
         if (replacement.empty() && m_context.pool.isLeaving(report.target))
             continue;
--- a/src/app/gateway/gateway_call.cpp
+++ b/src/app/gateway/gateway_call.cpp
@@ -75,7 +75,7 @@
     if (now < waitsUntil) {
         m_isWaiting = true;
         m_context.waiting.push_back(weak_from_this());
-        wakeAt(std::min(waitsUntil, now + controllerTimeout));
+        setTimer(std::min(waitsUntil, now + controllerTimeout));
         return;
     }
     route();
@@ -120,7 +120,7 @@
     std::uniform_real_distribution<double> draw(0, 1);
     request.service = gateway::pickService(*route, draw(m_context.random));
     request.arrived = m_arrived;
-    request.deadline = m_arrived + std::min(route->timeout, m_caller.patience.value_or(route->timeout));
+    request.deadline = m_arrived + std::min(route->timeout, m_caller.timeout.value_or(route->timeout));
     request.lastEventId = m_caller.lastEventId;
     request.size = m_caller.size;
     auto& budget = m_context.budgets.of(request.service);
@@ -135,7 +135,7 @@
     // The duration of a stream is unknown: the caller only states its maximum length, which few streams come near.
     if (route.kind == gateway::request_kind::Stream)
         return now >= m_context.acceptStreamsUntil;
-    return now + std::min(route.longestWait, m_caller.patience.value_or(route.longestWait)) > m_context.stopDeadline;
+    return now + std::min(route.timeout, m_caller.timeout.value_or(route.timeout)) > m_context.stopDeadline;
 }
 
 void gateway_call::callerGone()
@@ -201,7 +201,7 @@
     m_connectTimer.set(now + connectTimeout, [ifCurrent] {
         ifCurrent([](gateway_call& self) {
             if (!self.m_isConnected)
-                self.m_exchange->onLost(gateway::attempt_failure::NotReached, steadyNow());
+                self.m_exchange->onAttemptFailed(gateway::attempt_failure::ConnectFailed, steadyNow());
         });
     });
 }
@@ -209,7 +209,7 @@
 void gateway_call::cancelAttempt()
 {
     m_connectTimer.cancel();
-    m_context.crashes.closed(m_number);
+    m_context.crashes.onAttemptClosed(m_number);
     if (m_reportCall)
         std::exchange(m_reportCall, nullptr)->cancel();
     if (m_channel)
@@ -223,7 +223,7 @@
     const std::weak_ptr<gateway_call> weak = weak_from_this();
     m_context.metrics.count("reports_asked");
     m_reportCall = net::http_call::start(m_context.loop, m_selection.parts.front().address,
-        { m_context.dialect.writeReportCall(m_selection.parts.front().target.id), {} }, steadyNow() + reportTimeout,
+        { m_context.dialect.writeReportRequest(m_selection.parts.front().target.id), {} }, steadyNow() + reportTimeout,
         [weak, attempt = m_attempt, asked = steadyNow()](
             net::call_outcome outcome, const net::whole_response& response) {
             const auto self = weak.lock();
@@ -290,10 +290,10 @@
             return;
         }
     }
-    const auto loss = m_isConnected ? gateway::attempt_failure::Broken : gateway::attempt_failure::NotReached;
+    const auto loss = m_isConnected ? gateway::attempt_failure::ConnectionLost : gateway::attempt_failure::ConnectFailed;
     m_channel = nullptr;
-    if (loss == gateway::attempt_failure::Broken && m_context.crashes.isFresh(m_number, steadyNow())) {
-        (void)m_context.crashes.cutOff(m_number, fingerprint(), steadyNow());
+    if (loss == gateway::attempt_failure::ConnectionLost && m_context.crashes.mayHaveCrashedTarget(m_number, steadyNow())) {
+        (void)m_context.crashes.onConnectionLost(m_number, fingerprint(), steadyNow());
         m_context.reachability->checkAnew(m_selection.parts.front().address);
     }
     m_exchange->onAttemptFailed(loss, steadyNow());
@@ -312,7 +312,7 @@
         return;
     if (!m_isHeadReported) {
         m_isHeadReported = true;
-        const auto decoded = m_context.dialect.readAnswer(m_parser->head(), m_caller.requestId);
+        const auto decoded = m_context.dialect.readResponse(m_parser->head(), m_caller.requestId);
         m_isStream = decoded.isEventStream && m_exchange->request().isStream() && decoded.status == 200;
         m_exchange->onHead(decoded, steadyNow());
         if (!isCurrent())
@@ -428,7 +428,7 @@
         "{\"code\":" + std::to_string(static_cast<int>(code)) + ",\"name\":\"" + std::string(info.name)
             + "\",\"ran\":\"" + std::string(nameOf(ran)) + "\"}");
     if (ran == ran_state::No && info.retryAfterSeconds > 0)
-        response.head.fields.push_back(m_context.dialect.writeComeBack(retryDelay(code)));
+        response.head.fields.push_back(m_context.dialect.writeRetryAfter(retryDelay(code)));
     m_sink->write(http1::formatResponse(response.head, response.body, m_sink->keepsAlive()));
     countAnswer(std::string(info.name));
     finish(false);
--- a/src/app/gateway/gateway_call_quarantine.cpp
+++ b/src/app/gateway/gateway_call_quarantine.cpp
@@ -13,9 +13,9 @@
         return gateway::dispatch_verdict::Wait;
     if (m_context.quarantine.isEmpty())
         return gateway::dispatch_verdict::Go;
-    const auto verdict = m_context.quarantine.mayBegin(m_number, fingerprint(), where.parts.front().target, now);
+    const auto verdict = m_context.quarantine.requestDispatch(m_number, fingerprint(), where.parts.front().target, now);
     logVerdict(verdict, where);
-    if (m_context.quarantine.hasNews())
+    if (m_context.quarantine.hasUnsentChanges())
         m_context.requestHeartbeat();
     return verdict;
 }
--- a/src/app/registry/document_feed.cpp
+++ b/src/app/registry/document_feed.cpp
@@ -97,7 +97,7 @@
         return messages;
     }
     if (m_fullDocument.empty()) {
-        if (const auto outline = m_dialect.cutDocument(newest.text))
+        if (const auto outline = m_dialect.splitDocument(newest.text))
             m_fullDocument = encodeAll(document::slicesOf(*outline));
     }
     for (const auto& message : m_fullDocument)
--- a/src/app/registry/layer_orders.cpp
+++ b/src/app/registry/layer_orders.cpp
@@ -143,9 +143,9 @@
         if (isPlanned(record))
             domains[record.failureDomain].push_back(needsOf(record, engine));
     }
-    std::map<std::string, double> comfortableTokens;
+    std::map<std::string, double> preferredTokens;
     for (const auto& [domain, accelerators] : domains)
-        comfortableTokens[domain] = registry::comfortableTokens(accelerators, engine.layers);
+        preferredTokens[domain] = registry::preferredTokens(accelerators, engine.layers);
     std::vector<registry::plan_target> candidates;
     for (const auto& [id, record] : targets.records()) {
         if (!isPlanned(record))
@@ -154,7 +154,7 @@
         const bool isSettled = open == m_openOrders.end();
         auto needs = needsOf(record, engine);
         const std::uint32_t capacity = std::min(engine.layers, registry::layersThatFit(needs));
-        needs.tokens = comfortableTokens[record.failureDomain];
+        needs.tokens = preferredTokens[record.failureDomain];
         const std::uint32_t comfortableLayers = std::min(capacity, registry::layersThatFit(needs));
         candidates.push_back({ id, record.failureDomain, capacity, comfortableLayers,
             isSettled ? record.layers : open->second.layers, isSettled });
@@ -168,7 +168,7 @@
 
 void layer_orders::requestReport(const registry::target_record& record, open_order& order, steady_time now)
 {
-    order.call = net::http_call::start(m_loop, record.address, { m_dialect.writeReportCall(record.id), {} },
+    order.call = net::http_call::start(m_loop, record.address, { m_dialect.writeReportRequest(record.id), {} },
         now + callTimeout, [this, record](net::call_outcome outcome, const net::whole_response& response) {
             onReport(record, outcome, response);
         });
--- a/src/app/registry/registry.cpp
+++ b/src/app/registry/registry.cpp
@@ -236,8 +236,8 @@
     } else if (const auto* report = std::get_if<link::member_report>(&*message)) {
         onReport(channel, *report);
     } else if (const auto* answer = std::get_if<registry::fleet_report>(&*message)) {
-        m_board.told(*answer, m_state.targets());
-        m_limits.take(answer->limits, registry::limit_source::Leader, m_state.targets(), steadyNow());
+        m_board.applyLeaderAnswer(*answer, m_state.targets());
+        m_limits.merge(answer->limits, registry::limit_source::Leader, m_state.targets(), steadyNow());
         m_sumsReceivedAt = steadyNow();
     }
 }
--- a/src/app/registry/registry.hpp
+++ b/src/app/registry/registry.hpp
@@ -133,7 +133,7 @@
     /// @brief Address for a target's next heartbeats: a controller of its own failure domain if there is one.
     [[nodiscard]] std::string nextHeartbeatAddress(const registry::target_record& record) const;
     /// @brief Targets that are rate-limited or draining, and those that requested a backoff from this controller.
-    [[nodiscard]] std::vector<gateway::restricted_target> heldTargets(steady_time now) const;
+    [[nodiscard]] std::vector<gateway::restricted_target> restrictedTargets(steady_time now) const;
     [[nodiscard]] net::whole_response statusPage() const;
 
     link::event_loop& m_loop;
--- a/src/app/registry/registry_sessions.cpp
+++ b/src/app/registry/registry_sessions.cpp
@@ -45,9 +45,9 @@
     gatewaySession.targetRevision = std::max(gatewaySession.targetRevision, heartbeat.targetRevision);
     const registry::gateway_usage life { heartbeat.instance, heartbeat.life, heartbeat.repeats,
         heartbeat.isRepeatsComplete };
-    m_board.heard(channel, { life, heartbeat.openAttempts, heartbeat.targetRevision, heartbeat.loads },
+    m_board.recordHeartbeat(channel, { life, heartbeat.openAttempts, heartbeat.targetRevision, heartbeat.loads },
         m_state.targets(), steadyNow());
-    m_limits.take(heartbeat.limits, registry::limit_source::Below, m_state.targets(), steadyNow());
+    m_limits.merge(heartbeat.limits, registry::limit_source::Downstream, m_state.targets(), steadyNow());
     gatewaySession.pendingSequence = heartbeat.sequence;
     gatewaySession.deadline = steadyNow() + sessionLifetime;
     queueQuarantineChanges(channel, gatewaySession, heartbeat);
@@ -81,7 +81,7 @@
     for (const auto& target : report.darkTargets)
         m_watch.probeSuspect(target);
     markDraining(report.leavingTargets);
-    m_limits.take(report.limits, registry::limit_source::Below, m_state.targets(), steadyNow());
+    m_limits.merge(report.limits, registry::limit_source::Downstream, m_state.targets(), steadyNow());
     auto answer = m_board.answer(channel, report.sessions, m_state.targets(), steadyNow());
     auto& sentRevision = m_memberLimitsSent[channel];
     answer.limits = m_limits.changesSince(std::exchange(sentRevision, m_limits.revision()), steadyNow());
--- a/src/app/registry/target_backoffs.cpp
+++ b/src/app/registry/target_backoffs.cpp
@@ -14,7 +14,7 @@
     std::erase_if(m_ends, [now](const auto& item) { return now >= item.second; });
     if (outcome != net::call_outcome::Answered)
         return false;
-    const auto delay = m_dialect.readRest(response.head);
+    const auto delay = m_dialect.readRetryAfter(response.head);
     if (!delay)
         return false;
     auto& end = m_ends[target];
--- a/src/app/registry/target_watch.cpp
+++ b/src/app/registry/target_watch.cpp
@@ -68,7 +68,7 @@
     if (m_verifications.contains(target) || m_backoffs.isBackingOff(target, steadyNow()))
         return;
     m_verifications[target] = net::http_call::start(m_loop, record.address,
-        { m_dialect.writeReportCall(record.id), {} }, steadyNow() + probeTimeout,
+        { m_dialect.writeReportRequest(record.id), {} }, steadyNow() + probeTimeout,
         [this, record, target, onAlive = std::move(onAlive)](
             net::call_outcome outcome, const net::whole_response& response) {
             const auto ended = m_verifications.extract(target);
@@ -96,7 +96,7 @@
     m_leasedRevision = m_targets.revision();
     for (const auto& [id, record] : m_targets.records()) {
         // A new leader has received no announcements yet, so each target gets a full lease.
-        if (!registry::isOver(record))
+        if (!registry::isGoneOrLost(record))
             m_leases.begin(id, nextLeaseEnd());
     }
     std::erase_if(m_newestAnnouncements, [this](const auto& item) { return m_targets.find(item.first) == nullptr; });
@@ -122,7 +122,7 @@
 void target_watch::probe(const registry::target_record& record)
 {
     const auto target = record.incarnation();
-    m_probes[target] = net::http_call::start(m_loop, record.address, { m_dialect.writeReportCall(record.id), {} },
+    m_probes[target] = net::http_call::start(m_loop, record.address, { m_dialect.writeReportRequest(record.id), {} },
         steadyNow() + probeTimeout, [this, target](net::call_outcome outcome, const net::whole_response& response) {
             onProbed(target, outcome, response);
         });
--- a/src/buckthornrail/gateway/exchange.cpp
+++ b/src/buckthornrail/gateway/exchange.cpp
@@ -46,7 +46,7 @@
         finish(result_code::NoTarget, ran_state::No, "no usable target or path", now);
         return;
     }
-    if (!selected->hasRoom) {
+    if (!selected->hasCapacity) {
         finish(result_code::Busy, ran_state::No, "no path with free capacity: " + selected->summary, now);
         return;
     }
@@ -132,7 +132,7 @@
             = response.faultyAddress.empty() ? first : m_pool.idAt(response.faultyAddress);
         if (faulty.empty())
             faulty = first; // the named target is no longer known here
-        const bool asksForPause = response.pushback && response.pushback->rest;
+        const bool asksForPause = response.pushback && response.pushback->retryAfter;
         if (faulty != first || !asksForPause)
             m_pool.refused(faulty, now);
         m_bounds.excluded.insert(faulty);
@@ -206,13 +206,13 @@
     if (m_paceEvents == 0) {
         m_paceStart = now;
         m_hasFirstEvent = true;
-        m_pool.promptRead(m_selection, m_request.size);
-        m_pool.paced(
+        m_pool.prefillFinished(m_selection, m_request.size);
+        m_pool.recordLatency(
             m_selection, latency_kind::FirstEvent, static_cast<double>(between(m_attemptStart, now).count()), now);
     }
     if (m_paceEvents++ == m_options.paceSampleEvents) {
         const std::chrono::duration<double, std::milli> took = now - m_paceStart;
-        m_pool.paced(
+        m_pool.recordLatency(
             m_selection, latency_kind::NextEvent, took.count() / static_cast<double>(m_options.paceSampleEvents), now);
         m_paceEvents = 1;
         m_paceStart = now;
@@ -309,9 +309,9 @@
     if (last.ran != ran_state::No && !last.targetEnded)
         next.countedTargets.insert(m_selection.parts.front().target);
     // The route limits the number of targets, not of attempts: a target that ran the request may run it again.
-    bounds.firstOnly.clear();
+    bounds.allowedFirst.clear();
     if (next.countedTargets.size() >= m_request.chosen->maxAttempts)
-        bounds.firstOnly = next.countedTargets;
+        bounds.allowedFirst = next.countedTargets;
     next.selected = m_pool.select(m_request.service, bounds, now);
     // A started stream waits instead, as targets that have just refused it would refuse it again.
     if (!next.selected && !bounds.excluded.empty() && !m_streamStarted) {
@@ -426,7 +426,7 @@
     m_emptyProbes = 0;
     m_hasFirstEvent = false;
     m_pool.noteSent(m_selection.parts.front().target, now);
-    m_pool.began(m_selection, m_request.size);
+    m_pool.attemptStarted(m_selection, m_request.size);
     m_port.logEvent(event_code::RouteChosen,
         { { "request", m_request.id }, { "route", m_request.chosen->name },
             { "version", std::to_string(m_request.documentVersion) }, { "attempt", std::to_string(m_attempts) },
@@ -439,7 +439,7 @@
 void exchange::closeAttempt()
 {
     m_attemptOpen = false;
-    m_pool.ended(m_selection, m_request.size, m_hasFirstEvent);
+    m_pool.attemptEnded(m_selection, m_request.size, m_hasFirstEvent);
     m_port.cancelAttempt();
 }
 
@@ -456,7 +456,7 @@
     m_over = true;
     const bool isRetryableLater = code == result_code::Busy || code == result_code::NoTarget;
     if (isRetryableLater)
-        m_roomExpectedAt = m_pool.roomExpectedAt(m_request.service, now);
+        m_roomExpectedAt = m_pool.earliestSendAt(m_request.service, now);
     m_port.logEvent(m_streamStarted || ran != ran_state::No ? event_code::RequestFinished : event_code::RouteRefused,
         { { "request", m_request.id }, { "route", m_request.chosen->name },
             { "outcome", m_streamStarted ? "broken_off" : "refused" },
@@ -477,7 +477,7 @@
 {
     m_bounds.excluded.insert(target);
     if (isUnreachable)
-        m_pool.wentDark(target, now);
+        m_pool.markUnreachable(target, now);
     else
         m_pool.failed(target);
     m_port.logEvent(event_code::TargetAvoided,
--- a/src/buckthornrail/gateway/exchange_stream_test.cpp
+++ b/src/buckthornrail/gateway/exchange_stream_test.cpp
@@ -190,7 +190,7 @@
         call.onSent(zero);
         for (const auto& id : ranAt) {
             bench.setState(id, registry::target_state::Gone);
-            bench.pool.endedAt(id + ":1");
+            bench.pool.markEnded(id + ":1");
         }
         call.onHead(refusal(), zero);
         CHECK(bench.port.target == third);
--- a/src/buckthornrail/gateway/heavy_load_test.cpp
+++ b/src/buckthornrail/gateway/heavy_load_test.cpp
@@ -121,7 +121,7 @@
     engine.kinds = { { "", 5 + 5 * 8.0, 1, 1 } }; // beside the weights of five layers, memory for 8000 tokens
     engine.tokenBytes = 10 * 1000.0;
     bench.pool.setEngine("s", engine);
-    bench.pool.setOthers(30, 40); // ten per domain: 3 % over the capacity of a target is too much
+    bench.pool.setOtherGateways(30, 40); // ten per domain: 3 % over the capacity of a target is too much
     const std::uint32_t whole = 41; // thousands of tokens times layers
     const auto begin = [&bench] {
         auto call = bench.make();
--- a/src/buckthornrail/gateway/routing_test.cpp
+++ b/src/buckthornrail/gateway/routing_test.cpp
@@ -405,8 +405,8 @@
     };
     CHECK(takeAll(now) == 10);
     CHECK(takeAll(now + 2 * options.window) == 10); // the controllers are unreachable for long
-    budget.toldGateways(2, now + 4 * options.window);
+    budget.setGatewayCount(2, now + 4 * options.window);
     CHECK(takeAll(now + 4 * options.window) == 10); // the number was four within the window, as far as is known
-    budget.toldGateways(2, now + 6 * options.window);
+    budget.setGatewayCount(2, now + 6 * options.window);
     CHECK(takeAll(now + 6 * options.window) == 20);
 }
--- a/src/buckthornrail/gateway/target_incarnation_test.cpp
+++ b/src/buckthornrail/gateway/target_incarnation_test.cpp
@@ -23,7 +23,7 @@
     REQUIRE(bench.port.target == "a0");
     beginStream(call);
     call.onEvent("1", 1, zero);
-    bench.startAnew(restarted, secondStartMs);
+    bench.restart(restarted, secondStartMs);
     call.onTargetsChanged(zero);
     REQUIRE(bench.port.attempts == 2);
     CHECK(bench.port.target != "a0"); // its domain has no complete chain any more
@@ -43,7 +43,7 @@
     // The route allows two targets; incarnations that have ended don't count.
     for (std::uint64_t incarnation = 1; incarnation <= 3; ++incarnation) {
         call.onSent(zero);
-        bench.startAnew(bench.port.target, incarnation * 100);
+        bench.restart(bench.port.target, incarnation * 100);
         call.onTargetsChanged(zero);
         REQUIRE(bench.port.attempts == incarnation + 1);
     }
@@ -60,7 +60,7 @@
     auto call = bench.make();
     call.start(zero);
     call.onSent(zero);
-    bench.startAnew(bench.port.target, secondStartMs);
+    bench.restart(bench.port.target, secondStartMs);
     call.onTargetsChanged(zero);
     CHECK(bench.port.attempts == 1);
     CHECK(bench.port.outcome == "answered");
@@ -75,7 +75,7 @@
     call.start(zero);
     beginStream(call);
     call.onEvent("1", 1, zero);
-    bench.startAnew("b0", secondStartMs);
+    bench.restart("b0", secondStartMs);
     call.onTargetsChanged(zero);
     bench.setState("c1", registry::target_state::Draining);
     call.onTargetsChanged(zero);
@@ -86,9 +86,9 @@
 {
     exchange_bench bench(request_kind::Stream, true, true);
     for (const std::string domain : { "a", "b", "c" })
-        bench.startAnew(domain + "1", secondStartMs);
+        bench.restart(domain + "1", secondStartMs);
     CHECK_FALSE(bench.pool.select("s", {}, zero));
-    bench.startAnew("b1", secondStartMs, { 5, 10 });
+    bench.restart("b1", secondStartMs, { 5, 10 });
     const auto chosen = bench.pool.select("s", {}, zero);
     REQUIRE(chosen);
     CHECK(chosen->parts.back().target == registry::target_incarnation("b1", secondStartMs));
@@ -111,7 +111,7 @@
     CHECK(bench.pool.select("s", {}, zero)->parts.front().target != target);
     CHECK(bench.pool.hasEnded(target));
 
-    bench.startAnew(target.id, secondStartMs);
+    bench.restart(target.id, secondStartMs);
     const registry::target_incarnation later(target.id, secondStartMs);
     CHECK(bench.pool.wasReplaced(target));
     CHECK_FALSE(bench.pool.wasReplaced(later));
--- a/src/buckthornrail/gateway/target_limit_test.cpp
+++ b/src/buckthornrail/gateway/target_limit_test.cpp
@@ -100,7 +100,7 @@
     exchange_bench bench(request_kind::Stream, true, true);
     for (const std::string target : { "a0", "b0" })
         (void)bench.pool.recordPushback(target, { {}, {}, milliseconds(3000) }, false, zero, zero);
-    bench.place("c0", {});
+    bench.setLayers("c0", {});
     const auto room = bench.pool.earliestSendAt("s", zero);
     REQUIRE(room);
     CHECK(*room >= at(3000));
@@ -253,7 +253,7 @@
     (void)bench.pool.recordPushback(a0, { {}, {}, milliseconds(200) }, false, at(1000), at(1000));
     CHECK_FALSE(bench.pool.maySend(a0, at(2999)));
     CHECK(bench.pool.maySend(a0, at(3000)));
-    bench.startAnew("a0", 500);
+    bench.restart("a0", 500);
     CHECK(bench.pool.maySend({ "a0", 500 }, at(1500))); // not inherited by a new incarnation
 }
 
@@ -307,9 +307,9 @@
             CHECK(part.target != a0);
     }
     CHECK(bench.pool.unreportedLeaving() == std::vector<registry::target_incarnation> { a0 });
-    bench.end("a0", registry::target_state::Draining);
+    bench.setState("a0", registry::target_state::Draining);
     CHECK(bench.pool.unreportedLeaving().empty());
-    bench.startAnew("a0", 500);
+    bench.restart("a0", 500);
     CHECK(bench.pool.maySend({ "a0", 500 }, at(3000)));
 }
 
