--- a/include/buckthornrail/gateway/exchange.hpp
+++ b/include/buckthornrail/gateway/exchange.hpp
@@ -99,7 +99,7 @@
     milliseconds probeAfter { 90 };
     double probeAfterGaps = 2; ///< the same in average event gaps of the attempt; the longer of both applies
     milliseconds firstEventProbeAfter { 200 }; ///< the same before the first event, which nearly always takes < 100 ms
-    /// Before an attempt's own first event, a member counts as alive if another request's event passed it this
+    /// Before an attempt's own first event, a member counts as alive if it delivered another request's event this
     /// recently.
     milliseconds recentEventAge { 80 };
     milliseconds probeAgainAfter { 100 }; ///< doubles with each probe without a result
@@ -135,6 +135,7 @@
     milliseconds maxStreamPause { 5000 };
 };
 
+/// @brief Dispatches one request, retries it and finishes it with exactly one final response.
 /// @ingroup gateway
 class exchange {
 public:
--- a/include/buckthornrail/gateway/quarantine_gate.hpp
+++ b/include/buckthornrail/gateway/quarantine_gate.hpp
@@ -30,14 +30,16 @@
     /// Delay before a granted trial starts. By then concurrent copies of the request are cancelled, or are known to
     /// have crashed their targets as well.
     milliseconds trialStartDelay { 40 };
-    /// A complete response to a request reported by this gateway clears it within this time; later the entry expires.
+    /// A complete response clears a request that this gateway reported within this time; afterwards its quarantine
+    /// expires.
     milliseconds reportedTtl { 60000 };
     milliseconds resendAfter { 1000 }; ///< of batches without a receipt
     std::size_t maxUnconfirmedBatches = 256; ///< batches kept without a receipt; the oldest are dropped
     std::size_t maxReported = 4096; ///< fingerprints that a complete response clears
 };
 
-/// @brief Confined to the loop thread.
+/// @brief Decides whether calls may run under the quarantine, claims their trials and batches reports for the
+/// controllers. Confined to the loop thread.
 /// @ingroup gateway
 class quarantine_gate {
 public:
