--- a/include/buckthornrail/gateway/exchange.hpp
+++ b/include/buckthornrail/gateway/exchange.hpp
@@ -122,7 +122,8 @@
     double retryLatencyRatio = 0.7;
     /// With less time left no attempt is started, as no target could finish it.
     milliseconds minTimeLeft { 20 };
-    /// All attempts of a request, including those at targets that ended or refused, which the route's limit ignores.
+    /// All attempts of a request, including those at targets that ended or refused, which the route's
+    /// maxAttempts ignores.
     std::uint32_t maxTotalAttempts = 6;
     std::uint32_t maxTotalAttemptsOnceStarted = 20; ///< the same for a stream that has started
     /// A suspect request that has not started is held back by the quarantine for at most this long, and asks again
@@ -145,6 +146,7 @@
     void start(steady_time now);
     /// @brief The connection is established and the request is being written.
     void onSent(steady_time now);
+    /// @brief The head of the response has arrived.
     void onHead(const target_response& response, steady_time now);
     /// @brief The open attempt's first target sent pushback, in the response to this request or to a report request.
     /// @param namesNone whether the absence of a limit means that there is none
@@ -152,10 +154,13 @@
     void onPushback(const target_pushback& pushback, bool namesNone, steady_time sentAt, steady_time now);
     /// @brief The body of a response that is not a stream is complete.
     void onBody(steady_time now);
+    /// @brief An event of the stream has arrived. @param id of the event; empty: it has none
     void onEvent(std::string_view bytes, std::optional<std::uint64_t> id, steady_time now);
     /// @brief The target ended its stream regularly.
     void onStreamEnd(steady_time now);
+    /// @brief The open attempt ended without a complete response.
     void onAttemptFailed(attempt_failure how, steady_time now);
+    /// @brief The report request of the open attempt has finished.
     /// @param answered whether the first target answered the report request
     /// @param faultyAddress of the member that stalls the request; empty: none, or no answer
     void onReport(bool answered, const std::string& faultyAddress, steady_time now);
@@ -167,12 +172,13 @@
     /// @brief The quarantine table has changed, or a target that may have crashed was found alive.
     void onQuarantineChanged(steady_time now);
     void onTimer(steady_time now);
+    /// @brief The client has disconnected.
     void onCallerGone(steady_time now);
 
     [[nodiscard]] bool isOver() const { return m_over; }
     /// @return when a target of a refused request is expected to have capacity; empty: refused for another reason
     [[nodiscard]] std::optional<steady_time> roomExpectedAt() const { return m_roomExpectedAt; }
-    /// @return whether an event has passed through a target since a time, which proves it alive at that time
+    /// @return whether an event has arrived through a target since a time, which proves that it was alive then
     [[nodiscard]] bool hadEventThrough(const registry::target_incarnation& target, steady_time since) const;
     [[nodiscard]] const exchange_request& request() const { return m_request; }
 
@@ -194,7 +200,7 @@
 
     /// @brief Selects a path for another attempt and takes it out of the retry budget.
     next_attempt planNextAttempt(const attempt_end& last, choice_bounds bounds, steady_time now);
-    /// @brief Logs that an attempt has ended, then see retryOrWait().
+    /// @brief Logs that an attempt has ended, then calls retryOrWait().
     void retry(const attempt_end& last, steady_time now);
     /// @brief Retries after an attempt that has ended, waits if a stream has started, or gives up.
     void retryOrWait(const attempt_end& last, steady_time now);
@@ -202,6 +208,7 @@
     bool moveAttempt(const attempt_end& last, choice_bounds bounds, steady_time now);
     /// @brief Logs that a stalled attempt is kept, once per cause.
     void logKept(const attempt_end& last, const std::string& why);
+    /// @brief Logs that an attempt has ended without a complete response.
     void logLoss(const attempt_end& last, steady_time now);
     /// @return why the request can't be retried; empty: it can
     [[nodiscard]] std::string whyNotRetryable(const attempt_end& last, steady_time now);
--- a/include/buckthornrail/gateway/quarantine_gate.hpp
+++ b/include/buckthornrail/gateway/quarantine_gate.hpp
@@ -100,9 +100,12 @@
         steady_time sendAgainAt {};
     };
 
+    /// @brief Claims a trial for a call. @return Wait
     dispatch_verdict claim(call_number call, const request_fingerprint& fingerprint,
         const registry::target_incarnation& target, steady_time now);
+    /// @brief Drops reports that have expired or exceed the maximum number.
     void dropExpiredReports(steady_time now);
+    /// @return verdict on a call whose trial was claimed
     dispatch_verdict trialVerdict(call_number call, local_trial& trial, steady_time now);
 
     quarantine_gate_options m_options;
