--- a/src/buckthornrail/gateway/exchange_stream_test.cpp
+++ b/src/buckthornrail/gateway/exchange_stream_test.cpp
@@ -353,7 +353,7 @@
 
 TEST_CASE("exchange: a member that stalls under many streams is probed at the first sign", "[exchange]")
 {
-    // Many streams use one member, each with an event every 45 ms, evenly spread. When one of them has been silent for
+    // Forty streams use one member, each with an event every 45 ms, evenly spread. When one of them has been silent for
     // two gaps, the last event of another may be only one gap old; a healthy member has delivered events since then.
     constexpr milliseconds gap { 45 };
     exchange_bench bench(request_kind::Stream, true, true);
