--- a/src/app/registry/registry.cpp
+++ b/src/app/registry/registry.cpp
@@ -332,7 +332,7 @@
         if (record.state == registry::target_state::Draining)
             held[target].isLeaving = true;
         if (m_backoffs.isBackingOff(target, now))
-            held[target].restLeft = between(now, m_backoffs.endOf(target));
+            held[target].backoffLeft = between(now, m_backoffs.endOf(target));
     }
     std::vector<gateway::restricted_target> rows;
     for (auto& [target, row] : held) {
