--- a/src/app/gateway/gateway.cpp
+++ b/src/app/gateway/gateway.cpp
@@ -57,7 +57,8 @@
               [this](const registry::target_view& targets) { onTargets(targets); },
               [this] { return static_cast<std::uint32_t>(m_context.pool.openAttempts()); },
               [this] { return m_context.pool.loads(); },
-              [this](const registry::target_loads& others) { m_context.pool.setOtherGatewayLoads(others, steadyNow()); },
+              [this](
+                  const registry::target_loads& others) { m_context.pool.setOtherGatewayLoads(others, steadyNow()); },
               [this](const link::gateway_update& update) { onSessionUpdate(update); },
               [this] { return m_context.pool.takeUnreachable(); },
               [this](link::gateway_beat& beat) {
--- a/src/app/gateway/gateway_call.cpp
+++ b/src/app/gateway/gateway_call.cpp
@@ -290,9 +290,11 @@
             return;
         }
     }
-    const auto loss = m_isConnected ? gateway::attempt_failure::ConnectionLost : gateway::attempt_failure::ConnectFailed;
+    const auto loss
+        = m_isConnected ? gateway::attempt_failure::ConnectionLost : gateway::attempt_failure::ConnectFailed;
     m_channel = nullptr;
-    if (loss == gateway::attempt_failure::ConnectionLost && m_context.crashes.mayHaveCrashedTarget(m_number, steadyNow())) {
+    if (loss == gateway::attempt_failure::ConnectionLost
+        && m_context.crashes.mayHaveCrashedTarget(m_number, steadyNow())) {
         (void)m_context.crashes.onConnectionLost(m_number, fingerprint(), steadyNow());
         m_context.reachability->checkAnew(m_selection.parts.front().address);
     }
--- a/src/app/gateway/gateway_session.hpp
+++ b/src/app/gateway/gateway_session.hpp
@@ -27,7 +27,8 @@
     std::function<void(const registry::target_view&)> targetsChanged; ///< with all targets known now
     std::function<std::uint32_t()> openAttempts; ///< number of this gateway's open attempts
     std::function<registry::target_loads()> loads; ///< this gateway's open attempts, per target of the last update
-    std::function<void(const registry::target_loads&)> otherLoadsReceived; ///< of the other gateways, for the same targets
+    std::function<void(const registry::target_loads&)>
+        otherLoadsReceived; ///< of the other gateways, for the same targets
     std::function<void(const link::gateway_update&)> updateReceived; ///< before its changes are applied
     std::function<std::vector<registry::target_incarnation>()> takeUnreachableTargets; ///< seen since the last call
     std::function<void(link::gateway_beat&)> fillRetries; ///< fills in the retries spent of the budgets
--- a/src/buckthornrail/gateway/target_pool_limits.cpp
+++ b/src/buckthornrail/gateway/target_pool_limits.cpp
@@ -81,7 +81,8 @@
     return change.hasChanged() ? std::optional(change) : std::nullopt;
 }
 
-std::vector<limit_change> target_pool::mergeRemoteLimits(std::span<const registry::limit_report> reports, steady_time now)
+std::vector<limit_change> target_pool::mergeRemoteLimits(
+    std::span<const registry::limit_report> reports, steady_time now)
 {
     std::vector<limit_change> changes;
     for (const auto& one : reports) {
