--- a/include/buckthornrail/gateway/route_index.hpp
+++ b/include/buckthornrail/gateway/route_index.hpp
@@ -34,7 +34,7 @@
     document::entry_hash restHash = 0; ///< of the encoded form of `rest`
 };
 
-/// @brief Routes, keys and services of one version. Returned entries are immutable and stay valid after later changes.
+/// @brief Routes, keys and services of one version. Returned entries are immutable and outlive later changes.
 class route_index {
 public:
     route_index() = default;
--- a/include/buckthornrail/gateway/target_pool.hpp
+++ b/include/buckthornrail/gateway/target_pool.hpp
@@ -124,7 +124,8 @@
 
     /// @brief Selects a target, or a path over several targets for a service with layers.
     /// @return empty when no usable target, or no path that covers all layers, is left
-    std::optional<selection> select(const std::string& service, const selection_constraints& bounds, steady_time now);
+    std::optional<selection> select(
+        const std::string& service, const selection_constraints& constraints, steady_time now);
 
     /// @brief Adds an attempt to the load of its targets, until attemptEnded().
     void attemptStarted(const selection& chosen, const request_size& size);
@@ -141,11 +142,11 @@
     /// @brief The target failed an attempt.
     void failed(const registry::target_incarnation& id);
     /// @brief Records the flow control signals of a response.
-    /// @param namesNone whether a response without a limit means that there is none
+    /// @param absenceMeansNone whether a response without a limit means that there is none
     /// @param sentAt when the request that it answers was sent
     /// @return the change of the target's limit, if it changed
-    std::optional<limit_change> recordPushback(const registry::target_incarnation& id, const target_pushback& said,
-        bool namesNone, steady_time sentAt, steady_time now);
+    std::optional<limit_change> recordPushback(const registry::target_incarnation& id, const target_pushback& pushback,
+        bool absenceMeansNone, steady_time sentAt, steady_time now);
     /// @brief Merges limits that other gateways received; the most recently confirmed one wins.
     /// @return the limits that changed
     std::vector<limit_change> mergeRemoteLimits(std::span<const registry::limit_news> reports, steady_time now);
@@ -171,9 +172,10 @@
     [[nodiscard]] std::size_t limitedCount(steady_time now) const;
     /// @brief The target, or another target on its behalf, refused a request. It is avoided for the refusal backoff.
     void refused(const registry::target_incarnation& id, steady_time now);
-    /// @brief The target is dead or cut off. It is avoided and will be reported to the controllers.
+    /// @brief The target is dead or cut off. It is avoided for a while and returned by takeUnreachable().
     void markUnreachable(const registry::target_incarnation& id, steady_time now);
-    /// @brief Targets that became unreachable since the last call.
+    /// @brief Targets that became unreachable, or refused too often, since the last call; to be reported to the
+    /// controllers.
     std::vector<registry::target_incarnation> takeUnreachable() { return std::exchange(m_newlyUnreachable, {}); }
     /// @brief The target at an address; a default-constructed id when there is none.
     [[nodiscard]] registry::target_incarnation idAt(const std::string& address) const;
@@ -200,7 +202,7 @@
     /// The rate limit that a target named last.
     struct advertised_limit {
         std::optional<rate_limiter> limiter; ///< empty: no limit
-        steady_time heardAt {}; ///< last confirmation by any gateway
+        steady_time confirmedAt {}; ///< last confirmation by any gateway
         bool isUnannounced = false; ///< received here and not yet sent to the other gateways
         steady_time nextAnnouncementAt {}; ///< an unchanged limit isn't announced again before
         /// Consecutive responses without a limit to requests that were sent after the last confirmation.
@@ -245,12 +247,12 @@
         double memoryThreshold = 0; ///< memory use above which a target costs more, as a share of its memory
     };
 
-    std::optional<selection> selectPath(
-        const std::string& service, const layered_engine& engine, const selection_constraints& bounds, steady_time now);
+    std::optional<selection> selectPath(const std::string& service, const layered_engine& engine,
+        const selection_constraints& constraints, steady_time now);
     std::optional<selection> selectOne(
-        const std::string& service, const selection_constraints& bounds, steady_time now);
+        const std::string& service, const selection_constraints& constraints, steady_time now);
     std::optional<selection> findSelection(std::span<pool_target* const> targets, const layered_engine& engine,
-        const selection_constraints& bounds, const path_weights& weights, steady_time now);
+        const selection_constraints& constraints, const path_weights& weights, steady_time now);
     /// @brief Whether a target takes new work according to the controllers.
     [[nodiscard]] static bool acceptsWork(const registry::target_record& record);
     [[nodiscard]] std::vector<pool_target*> usableTargets(
@@ -268,7 +270,7 @@
     [[nodiscard]] bool hasCapacity(const pool_target& target, steady_time now) const;
     [[nodiscard]] double congestionMs(const pool_target& target, double memoryThreshold) const;
     limit_change setLimit(const registry::target_incarnation& id, pool_target& target, std::optional<double> perSecond,
-        steady_time heardAt, steady_time now);
+        steady_time confirmedAt, steady_time now);
     [[nodiscard]] static std::optional<double> perSecondOf(const advertised_limit& limit);
     [[nodiscard]] static bool isLimited(const pool_target& target, steady_time now);
     [[nodiscard]] static bool acceptsNow(const pool_target& target, steady_time now);
--- a/src/buckthornrail/gateway/rate_limiter_test.cpp
+++ b/src/buckthornrail/gateway/rate_limiter_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr milliseconds window { 4000 };
-/// Maximum number of requests in any window: 1.5 times the limit, plus five.
+/// Maximum number of requests in any window: 1.5 times the limit, plus five. The incident tests use the same bound.
 double allowed(double perSecond) { return 1.5 * perSecond * 4 + 5; }
 
 /// Gateways that share a limit and each have enough callers to use it up.
--- a/src/buckthornrail/gateway/target_pool.cpp
+++ b/src/buckthornrail/gateway/target_pool.cpp
@@ -122,12 +122,12 @@
 }
 
 std::optional<selection> target_pool::select(
-    const std::string& service, const selection_constraints& bounds, steady_time now)
+    const std::string& service, const selection_constraints& constraints, steady_time now)
 {
     const auto engine = m_engines.find(service);
     if (engine != m_engines.end() && engine->second.layers > 0)
-        return selectPath(service, engine->second, bounds, now);
-    return selectOne(service, bounds, now);
+        return selectPath(service, engine->second, constraints, now);
+    return selectOne(service, constraints, now);
 }
 
 bool target_pool::acceptsWork(const registry::target_record& record)
@@ -158,20 +158,20 @@
 }
 
 std::optional<selection> target_pool::selectPath(
-    const std::string& service, const layered_engine& engine, const selection_constraints& bounds, steady_time now)
+    const std::string& service, const layered_engine& engine, const selection_constraints& constraints, steady_time now)
 {
     recordSelection(now);
-    const auto targets = usableTargets(service, bounds.excluded);
+    const auto targets = usableTargets(service, constraints.excluded);
     const path_weights spreadLoad { 1.0 / engine.stepsPerPass, spreadMemoryThreshold };
-    auto chosen = findSelection(targets, engine, bounds, spreadLoad, now);
-    const double safeMs = safeGapShare * static_cast<double>(bounds.eventGapTarget.count());
+    auto chosen = findSelection(targets, engine, constraints, spreadLoad, now);
+    const double safeMs = safeGapShare * static_cast<double>(constraints.eventGapTarget.count());
     if (!chosen || safeMs <= 0 || chosen->expectedPassMs <= safeMs)
         return chosen;
-    return findSelection(targets, engine, bounds, { 1, latencyMemoryThreshold }, now);
+    return findSelection(targets, engine, constraints, { 1, latencyMemoryThreshold }, now);
 }
 
 std::optional<selection> target_pool::findSelection(std::span<pool_target* const> targets, const layered_engine& engine,
-    const selection_constraints& bounds, const path_weights& weights, steady_time now)
+    const selection_constraints& constraints, const path_weights& weights, steady_time now)
 {
     std::uniform_real_distribution<double> jitter(1, 1 + jitterShare);
     std::vector<path_candidate> candidates;
@@ -182,7 +182,7 @@
         const double fixedMs = failurePenaltyMs(*target, now) + limitPenaltyMs(*target, now)
             + congestionMs(*target, weights.memoryThreshold) + pass.sharedMs * passFactor;
         const bool isAllowed
-            = bounds.allowedFirst.empty() || bounds.allowedFirst.contains(target->record.incarnation());
+            = constraints.allowedFirst.empty() || constraints.allowedFirst.contains(target->record.incarnation());
         candidates.push_back({ target->record.layers, target->domain, pass.perLayerMs * passFactor, fixedMs,
             isAllowed && acceptsNow(*target, now) });
     }
@@ -217,12 +217,12 @@
 }
 
 std::optional<selection> target_pool::selectOne(
-    const std::string& service, const selection_constraints& bounds, steady_time now)
+    const std::string& service, const selection_constraints& constraints, steady_time now)
 {
-    auto targets = usableTargets(service, bounds.excluded);
-    if (!bounds.allowedFirst.empty())
-        std::erase_if(
-            targets, [&bounds](const auto* one) { return !bounds.allowedFirst.contains(one->record.incarnation()); });
+    auto targets = usableTargets(service, constraints.excluded);
+    if (!constraints.allowedFirst.empty())
+        std::erase_if(targets,
+            [&constraints](const auto* one) { return !constraints.allowedFirst.contains(one->record.incarnation()); });
     std::erase_if(targets, [now](const auto* one) { return !acceptsNow(*one, now); });
     std::uniform_real_distribution<double> draw(0, 1);
     const bool explores = draw(m_random) < exploreShare;
--- a/src/buckthornrail/gateway/target_pool_limits.cpp
+++ b/src/buckthornrail/gateway/target_pool_limits.cpp
@@ -35,17 +35,17 @@
 }
 
 limit_change target_pool::setLimit(const registry::target_incarnation& id, pool_target& target,
-    std::optional<double> perSecond, steady_time heardAt, steady_time now)
+    std::optional<double> perSecond, steady_time confirmedAt, steady_time now)
 {
     auto& limit = target.limit;
     limit_change change { id, std::nullopt, perSecond, milliseconds(0) };
     if (limit) {
         change.before = perSecondOf(*limit);
-        change.beforeAge = between(limit->heardAt, now);
+        change.beforeAge = between(limit->confirmedAt, now);
     } else {
-        limit.emplace(advertised_limit { std::nullopt, heardAt, false, {}, 0 });
+        limit.emplace(advertised_limit { std::nullopt, confirmedAt, false, {}, 0 });
     }
-    limit->heardAt = heardAt;
+    limit->confirmedAt = confirmedAt;
     limit->answersWithoutLimit = 0;
     if (!perSecond) {
         limit->limiter.reset();
@@ -59,25 +59,25 @@
 }
 
 std::optional<limit_change> target_pool::recordPushback(const registry::target_incarnation& id,
-    const target_pushback& said, bool namesNone, steady_time sentAt, steady_time now)
+    const target_pushback& pushback, bool absenceMeansNone, steady_time sentAt, steady_time now)
 {
     const auto found = m_targets.find(id);
     if (found == m_targets.end())
         return std::nullopt;
-    if (said.retryAfter)
-        found->second.backoffUntil = std::max(found->second.backoffUntil, now + *said.retryAfter);
-    found->second.announcedLeaving = found->second.announcedLeaving || said.isLeaving;
+    if (pushback.retryAfter)
+        found->second.backoffUntil = std::max(found->second.backoffUntil, now + *pushback.retryAfter);
+    found->second.announcedLeaving = found->second.announcedLeaving || pushback.isLeaving;
     auto& limit = found->second.limit;
-    if (!said.requestsPerSecond) {
-        const bool reportsNoLimit = namesNone && said.unreadable.empty() && isLimited(found->second, now);
+    if (!pushback.requestsPerSecond) {
+        const bool reportsNoLimit = absenceMeansNone && pushback.unreadable.empty() && isLimited(found->second, now);
         // A request sent before the limit was received may have been answered before the target set the limit.
-        if (!reportsNoLimit || sentAt <= limit->heardAt || ++limit->answersWithoutLimit < answersToClear)
+        if (!reportsNoLimit || sentAt <= limit->confirmedAt || ++limit->answersWithoutLimit < answersToClear)
             return std::nullopt;
     }
-    const auto change = setLimit(id, found->second, said.requestsPerSecond, now, now);
+    const auto change = setLimit(id, found->second, pushback.requestsPerSecond, now, now);
     auto& known = *found->second.limit;
     known.isUnannounced
-        = known.isUnannounced || change.hasChanged() || (said.requestsPerSecond && now >= known.nextAnnouncementAt);
+        = known.isUnannounced || change.hasChanged() || (pushback.requestsPerSecond && now >= known.nextAnnouncementAt);
     return change.hasChanged() ? std::optional(change) : std::nullopt;
 }
 
@@ -86,10 +86,10 @@
     std::vector<limit_change> changes;
     for (const auto& one : reports) {
         const auto found = m_targets.find(one.target);
-        const steady_time heardAt = now - milliseconds(one.ageMs);
-        if (found == m_targets.end() || (found->second.limit && heardAt <= found->second.limit->heardAt))
+        const steady_time confirmedAt = now - milliseconds(one.ageMs);
+        if (found == m_targets.end() || (found->second.limit && confirmedAt <= found->second.limit->confirmedAt))
             continue;
-        const auto change = setLimit(one.target, found->second, one.perSecond, heardAt, now);
+        const auto change = setLimit(one.target, found->second, one.perSecond, confirmedAt, now);
         if (change.hasChanged())
             changes.push_back(change);
     }
@@ -101,10 +101,10 @@
     std::vector<registry::limit_news> reports;
     for (auto& [id, target] : m_targets) {
         auto& limit = target.limit;
-        if (!limit || (!limit->isUnannounced && !all) || now >= limit->heardAt + limitLifetime)
+        if (!limit || (!limit->isUnannounced && !all) || now >= limit->confirmedAt + limitLifetime)
             continue;
         reports.push_back(
-            { id, perSecondOf(*limit), static_cast<std::uint32_t>(between(limit->heardAt, now).count()) });
+            { id, perSecondOf(*limit), static_cast<std::uint32_t>(between(limit->confirmedAt, now).count()) });
         limit->isUnannounced = false;
         limit->nextAnnouncementAt = now + announcementInterval;
     }
@@ -138,7 +138,7 @@
         restricted_target held { id, std::nullopt, milliseconds(0), milliseconds(0), false };
         if (isLimited(target, now)) {
             held.perSecond = target.limit->limiter->perSecond();
-            held.limitAge = between(target.limit->heardAt, now);
+            held.limitAge = between(target.limit->confirmedAt, now);
         }
         held.backoffLeft = std::max(milliseconds(0), between(now, target.backoffUntil));
         held.isLeaving = target.announcedLeaving || target.record.state == registry::target_state::Draining;
@@ -156,7 +156,7 @@
 
 bool target_pool::isLimited(const pool_target& target, steady_time now)
 {
-    return target.limit && target.limit->limiter && now < target.limit->heardAt + limitLifetime;
+    return target.limit && target.limit->limiter && now < target.limit->confirmedAt + limitLifetime;
 }
 
 bool target_pool::acceptsNow(const pool_target& target, steady_time now)
@@ -180,7 +180,7 @@
 
 double target_pool::limitPenaltyMs(const pool_target& target, steady_time now)
 {
-    return isLimited(target, now) && now < target.limit->heardAt + limitFreshness ? limitedPenaltyMs : 0;
+    return isLimited(target, now) && now < target.limit->confirmedAt + limitFreshness ? limitedPenaltyMs : 0;
 }
 
 std::optional<steady_time> target_pool::earliestSendAt(const std::string& service, steady_time now)
@@ -213,7 +213,7 @@
     if (!isLimited(first, now))
         return {};
     return ", first target limited to " + std::to_string(first.limit->limiter->perSecond()) + " requests/s, confirmed "
-        + std::to_string(between(first.limit->heardAt, now).count()) + " ms ago";
+        + std::to_string(between(first.limit->confirmedAt, now).count()) + " ms ago";
 }
 
 } // namespace buckthornrail::gateway
