--- a/include/buckthornrail/routing/retry_budget.hpp
+++ b/include/buckthornrail/routing/retry_budget.hpp
@@ -10,29 +10,29 @@
 /// @ingroup routing
 class retry_budget {
 public:
-    /// @param perRequest retries that a request earns @param burst most that can be saved up
-    explicit retry_budget(double perRequest = 0.1, double burst = 10)
-        : m_perRequest(perRequest)
+    /// @param retriesPerRequest retries that a request earns @param burst most that can be saved up
+    explicit retry_budget(double retriesPerRequest = 0.1, double burst = 10)
+        : m_retriesPerRequest(retriesPerRequest)
         , m_burst(burst)
-        , m_saved(burst)
+        , m_balance(burst)
     {
     }
 
-    void requestStarted() { m_saved = std::min(m_burst, m_saved + m_perRequest); }
+    void countRequest() { m_balance = std::min(m_burst, m_balance + m_retriesPerRequest); }
 
     /// @return false when the budget is spent.
-    bool takeRetry()
+    bool tryTake()
     {
-        if (m_saved < 1)
+        if (m_balance < 1)
             return false;
-        m_saved -= 1;
+        m_balance -= 1;
         return true;
     }
 
 private:
-    double m_perRequest;
+    double m_retriesPerRequest;
     double m_burst;
-    double m_saved;
+    double m_balance;
 };
 
 } // namespace buckthornrail::routing
--- a/include/buckthornrail/routing/route_table.hpp
+++ b/include/buckthornrail/routing/route_table.hpp
@@ -19,8 +19,8 @@
 
 struct route_options {
     strategy_kind strategy = strategy_kind::FinishEstimate;
-    std::uint32_t breakerFailures = 3; ///< failures in a row that open a target's breaker
-    milliseconds breakerPeriod { 2000 }; ///< then one request tries it again; doubled after each failed trial
+    std::uint32_t breakerThreshold = 3; ///< failures in a row that open a target's breaker
+    milliseconds breakerOpenPeriod { 2000 }; ///< then one request tries it again; doubled after each failed trial
     milliseconds reportLifetime { 3000 }; ///< an older load report counts for nothing
     double smoothing = 0.2; ///< weight of a new sample in a moving average
     std::string failureDomain; ///< of this entry
@@ -60,20 +60,20 @@
     tl::expected<route_choice, failure> choose(const route_query& query, steady_time now);
 
     /// @brief True when some target could take the request by itself.
-    [[nodiscard]] bool servesWhole(const route_query& query, steady_time now) const;
+    [[nodiscard]] bool hasUnsplitTarget(const route_query& query, steady_time now) const;
 
     /// @brief Ready targets that hold a range of the model's layers, for building chains.
     [[nodiscard]] std::vector<execution::stage_candidate> stageCandidates(
         const route_query& query, steady_time now) const;
 
-    void offered(const instance_id& id);
+    void attemptOffered(const instance_id& id);
     /// @brief An attempt ended without having started, or its outcome says nothing of the target.
-    void released(const instance_id& id);
+    void attemptReleased(const instance_id& id);
     /// @brief An attempt was served. @param elapsedMs from start to end
-    void served(const instance_id& id, double elapsedMs, double work);
+    void attemptSucceeded(const instance_id& id, double elapsedMs, double work);
     /// @brief An attempt failed at the target.
-    void failed(const instance_id& id, steady_time now);
-    void report(const dispatch::load_report& report, steady_time now);
+    void attemptFailed(const instance_id& id, steady_time now);
+    void applyLoadReport(const dispatch::load_report& report, steady_time now);
 
     [[nodiscard]] const membership::instance_record* find(const instance_id& id) const;
     [[nodiscard]] std::size_t size() const { return m_targets.size(); }
@@ -85,29 +85,29 @@
     struct target_state {
         membership::instance_record record;
         std::uint32_t ownInFlight = 0;
-        std::uint32_t othersInFlight = 0;
+        std::uint32_t otherEntriesInFlight = 0;
         steady_time reportDeadline {};
-        double unitMs = 0; ///< moving average of the time a unit of work takes; 0: no sample
-        std::uint32_t failuresInRow = 0;
-        steady_time breakerDeadline {};
-        bool probing = false; ///< the breaker's one trial request is out
+        double msPerUnit = 0; ///< moving average of the time a unit of work takes; 0: no sample
+        std::uint32_t consecutiveFailures = 0;
+        steady_time breakerOpenUntil {};
+        bool isProbing = false; ///< the breaker's one trial request is out
         std::uint64_t identityHash = 0;
     };
 
-    [[nodiscard]] bool isOpen(const target_state& target, steady_time now) const;
+    [[nodiscard]] bool breakerAllows(const target_state& target, steady_time now) const;
     [[nodiscard]] candidate estimate(
-        const target_state& target, const route_query& query, double fallbackUnitMs, steady_time now) const;
+        const target_state& target, const route_query& query, double fallbackMsPerUnit, steady_time now) const;
     /// All targets of the query's model or service, ready or not.
-    [[nodiscard]] const std::vector<target_state*>& holdersOf(const route_query& query) const;
-    [[nodiscard]] std::vector<target_state*> matching(const route_query& query, steady_time now) const;
+    [[nodiscard]] const std::vector<target_state*>& allTargetsFor(const route_query& query) const;
+    [[nodiscard]] std::vector<target_state*> eligibleTargets(const route_query& query, steady_time now) const;
     void restrictToPool(std::vector<target_state*>& targets, const route_query& query);
-    void unindex(const target_state& target);
+    void removeFromIndex(const target_state& target);
     target_state* findState(const instance_id& id);
 
     route_options m_options;
     std::mt19937_64 m_random;
     std::unique_ptr<selection_strategy> m_strategy;
-    recent_set<std::uint64_t> m_prefixes; ///< hashes of prompt beginnings that came lately
+    recent_set<std::uint64_t> m_recentPrefixes; ///< hashes of prompt beginnings that came lately
     std::unordered_map<instance_id, std::unique_ptr<target_state>> m_targets;
     std::unordered_map<std::string, std::vector<target_state*>> m_byModel;
     std::unordered_map<std::string, std::vector<target_state*>> m_byService;
--- a/src/app/entry/entry.cpp
+++ b/src/app/entry/entry.cpp
@@ -176,7 +176,7 @@
     } else if (const auto* attached = std::get_if<dispatch::attach_reply>(&message)) {
         withAttempt(attached->attempt, [&](auto& run, steady_time now) { run.attachAnswered(*attached, now); });
     } else if (const auto* load = std::get_if<dispatch::load_report>(&message)) {
-        m_routes.report(*load, steadyNow());
+        m_routes.applyLoadReport(*load, steadyNow());
     } else {
         handleStage(channel, message);
     }
@@ -301,7 +301,7 @@
                 { "code", std::string(describe(wish.previous.code).name) }, { "reason", wish.previous.reason } },
             telemetry::severity::Warning);
     }
-    if (wish.previousRan && !m_budgets[context.request.workspace].takeRetry()) {
+    if (wish.previousRan && !m_budgets[context.request.workspace].tryTake()) {
         note(context.request.id, "no retry: the workspace's retry budget is spent");
         active.run.noTarget({ result_code::RetryBudgetSpent, "" }, now);
         return;
@@ -358,7 +358,7 @@
     context.attemptBegun = now;
     context.framesInAttempt = 0;
     context.hasOutstanding = true;
-    m_routes.offered(offer.target.instance);
+    m_routes.attemptOffered(offer.target.instance);
     sendTo(offer.target.instance, message);
 }
 
@@ -399,7 +399,7 @@
         return;
     const steady_time now = steadyNow();
     if (isFailureOfTarget(outcome.code)) {
-        m_routes.failed(instance, now);
+        m_routes.attemptFailed(instance, now);
         return;
     }
     // A request cut by its deadline still tells how slow the target is.
@@ -407,9 +407,9 @@
     const bool tells = outcome.code == result_code::Ok
         || (outcome.code == result_code::DeadlinePassed && context.framesInAttempt > 0);
     if (tells)
-        m_routes.served(instance, elapsedMs(context.attemptBegun, now), work);
+        m_routes.attemptSucceeded(instance, elapsedMs(context.attemptBegun, now), work);
     else
-        m_routes.released(instance);
+        m_routes.attemptReleased(instance);
 }
 
 void entry::finish(run_context& context, const failure& result, ran_state ran, const std::string& finishReason)
--- a/src/app/entry/entry_chains.cpp
+++ b/src/app/entry/entry_chains.cpp
@@ -37,7 +37,7 @@
                 + " failed: " + failed->reason);
         withChain(failed->request, [&](auto& run, steady_time now) {
             if (failed->generation == run.generation() && failed->stage < run.plan().stages.size())
-                m_routes.failed(run.plan().stages[failed->stage].instance, now);
+                m_routes.attemptFailed(run.plan().stages[failed->stage].instance, now);
             run.stageFailed(failed->generation, failed->stage, { failed->code, failed->reason }, now);
         });
     }
@@ -51,7 +51,7 @@
         chooseChain(active, *wish);
     } else if (const auto* open = std::get_if<execution::open_stage>(&effect)) {
         const auto& stage = open->plan.stages[open->stage];
-        m_routes.offered(stage.instance);
+        m_routes.attemptOffered(stage.instance);
         active.outstanding.push_back(stage.instance);
         auto offer = makeOffer(context, { id, open->plan.generation }, stage.incarnation, steadyNow());
         offer.startWithinMs
@@ -87,7 +87,7 @@
 void entry::releaseStages(active_chain& active)
 {
     for (const auto& instance : std::exchange(active.outstanding, {}))
-        m_routes.released(instance);
+        m_routes.attemptReleased(instance);
 }
 
 void entry::chooseChain(active_chain& active, const execution::choose_chain& wish)
--- a/src/app/entry/entry_terms.cpp
+++ b/src/app/entry/entry_terms.cpp
@@ -17,14 +17,14 @@
     }
     applyTerms(context, std::move(*terms));
     const auto query = makeQuery(context, context.begun);
-    const bool isSplit = !request.pipeline.empty() && !m_routes.servesWhole(query, context.begun)
+    const bool isSplit = !request.pipeline.empty() && !m_routes.hasUnsplitTarget(query, context.begun)
         && !m_routes.stageCandidates(query, context.begun).empty();
     if (isSplit && context.terms.nonIdempotent) {
         refuse(context, { result_code::BadHeader, "a split pipeline takes no non-idempotent request" });
         return;
     }
     ++m_inFlight[request.workspace];
-    m_budgets[request.workspace].requestStarted();
+    m_budgets[request.workspace].countRequest();
     if (isSplit)
         startChain(std::move(context));
     else
--- a/src/buckthornrail/routing/route_table.cpp
+++ b/src/buckthornrail/routing/route_table.cpp
@@ -9,32 +9,32 @@
 namespace buckthornrail::routing {
 namespace {
 
-constexpr double defaultUnitMs = 10; ///< until the first sample of any target
-constexpr double remoteLinkMs = 1; ///< added for a target in another failure domain
+constexpr double defaultMsPerUnit = 10; ///< until the first sample of any target
+constexpr double remoteDomainMs = 1; ///< added for a target in another failure domain
 constexpr std::uint32_t maxBreakerDoublings = 4;
 constexpr std::size_t maxRecentPrefixes = 4096;
-constexpr std::size_t prefixBytes = 256; ///< of the prompt, for affinity
+constexpr std::size_t affinityPrefixBytes = 256; ///< of the prompt, for affinity
 
 /// Average time of a unit of work over targets of one accelerator: what is expected of a target without a sample.
 /// (Prediction from groups of similar sessions, after "Big Data Differentiators"; see docs/design/routing.md.)
 class group_averages {
 public:
-    void add(const std::string& accelerator, double unitMs)
+    void add(const std::string& accelerator, double msPerUnit)
     {
-        if (unitMs <= 0)
+        if (msPerUnit <= 0)
             return;
         auto& group = m_groups[accelerator];
-        group.first += unitMs;
+        group.first += msPerUnit;
         group.second += 1;
-        m_all.first += unitMs;
+        m_all.first += msPerUnit;
         m_all.second += 1;
     }
 
-    [[nodiscard]] double of(const std::string& accelerator) const
+    [[nodiscard]] double averageFor(const std::string& accelerator) const
     {
         const auto found = m_groups.find(accelerator);
         const auto& group = found == m_groups.end() ? m_all : found->second;
-        return group.second > 0 ? group.first / group.second : defaultUnitMs;
+        return group.second > 0 ? group.first / group.second : defaultMsPerUnit;
     }
 
 private:
@@ -42,13 +42,13 @@
     std::pair<double, double> m_all { 0, 0 };
 };
 
-bool takesWork(const membership::instance_record& record)
+bool acceptsWork(const membership::instance_record& record)
 {
     return record.role == membership::instance_role::Sidecar && record.state == membership::instance_state::Ready
         && !record.drainRequested;
 }
 
-double blend(double average, double sample, double smoothing)
+double updateAverage(double average, double sample, double smoothing)
 {
     return average <= 0 ? sample : average + smoothing * (sample - average);
 }
@@ -58,7 +58,7 @@
 std::uint64_t hashPrefix(const std::string& workspace, const std::string& prompt)
 {
     const std::uint64_t seed = XXH64(workspace.data(), workspace.size(), 0);
-    return XXH64(prompt.data(), std::min(prompt.size(), prefixBytes), seed) | 1U;
+    return XXH64(prompt.data(), std::min(prompt.size(), affinityPrefixBytes), seed) | 1U;
 }
 
 std::optional<std::string> drawShare(const std::vector<configuration::share>& shares, std::uint32_t draw)
@@ -75,7 +75,7 @@
     : m_options(std::move(options))
     , m_random(seed)
     , m_strategy(makeStrategy(m_options.strategy))
-    , m_prefixes(maxRecentPrefixes)
+    , m_recentPrefixes(maxRecentPrefixes)
 {
 }
 
@@ -91,14 +91,14 @@
     }
     auto& slot = m_targets[record.id];
     if (slot && slot->record.incarnation != record.incarnation) {
-        unindex(*slot);
+        removeFromIndex(*slot);
         slot.reset();
     }
     if (!slot) {
         slot = std::make_unique<target_state>();
         slot->identityHash = XXH64(record.id.data(), record.id.size(), 0);
     } else {
-        unindex(*slot);
+        removeFromIndex(*slot);
     }
     slot->record = record;
     if (record.target.model.empty())
@@ -112,42 +112,45 @@
     const auto found = m_targets.find(id);
     if (found == m_targets.end())
         return;
-    unindex(*found->second);
+    removeFromIndex(*found->second);
     m_targets.erase(found);
 }
 
 tl::expected<route_choice, failure> route_table::choose(const route_query& query, steady_time now)
 {
-    auto targets = matching(query, now);
+    auto targets = eligibleTargets(query, now);
     restrictToPool(targets, query);
     if (targets.empty())
         return tl::make_unexpected(failure { result_code::NoTarget, "no ready target for this model or service" });
     group_averages averages;
-    for (const auto* target : holdersOf(query))
-        averages.add(target->record.target.accelerator, target->unitMs);
-    const double startWithinMs = std::chrono::duration<double, std::milli>(query.startDeadline - now).count();
+    for (const auto* target : allTargetsFor(query))
+        averages.add(target->record.target.accelerator, target->msPerUnit);
+    const double maxWaitMs = std::chrono::duration<double, std::milli>(query.startDeadline - now).count();
     // A beginning that never came before is in no cache: it would only keep the request from the soonest target.
-    const bool isShared = query.prefixHash != 0 && m_prefixes.note(query.prefixHash);
+    const bool isRecurring = query.prefixHash != 0 && m_recentPrefixes.note(query.prefixHash);
     std::vector<candidate> candidates;
-    std::vector<target_state*> inTime;
+    std::vector<target_state*> candidateTargets;
     for (auto* target : targets) {
-        candidate one = estimate(*target, query, averages.of(target->record.target.accelerator), now);
-        if (!isShared)
+        candidate one = estimate(*target, query, averages.averageFor(target->record.target.accelerator), now);
+        if (!isRecurring)
             one.affinity = 0;
-        if (one.waitMs > startWithinMs)
+        if (one.waitMs > maxWaitMs)
             continue;
         candidates.push_back(one);
-        inTime.push_back(target);
+        candidateTargets.push_back(target);
     }
     if (candidates.empty())
         return tl::make_unexpected(failure { result_code::Busy, "no target could start before the deadline" });
     const selection picked = m_strategy->select(candidates, m_random);
-    const auto& target = *inTime[picked.index];
+    const auto& target = *candidateTargets[picked.index];
     return route_choice { target.record.id, target.record.incarnation, candidates.size(),
         candidates[picked.index].finishMs, picked.reason };
 }
 
-bool route_table::servesWhole(const route_query& query, steady_time now) const { return !matching(query, now).empty(); }
+bool route_table::hasUnsplitTarget(const route_query& query, steady_time now) const
+{
+    return !eligibleTargets(query, now).empty();
+}
 
 std::vector<execution::stage_candidate> route_table::stageCandidates(const route_query& query, steady_time now) const
 {
@@ -157,69 +160,70 @@
         return result;
     for (const auto* target : found->second) {
         const auto& record = target->record;
-        const bool fits = takesWork(record) && record.target.kind == membership::target_kind::LayerRange
+        const bool fits = acceptsWork(record) && record.target.kind == membership::target_kind::LayerRange
             && record.target.version == query.version && !query.excluded.contains(record.id);
-        if (!fits || !isOpen(*target, now))
+        if (!fits || !breakerAllows(*target, now))
             continue;
         execution::stage_candidate one;
         one.stage = { record.id, record.linkAddress, record.incarnation, record.target.version,
             record.target.firstLayer, record.target.endLayer };
-        one.cost = estimate(*target, query, defaultUnitMs, now).finishMs;
+        one.cost = estimate(*target, query, defaultMsPerUnit, now).finishMs;
         result.push_back(std::move(one));
     }
     return result;
 }
 
-void route_table::offered(const instance_id& id)
+void route_table::attemptOffered(const instance_id& id)
 {
     auto* target = findState(id);
     if (target == nullptr)
         return;
     ++target->ownInFlight;
-    if (target->failuresInRow >= m_options.breakerFailures)
-        target->probing = true;
+    if (target->consecutiveFailures >= m_options.breakerThreshold)
+        target->isProbing = true;
 }
 
-void route_table::released(const instance_id& id)
+void route_table::attemptReleased(const instance_id& id)
 {
     auto* target = findState(id);
     if (target == nullptr)
         return;
-    target->probing = false;
+    target->isProbing = false;
     if (target->ownInFlight > 0)
         --target->ownInFlight;
 }
 
-void route_table::served(const instance_id& id, double elapsedMs, double work)
+void route_table::attemptSucceeded(const instance_id& id, double elapsedMs, double work)
 {
-    released(id);
+    attemptReleased(id);
     auto* target = findState(id);
     if (target == nullptr)
         return;
-    target->failuresInRow = 0;
+    target->consecutiveFailures = 0;
     if (work > 0)
-        target->unitMs = blend(target->unitMs, elapsedMs / work, m_options.smoothing);
+        target->msPerUnit = updateAverage(target->msPerUnit, elapsedMs / work, m_options.smoothing);
 }
 
-void route_table::failed(const instance_id& id, steady_time now)
+void route_table::attemptFailed(const instance_id& id, steady_time now)
 {
-    released(id);
+    attemptReleased(id);
     auto* target = findState(id);
     if (target == nullptr)
         return;
-    ++target->failuresInRow;
+    ++target->consecutiveFailures;
     // Each failed trial doubles the pause: a target that stays bad costs few callers.
-    const std::uint32_t over = target->failuresInRow - std::min(target->failuresInRow, m_options.breakerFailures);
-    target->breakerDeadline = now + m_options.breakerPeriod * (1 << std::min(over, maxBreakerDoublings));
+    const std::uint32_t over
+        = target->consecutiveFailures - std::min(target->consecutiveFailures, m_options.breakerThreshold);
+    target->breakerOpenUntil = now + m_options.breakerOpenPeriod * (1 << std::min(over, maxBreakerDoublings));
 }
 
-void route_table::report(const dispatch::load_report& report, steady_time now)
+void route_table::applyLoadReport(const dispatch::load_report& report, steady_time now)
 {
     auto* target = findState(report.instance);
     if (target == nullptr)
         return;
     const std::uint32_t total = report.running + report.queued;
-    target->othersInFlight = total > target->ownInFlight ? total - target->ownInFlight : 0;
+    target->otherEntriesInFlight = total > target->ownInFlight ? total - target->ownInFlight : 0;
     target->reportDeadline = now + m_options.reportLifetime;
     target->record.target.slots = std::max<std::uint32_t>(report.slots, 1);
 }
@@ -246,38 +250,38 @@
     if (found == m_byModel.end())
         return versions;
     for (const auto* target : found->second) {
-        if (takesWork(target->record))
+        if (acceptsWork(target->record))
             versions.insert(target->record.target.version);
     }
     return versions;
 }
 
-bool route_table::isOpen(const target_state& target, steady_time now) const
+bool route_table::breakerAllows(const target_state& target, steady_time now) const
 {
-    if (target.failuresInRow < m_options.breakerFailures)
+    if (target.consecutiveFailures < m_options.breakerThreshold)
         return true;
-    return !target.probing && now >= target.breakerDeadline;
+    return !target.isProbing && now >= target.breakerOpenUntil;
 }
 
 candidate route_table::estimate(
-    const target_state& target, const route_query& query, double fallbackUnitMs, steady_time now) const
+    const target_state& target, const route_query& query, double fallbackMsPerUnit, steady_time now) const
 {
     candidate one;
     one.slots = std::max<std::uint32_t>(target.record.target.slots, 1);
-    one.outstanding = target.ownInFlight + (now < target.reportDeadline ? target.othersInFlight : 0);
-    const double unitMs = target.unitMs > 0 ? target.unitMs : fallbackUnitMs;
-    const double serviceMs = unitMs * query.work;
+    one.outstanding = target.ownInFlight + (now < target.reportDeadline ? target.otherEntriesInFlight : 0);
+    const double msPerUnit = target.msPerUnit > 0 ? target.msPerUnit : fallbackMsPerUnit;
+    const double serviceMs = msPerUnit * query.work;
     const double ahead = one.outstanding >= one.slots ? one.outstanding - one.slots + 1.0 : 0.0;
     one.waitMs = ahead * serviceMs / one.slots;
     const bool isRemote = target.record.failureDomain != m_options.failureDomain;
-    one.finishMs = one.waitMs + serviceMs + (isRemote ? remoteLinkMs : 0);
-    one.rate = one.slots / std::max(unitMs, 1e-3);
+    one.finishMs = one.waitMs + serviceMs + (isRemote ? remoteDomainMs : 0);
+    one.rate = one.slots / std::max(msPerUnit, 1e-3);
     if (query.prefixHash != 0)
         one.affinity = XXH64(&target.identityHash, sizeof target.identityHash, query.prefixHash) | 1U;
     return one;
 }
 
-const std::vector<route_table::target_state*>& route_table::holdersOf(const route_query& query) const
+const std::vector<route_table::target_state*>& route_table::allTargetsFor(const route_query& query) const
 {
     static const std::vector<target_state*> none;
     const auto& index = query.model.empty() ? m_byService : m_byModel;
@@ -285,18 +289,18 @@
     return found == index.end() ? none : found->second;
 }
 
-std::vector<route_table::target_state*> route_table::matching(const route_query& query, steady_time now) const
+std::vector<route_table::target_state*> route_table::eligibleTargets(const route_query& query, steady_time now) const
 {
     std::vector<target_state*> result;
-    const auto& holders = holdersOf(query);
-    result.reserve(holders.size());
-    for (auto* target : holders) {
+    const auto& allTargets = allTargetsFor(query);
+    result.reserve(allTargets.size());
+    for (auto* target : allTargets) {
         const auto& description = target->record.target;
-        if (!takesWork(target->record) || description.kind == membership::target_kind::LayerRange)
+        if (!acceptsWork(target->record) || description.kind == membership::target_kind::LayerRange)
             continue;
         if (!query.model.empty() && description.version != query.version)
             continue;
-        if (query.excluded.contains(target->record.id) || !isOpen(*target, now))
+        if (query.excluded.contains(target->record.id) || !breakerAllows(*target, now))
             continue;
         result.push_back(target);
     }
@@ -327,7 +331,7 @@
     std::erase_if(targets, [&](const target_state* target) { return target->record.target.pool != *drawn; });
 }
 
-void route_table::unindex(const target_state& target)
+void route_table::removeFromIndex(const target_state& target)
 {
     const auto& description = target.record.target;
     auto& list = description.model.empty() ? m_byService[description.service] : m_byModel[description.model];
--- a/src/buckthornrail/routing/route_table_test.cpp
+++ b/src/buckthornrail/routing/route_table_test.cpp
@@ -15,7 +15,7 @@
 
 const steady_time begin = steady_time {} + std::chrono::hours(1);
 
-instance_record targetOf(const instance_id& id, const std::string& version = "1", const std::string& pool = "default")
+instance_record makeTarget(const instance_id& id, const std::string& version = "1", const std::string& pool = "default")
 {
     instance_record record;
     record.id = id;
@@ -29,7 +29,7 @@
     return record;
 }
 
-route_query queryOf()
+route_query makeQuery()
 {
     route_query query;
     query.model = "m";
@@ -43,32 +43,32 @@
 TEST_CASE("routes: only ready targets of the version that aren't excluded are candidates", "[routing]")
 {
     route_table table({}, 1);
-    CHECK(table.choose(queryOf(), begin).error().code == result_code::NoTarget);
-    table.update(targetOf("a"));
-    table.update(targetOf("b", "2"));
-    auto leaving = targetOf("c");
+    CHECK(table.choose(makeQuery(), begin).error().code == result_code::NoTarget);
+    table.update(makeTarget("a"));
+    table.update(makeTarget("b", "2"));
+    auto leaving = makeTarget("c");
     leaving.state = instance_state::Draining;
     table.update(leaving);
-    auto asked = targetOf("d");
+    auto asked = makeTarget("d");
     asked.drainRequested = true;
     table.update(asked);
     for (int at = 0; at < 20; ++at)
-        CHECK(table.choose(queryOf(), begin)->instance == "a");
-    auto query = queryOf();
+        CHECK(table.choose(makeQuery(), begin)->instance == "a");
+    auto query = makeQuery();
     query.excluded = { "a" };
     CHECK_FALSE(table.choose(query, begin));
     CHECK(table.readyVersions("m") == std::set<std::string> { "1", "2" });
     table.remove("a");
-    CHECK_FALSE(table.choose(queryOf(), begin));
+    CHECK_FALSE(table.choose(makeQuery(), begin));
 }
 
 TEST_CASE("routes: pools take their shares, and a pool without a share gets nothing", "[routing]")
 {
     route_table table({}, 2);
-    table.update(targetOf("x", "1", "x"));
-    table.update(targetOf("y", "1", "y"));
-    table.update(targetOf("z", "1", "z"));
-    auto query = queryOf();
+    table.update(makeTarget("x", "1", "x"));
+    table.update(makeTarget("y", "1", "y"));
+    table.update(makeTarget("z", "1", "z"));
+    auto query = makeQuery();
     query.pools = { { "x", 75 }, { "y", 25 }, { "z", 0 } };
     std::map<instance_id, int> chosen;
     for (int at = 0; at < 4000; ++at)
@@ -83,48 +83,48 @@
 TEST_CASE("routes: a breaker opens after failures in a row, and one trial closes it", "[routing]")
 {
     route_table table({}, 3);
-    table.update(targetOf("a"));
+    table.update(makeTarget("a"));
     for (int at = 0; at < 3; ++at) {
-        table.offered("a");
-        table.failed("a", begin);
+        table.attemptOffered("a");
+        table.attemptFailed("a", begin);
     }
-    CHECK_FALSE(table.choose(queryOf(), begin));
+    CHECK_FALSE(table.choose(makeQuery(), begin));
     const auto later = begin + milliseconds(2500);
-    CHECK(table.choose(queryOf(), later));
-    CHECK(table.choose(queryOf(), later)); // looking alone is no trial
-    table.offered("a");
-    CHECK_FALSE(table.choose(queryOf(), later)); // the trial is out
-    table.failed("a", later); // the trial failed: the next one waits twice as long
-    CHECK_FALSE(table.choose(queryOf(), later + milliseconds(3900)));
-    CHECK(table.choose(queryOf(), later + milliseconds(4000)));
-    table.offered("a");
-    table.served("a", 10, 1);
-    CHECK(table.choose(queryOf(), later));
+    CHECK(table.choose(makeQuery(), later));
+    CHECK(table.choose(makeQuery(), later)); // looking alone is no trial
+    table.attemptOffered("a");
+    CHECK_FALSE(table.choose(makeQuery(), later)); // the trial is out
+    table.attemptFailed("a", later); // the trial failed: the next one waits twice as long
+    CHECK_FALSE(table.choose(makeQuery(), later + milliseconds(3900)));
+    CHECK(table.choose(makeQuery(), later + milliseconds(4000)));
+    table.attemptOffered("a");
+    table.attemptSucceeded("a", 10, 1);
+    CHECK(table.choose(makeQuery(), later));
 }
 
 TEST_CASE("routes: faster targets get more, and full ones are passed over", "[routing]")
 {
     route_table table({}, 4);
-    table.update(targetOf("fast"));
-    table.update(targetOf("slow"));
+    table.update(makeTarget("fast"));
+    table.update(makeTarget("slow"));
     for (int at = 0; at < 20; ++at) {
-        table.served("fast", 10, 1);
-        table.served("slow", 80, 1);
+        table.attemptSucceeded("fast", 10, 1);
+        table.attemptSucceeded("slow", 80, 1);
     }
     std::map<instance_id, int> chosen;
     for (int at = 0; at < 1000; ++at)
-        ++chosen[table.choose(queryOf(), begin)->instance];
+        ++chosen[table.choose(makeQuery(), begin)->instance];
     CHECK(chosen["fast"] > 900);
     for (int at = 0; at < 40; ++at)
-        table.offered("fast");
+        table.attemptOffered("fast");
     chosen.clear();
     for (int at = 0; at < 1000; ++at)
-        ++chosen[table.choose(queryOf(), begin)->instance];
+        ++chosen[table.choose(makeQuery(), begin)->instance];
     CHECK(chosen["slow"] > 200);
-    auto query = queryOf();
+    auto query = makeQuery();
     query.startDeadline = begin + milliseconds(1);
     for (int at = 0; at < 40; ++at)
-        table.offered("slow");
+        table.attemptOffered("slow");
     CHECK(table.choose(query, begin).error().code == result_code::Busy);
 }
 
@@ -132,22 +132,22 @@
 {
     route_table table({}, 5);
     for (const char* id : { "a", "b", "c", "d" })
-        table.update(targetOf(id));
-    auto query = queryOf();
+        table.update(makeTarget(id));
+    auto query = makeQuery();
     query.prefixHash = hashPrefix("w", "shared instructions");
     CHECK(table.choose(query, begin)->reason == "earliest_of_two"); // it never came before
     const auto home = table.choose(query, begin)->instance;
     for (int at = 0; at < 50; ++at)
         CHECK(table.choose(query, begin)->instance == home);
-    table.offered(home);
-    table.offered(home);
+    table.attemptOffered(home);
+    table.attemptOffered(home);
     std::set<instance_id> others;
     for (int at = 0; at < 50; ++at)
         others.insert(table.choose(query, begin)->instance);
     CHECK(others.size() == 1); // what overflows goes to one and the same second
     CHECK_FALSE(others.contains(home));
-    table.offered(*others.begin());
-    table.offered(*others.begin());
+    table.attemptOffered(*others.begin());
+    table.attemptOffered(*others.begin());
     for (int at = 0; at < 50; ++at)
         others.insert(table.choose(query, begin)->instance);
     CHECK(others.size() > 2);
@@ -158,13 +158,13 @@
 {
     route_table table({}, 8);
     for (const char* id : { "fast", "slow", "new" }) {
-        auto record = targetOf(id);
+        auto record = makeTarget(id);
         record.target.accelerator = id == std::string("fast") ? "kind-a" : "kind-b";
         table.update(record);
     }
-    table.served("fast", 10, 1);
-    table.served("slow", 80, 1);
-    auto query = queryOf();
+    table.attemptSucceeded("fast", 10, 1);
+    table.attemptSucceeded("slow", 80, 1);
+    auto query = makeQuery();
     query.excluded = { "fast", "slow" };
     CHECK(table.choose(query, begin)->estimateMs == Approx(80));
     query.excluded = { "slow" };
@@ -174,9 +174,9 @@
 TEST_CASE("routes: an old load report counts for nothing", "[routing]")
 {
     route_table table({}, 6);
-    table.update(targetOf("a"));
-    table.report({ "a", 2, 100, 2 }, begin);
-    auto query = queryOf();
+    table.update(makeTarget("a"));
+    table.applyLoadReport({ "a", 2, 100, 2 }, begin);
+    auto query = makeQuery();
     query.startDeadline = begin + milliseconds(100);
     CHECK_FALSE(table.choose(query, begin));
     query.startDeadline = begin + milliseconds(5100);
@@ -200,8 +200,8 @@
     retry_budget budget(0.1, 5);
     int retries = 0;
     for (int at = 0; at < 1000; ++at) {
-        budget.requestStarted();
-        retries += budget.takeRetry() ? 1 : 0;
+        budget.countRequest();
+        retries += budget.tryTake() ? 1 : 0;
     }
     CHECK(retries <= 105);
     CHECK(retries >= 95);
--- a/src/buckthornrail/routing/selection_strategy.cpp
+++ b/src/buckthornrail/routing/selection_strategy.cpp
@@ -56,8 +56,8 @@
 public:
     selection select(std::span<const candidate> candidates, std::mt19937_64& random) override
     {
-        if (const auto home = findHome(candidates))
-            return { *home, "prefix_affinity" };
+        if (const auto target = findAffinityTarget(candidates))
+            return { *target, "prefix_affinity" };
         const std::size_t first = drawByRate(candidates, random);
         const std::size_t second = drawByRate(candidates, random);
         const bool secondIsBetter = finishesEarlier(candidates[second], candidates[first]);
@@ -66,27 +66,27 @@
 
 private:
     /// A cached prefix is worth at most this factor in the rest of the service time.
-    static constexpr double affinityTolerance = 2.0;
+    static constexpr double maxAffinitySlowdown = 2.0;
 
     static bool finishesEarlier(const candidate& a, const candidate& b) { return a.finishMs < b.finishMs; }
 
-    /// @return the first or second target by affinity, when it is free and not much slower than the soonest
-    static std::optional<std::size_t> findHome(std::span<const candidate> candidates)
+    /// @return the first or second target by affinity, when it is free and not much slower than the earliestFinishMs
+    static std::optional<std::size_t> findAffinityTarget(std::span<const candidate> candidates)
     {
-        std::array<std::size_t, 2> homes { 0, 0 };
-        double soonest = candidates[0].finishMs;
+        std::array<std::size_t, 2> preferred { 0, 0 };
+        double earliestFinishMs = candidates[0].finishMs;
         for (std::size_t at = 0; at < candidates.size(); ++at) {
-            soonest = std::min(soonest, candidates[at].finishMs);
-            if (candidates[at].affinity > candidates[homes[0]].affinity)
-                homes = { at, homes[0] };
-            else if (at != homes[0]
-                && (homes[1] == homes[0] || candidates[at].affinity > candidates[homes[1]].affinity))
-                homes[1] = at;
+            earliestFinishMs = std::min(earliestFinishMs, candidates[at].finishMs);
+            if (candidates[at].affinity > candidates[preferred[0]].affinity)
+                preferred = { at, preferred[0] };
+            else if (at != preferred[0]
+                && (preferred[1] == preferred[0] || candidates[at].affinity > candidates[preferred[1]].affinity))
+                preferred[1] = at;
         }
-        for (const std::size_t home : homes) {
-            const auto& one = candidates[home];
-            if (one.affinity != 0 && one.waitMs <= 0 && one.finishMs <= affinityTolerance * soonest)
-                return home;
+        for (const std::size_t target : preferred) {
+            const auto& one = candidates[target];
+            if (one.affinity != 0 && one.waitMs <= 0 && one.finishMs <= maxAffinitySlowdown * earliestFinishMs)
+                return target;
         }
         return std::nullopt;
     }
@@ -96,10 +96,10 @@
         double total = 0;
         for (const auto& one : candidates)
             total += one.rate;
-        double point = std::uniform_real_distribution<double>(0, total)(random);
+        double remaining = std::uniform_real_distribution<double>(0, total)(random);
         for (std::size_t at = 0; at < candidates.size(); ++at) {
-            point -= candidates[at].rate;
-            if (point < 0)
+            remaining -= candidates[at].rate;
+            if (remaining < 0)
                 return at;
         }
         return candidates.size() - 1;
