--- a/include/buckthornrail/routing/selection_strategy.hpp
+++ b/include/buckthornrail/routing/selection_strategy.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Ways to pick one of several candidates; the simple ones stay as baselines to measure against.
+/// @brief Strategies that select one of several candidate targets. FinishEstimate is the default; the simpler ones are
+/// baselines for comparison.
 #pragma once
 
 #include "buckthornrail/core/enum_names.hpp"
@@ -11,18 +12,20 @@
 
 namespace buckthornrail::routing {
 
-/// A target that could take a request.
+/// @brief A target that could take a request, with its estimates.
 struct candidate {
     double waitMs = 0; ///< expected time until a slot is free
     double finishMs = 0; ///< expected time until the answer is complete
-    double rate = 1; ///< work per ms with all slots in use
-    std::uint32_t outstanding = 0; ///< known requests at the target
-    std::uint32_t slots = 1;
-    std::uint64_t affinity = 0; ///< rendezvous hash of prompt prefix and target; 0: none
+    double rate = 1; ///< throughput with all slots in use, in work units per ms
+    std::uint32_t outstanding = 0; ///< requests at the target, running or queued, as far as known
+    std::uint32_t slots = 1; ///< requests that the target runs concurrently
+    std::uint64_t affinity = 0; ///< rendezvous hash of prompt prefix and target; 0: no affinity
 };
 
+/// @brief Selection strategies; the setting `strategy` names one of them.
 enum class strategy_kind : std::uint8_t { Random, RoundRobin, LeastOutstanding, FinishEstimate };
 
+/// @brief Names of the strategies in settings.
 inline constexpr std::array strategyNames {
     enum_name<strategy_kind> { strategy_kind::Random, "random" },
     enum_name<strategy_kind> { strategy_kind::RoundRobin, "round_robin" },
@@ -30,12 +33,13 @@
     enum_name<strategy_kind> { strategy_kind::FinishEstimate, "finish_estimate" },
 };
 
-/// What a strategy picked, and why, for the log.
+/// @brief The candidate that a strategy selected.
 struct selection {
-    std::size_t index = 0;
-    std::string_view reason;
+    std::size_t index = 0; ///< in the span of candidates
+    std::string_view reason; ///< why it was selected, for the log
 };
 
+/// @brief Interface of the selection strategies.
 /// @ingroup routing
 class selection_strategy {
 public:
@@ -44,11 +48,13 @@
     selection_strategy& operator=(const selection_strategy&) = delete;
     virtual ~selection_strategy() = default;
 
-    /// @param candidates at least one
+    /// @brief Selects a candidate.
+    /// @param candidates must not be empty
+    /// @param random source of randomness
     virtual selection select(std::span<const candidate> candidates, std::mt19937_64& random) = 0;
 };
 
-/// @brief Makes a strategy.
+/// @brief Creates a strategy of the given kind.
 std::unique_ptr<selection_strategy> makeStrategy(strategy_kind kind);
 
 } // namespace buckthornrail::routing
--- a/src/buckthornrail/routing/route_table.cpp
+++ b/src/buckthornrail/routing/route_table.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Candidates, estimates and the state that is kept of each target.
+/// @brief Filtering of targets, estimates and per-target statistics.
 #include "buckthornrail/routing/route_table.hpp"
 
 #include <algorithm>
@@ -9,13 +9,13 @@
 namespace buckthornrail::routing {
 namespace {
 
-constexpr double defaultMsPerUnit = 10; ///< until the first sample of any target
-constexpr double remoteDomainMs = 1; ///< added for a target in another failure domain
-constexpr std::uint32_t maxBreakerDoublings = 4;
+constexpr double defaultMsPerUnit = 10; ///< used until any target has a sample
+constexpr double remoteDomainMs = 1; ///< added to the estimate of a target in another failure domain
+constexpr std::uint32_t maxBreakerDoublings = 4; ///< of the breaker's open period
 constexpr std::size_t maxRecentPrefixes = 4096;
-constexpr std::size_t affinityPrefixBytes = 256; ///< of the prompt, for affinity
+constexpr std::size_t affinityPrefixBytes = 256; ///< prompt bytes that are hashed for affinity
 
-/// Average time of a unit of work over targets of one accelerator: what is expected of a target without a sample.
+/// Average time per work unit of the targets with the same accelerator, the estimate for a target without a sample.
 /// (Prediction from groups of similar sessions, after "Big Data Differentiators"; see docs/design/routing.md.)
 class group_averages {
 public:
@@ -38,7 +38,8 @@
     }
 
 private:
-    std::map<std::string_view, std::pair<double, double>> m_groups; ///< sum and count; the names outlive this object
+    /// Sum and count. The keys refer to names in the target records, which outlive this object.
+    std::map<std::string_view, std::pair<double, double>> m_groups;
     std::pair<double, double> m_all { 0, 0 };
 };
 
@@ -126,7 +127,7 @@
     for (const auto* target : allTargetsFor(query))
         averages.add(target->record.target.accelerator, target->msPerUnit);
     const double maxWaitMs = std::chrono::duration<double, std::milli>(query.startDeadline - now).count();
-    // A beginning that never came before is in no cache: it would only keep the request from the soonest target.
+    // A prefix not seen before is in no target's cache; affinity would only divert the request from the fastest target.
     const bool isRecurring = query.prefixHash != 0 && m_recentPrefixes.note(query.prefixHash);
     std::vector<candidate> candidates;
     std::vector<target_state*> candidateTargets;
@@ -211,10 +212,10 @@
     if (target == nullptr)
         return;
     ++target->consecutiveFailures;
-    // Each failed trial doubles the pause: a target that stays bad costs few callers.
-    const std::uint32_t over
+    // The open period doubles with each failed trial, so that a target that keeps failing affects few requests.
+    const std::uint32_t overThreshold
         = target->consecutiveFailures - std::min(target->consecutiveFailures, m_options.breakerThreshold);
-    target->breakerOpenUntil = now + m_options.breakerOpenPeriod * (1 << std::min(over, maxBreakerDoublings));
+    target->breakerOpenUntil = now + m_options.breakerOpenPeriod * (1 << std::min(overThreshold, maxBreakerDoublings));
 }
 
 void route_table::applyLoadReport(const dispatch::load_report& report, steady_time now)
@@ -314,7 +315,7 @@
     std::set<std::string> present;
     for (const auto* target : targets)
         present.insert(target->record.target.pool);
-    // Pools with no candidate lose their share to the others; a pool without a share never gets work.
+    // The share of a pool without an eligible target is distributed over the others; a pool without a share gets none.
     std::vector<configuration::share> usable;
     std::uint32_t total = 0;
     for (const auto& pool : query.pools) {
--- a/src/buckthornrail/routing/route_table_test.cpp
+++ b/src/buckthornrail/routing/route_table_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Candidates, shares, breakers and strategies.
+/// @brief Route table: candidates, pool shares, circuit breakers, estimates, affinity, strategies; retry budget.
 #include "buckthornrail/routing/retry_budget.hpp"
 #include "buckthornrail/routing/route_table.hpp"
 
@@ -91,10 +91,10 @@
     CHECK_FALSE(table.choose(makeQuery(), begin));
     const auto later = begin + milliseconds(2500);
     CHECK(table.choose(makeQuery(), later));
-    CHECK(table.choose(makeQuery(), later)); // looking alone is no trial
+    CHECK(table.choose(makeQuery(), later)); // choosing alone does not start the trial
     table.attemptOffered("a");
-    CHECK_FALSE(table.choose(makeQuery(), later)); // the trial is out
-    table.attemptFailed("a", later); // the trial failed: the next one waits twice as long
+    CHECK_FALSE(table.choose(makeQuery(), later)); // the trial request is in flight
+    table.attemptFailed("a", later); // the failed trial doubles the open period
     CHECK_FALSE(table.choose(makeQuery(), later + milliseconds(3900)));
     CHECK(table.choose(makeQuery(), later + milliseconds(4000)));
     table.attemptOffered("a");
@@ -135,7 +135,7 @@
         table.update(makeTarget(id));
     auto query = makeQuery();
     query.prefixHash = hashPrefix("w", "shared instructions");
-    CHECK(table.choose(query, begin)->reason == "earliest_of_two"); // it never came before
+    CHECK(table.choose(query, begin)->reason == "earliest_of_two"); // first occurrence of the prefix
     const auto home = table.choose(query, begin)->instance;
     for (int at = 0; at < 50; ++at)
         CHECK(table.choose(query, begin)->instance == home);
@@ -144,7 +144,7 @@
     std::set<instance_id> others;
     for (int at = 0; at < 50; ++at)
         others.insert(table.choose(query, begin)->instance);
-    CHECK(others.size() == 1); // what overflows goes to one and the same second
+    CHECK(others.size() == 1); // overflow goes to a single second target
     CHECK_FALSE(others.contains(home));
     table.attemptOffered(*others.begin());
     table.attemptOffered(*others.begin());
@@ -168,7 +168,8 @@
     query.excluded = { "fast", "slow" };
     CHECK(table.choose(query, begin)->estimateMs == Approx(80));
     query.excluded = { "slow" };
-    CHECK(table.choose(query, begin)->instance == "fast"); // both draws weigh the new one as slow
+    // "new" is estimated like "slow", so it is selected only if both draws pick it.
+    CHECK(table.choose(query, begin)->instance == "fast");
 }
 
 TEST_CASE("routes: an old load report counts for nothing", "[routing]")
--- a/src/buckthornrail/routing/selection_strategy.cpp
+++ b/src/buckthornrail/routing/selection_strategy.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The strategies.
+/// @brief Implementations of the selection strategies.
 #include "buckthornrail/routing/selection_strategy.hpp"
 
 #include <algorithm>
@@ -50,8 +50,9 @@
     }
 };
 
-/// Two draws weighted by rate, of which the earlier finish wins. Before that, the two targets that a prompt's beginning
-/// belongs to, while they have a free slot: what overflows from the first goes to one and the same second.
+/// Power of two choices: draws two candidates weighted by rate and selects the one expected to finish earlier.
+/// Prefix affinity takes precedence: the two candidates with the highest affinity are tried first, provided they have a
+/// free slot. With a fixed second choice, requests that overflow from the first share one prefix cache.
 class finish_estimate_strategy : public selection_strategy {
 public:
     selection select(std::span<const candidate> candidates, std::mt19937_64& random) override
@@ -65,12 +66,14 @@
     }
 
 private:
-    /// A cached prefix is worth at most this factor in the rest of the service time.
+    /// Bound on what a cached prefix is worth: targets slower than this multiple of the earliest finish time get no
+    /// preference.
     static constexpr double maxAffinitySlowdown = 2.0;
 
     static bool finishesEarlier(const candidate& a, const candidate& b) { return a.finishMs < b.finishMs; }
 
-    /// @return the first or second target by affinity, when it is free and not much slower than the earliestFinishMs
+    /// @return index of the candidate with the highest or second-highest affinity, if it has a free slot and finishes
+    /// within maxAffinitySlowdown; nothing if neither does
     static std::optional<std::size_t> findAffinityTarget(std::span<const candidate> candidates)
     {
         std::array<std::size_t, 2> preferred { 0, 0 };
