--- a/include/buckthornrail/routing/retry_budget.hpp
+++ b/include/buckthornrail/routing/retry_budget.hpp
@@ -6,7 +6,7 @@
 
 namespace buckthornrail::routing {
 
-/// @brief Retry budget as a bucket: each request adds a fraction of a retry, each retry after a failure takes one.
+/// @brief Token bucket of retries: each request adds a fraction of a retry, each retry after a failure takes one.
 /// @ingroup routing
 class retry_budget {
 public:
--- a/include/buckthornrail/routing/route_table.hpp
+++ b/include/buckthornrail/routing/route_table.hpp
@@ -86,9 +86,10 @@
     /// @brief Updates a target's load and slots from its report.
     void applyLoadReport(const dispatch::load_report& report, steady_time now);
 
-    /// @return record of an instance, or nullptr
+    /// @return record of the instance, or nullptr if it is not in the table
     [[nodiscard]] const membership::instance_record* find(const instance_id& id) const;
     [[nodiscard]] std::size_t size() const { return m_targets.size(); }
+    /// @return all instances in the table, in no particular order
     [[nodiscard]] std::vector<instance_id> ids() const;
     /// @brief Versions of a model that at least one ready target holds.
     [[nodiscard]] std::set<std::string> readyVersions(const std::string& model) const;
@@ -108,6 +109,7 @@
 
     /// True if the breaker is closed, or its open period is over and no trial request is in flight.
     [[nodiscard]] bool breakerAllows(const target_state& target, steady_time now) const;
+    /// Estimates wait and finish time of a query at a target; fallbackMsPerUnit applies to a target without a sample.
     [[nodiscard]] candidate estimate(
         const target_state& target, const route_query& query, double fallbackMsPerUnit, steady_time now) const;
     /// All targets of the query's model or service, whether ready or not.
--- a/src/buckthornrail/routing/selection_strategy.cpp
+++ b/src/buckthornrail/routing/selection_strategy.cpp
@@ -94,6 +94,7 @@
         return std::nullopt;
     }
 
+    /// @return index of a random candidate, weighted by rate
     static std::size_t drawByRate(std::span<const candidate> candidates, std::mt19937_64& random)
     {
         double total = 0;
