--- a/src/buckthornrail/routing/selection_strategy.cpp
+++ b/src/buckthornrail/routing/selection_strategy.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The strategies.
+/// @brief Implementations of the selection strategies.
 #include "buckthornrail/routing/selection_strategy.hpp"
 
 #include <algorithm>
@@ -50,14 +50,15 @@
     }
 };
 
-/// Two draws weighted by rate, of which the earlier finish wins. Before that, the two targets that a prompt's beginning
-/// belongs to, while they have a free slot: what overflows from the first goes to one and the same second.
+/// Power of two choices: draws two candidates weighted by rate and selects the one expected to finish earlier.
+/// Prefix affinity takes precedence: the two candidates with the highest affinity are tried first, provided they have a
+/// free slot. With a fixed second choice, requests that overflow from the first share one prefix cache.
 class finish_estimate_strategy : public selection_strategy {
 public:
     selection select(std::span<const candidate> candidates, std::mt19937_64& random) override
     {
-        if (const auto home = findHome(candidates))
-            return { *home, "prefix_affinity" };
+        if (const auto target = findAffinityTarget(candidates))
+            return { *target, "prefix_affinity" };
         const std::size_t first = drawByRate(candidates, random);
         const std::size_t second = drawByRate(candidates, random);
         const bool secondIsBetter = finishesEarlier(candidates[second], candidates[first]);
@@ -65,41 +66,44 @@
     }
 
 private:
-    /// A cached prefix is worth at most this factor in the rest of the service time.
-    static constexpr double affinityTolerance = 2.0;
+    /// Bound on what a cached prefix is worth: targets slower than this multiple of the earliest finish time get no
+    /// preference.
+    static constexpr double maxAffinitySlowdown = 2.0;
 
     static bool finishesEarlier(const candidate& a, const candidate& b) { return a.finishMs < b.finishMs; }
 
-    /// @return the first or second target by affinity, when it is free and not much slower than the soonest
-    static std::optional<std::size_t> findHome(std::span<const candidate> candidates)
+    /// @return index of the candidate with the highest or second-highest affinity, if it has a free slot and finishes
+    /// within maxAffinitySlowdown; nothing if neither does
+    static std::optional<std::size_t> findAffinityTarget(std::span<const candidate> candidates)
     {
-        std::array<std::size_t, 2> homes { 0, 0 };
-        double soonest = candidates[0].finishMs;
+        std::array<std::size_t, 2> preferred { 0, 0 };
+        double earliestFinishMs = candidates[0].finishMs;
         for (std::size_t at = 0; at < candidates.size(); ++at) {
-            soonest = std::min(soonest, candidates[at].finishMs);
-            if (candidates[at].affinity > candidates[homes[0]].affinity)
-                homes = { at, homes[0] };
-            else if (at != homes[0]
-                && (homes[1] == homes[0] || candidates[at].affinity > candidates[homes[1]].affinity))
-                homes[1] = at;
+            earliestFinishMs = std::min(earliestFinishMs, candidates[at].finishMs);
+            if (candidates[at].affinity > candidates[preferred[0]].affinity)
+                preferred = { at, preferred[0] };
+            else if (at != preferred[0]
+                && (preferred[1] == preferred[0] || candidates[at].affinity > candidates[preferred[1]].affinity))
+                preferred[1] = at;
         }
-        for (const std::size_t home : homes) {
-            const auto& one = candidates[home];
-            if (one.affinity != 0 && one.waitMs <= 0 && one.finishMs <= affinityTolerance * soonest)
-                return home;
+        for (const std::size_t target : preferred) {
+            const auto& one = candidates[target];
+            if (one.affinity != 0 && one.waitMs <= 0 && one.finishMs <= maxAffinitySlowdown * earliestFinishMs)
+                return target;
         }
         return std::nullopt;
     }
 
+    /// @return index of a random candidate, weighted by rate
     static std::size_t drawByRate(std::span<const candidate> candidates, std::mt19937_64& random)
     {
         double total = 0;
         for (const auto& one : candidates)
             total += one.rate;
-        double point = std::uniform_real_distribution<double>(0, total)(random);
+        double remaining = std::uniform_real_distribution<double>(0, total)(random);
         for (std::size_t at = 0; at < candidates.size(); ++at) {
-            point -= candidates[at].rate;
-            if (point < 0)
+            remaining -= candidates[at].rate;
+            if (remaining < 0)
                 return at;
         }
         return candidates.size() - 1;
