--- a/include/buckthornrail/registry/quarantine.hpp
+++ b/include/buckthornrail/registry/quarantine.hpp
@@ -77,7 +77,7 @@
     quarantine_stage stage = quarantine_stage::Suspect;
     std::vector<target_incarnation> ended; ///< the most recent targets that ended while running it
     std::uint32_t crashes = 0; ///< total number of such targets
-    std::uint32_t proofs = 0; ///< crashes during a trial while held; each doubles the timeout of the proven stage
+    std::uint32_t proofs = 0; ///< crashes during a trial while held; each after the first doubles the proven timeout
     trial_number trial = 0; ///< in progress; 0: none
     target_incarnation trialTarget;
     std::uint64_t revision = 0; ///< of the table at the entry's last change
--- a/src/app/registry/layer_orders.cpp
+++ b/src/app/registry/layer_orders.cpp
@@ -30,7 +30,7 @@
     return std::to_string(range.first) + "-" + std::to_string(range.end);
 }
 
-/// Least memory needs of a target. The memory size is 0 for an unknown accelerator.
+/// Memory of a target's accelerator, 0 for an unknown one, and what layers and the minimum number of tokens take of it.
 registry::memory_requirements needsOf(const registry::target_record& record, const gateway::layered_engine& engine)
 {
     const double tokens = sequencesPerTarget * (engine.usualPromptTokens + engine.usualAnswerTokens);
@@ -151,19 +151,19 @@
         if (!isPlanned(record))
             continue;
         const auto open = m_openOrders.find(id);
-        const bool isSettled = open == m_openOrders.end();
+        const bool canTakeOrder = open == m_openOrders.end();
         auto needs = needsOf(record, engine);
         const std::uint32_t capacity = std::min(engine.layers, registry::layersThatFit(needs));
         needs.tokens = preferredTokens[record.failureDomain];
-        const std::uint32_t comfortableLayers = std::min(capacity, registry::layersThatFit(needs));
-        candidates.push_back({ id, record.failureDomain, capacity, comfortableLayers,
-            isSettled ? record.layers : open->second.layers, isSettled });
+        const std::uint32_t preferredLayers = std::min(capacity, registry::layersThatFit(needs));
+        candidates.push_back({ id, record.failureDomain, capacity, preferredLayers,
+            canTakeOrder ? record.layers : open->second.layers, canTakeOrder });
     }
-    const auto steps = registry::planLayers(candidates, service.engine->layers);
-    for (const auto& step : steps)
-        m_openOrders[step.id] = { targets.find(step.id)->incarnation(), step.layers, now + orderTimeout, now,
-            step.isUrgent, false, nullptr };
-    return !steps.empty();
+    const auto assignments = registry::planLayers(candidates, service.engine->layers);
+    for (const auto& assignment : assignments)
+        m_openOrders[assignment.id] = { targets.find(assignment.id)->incarnation(), assignment.layers,
+            now + orderTimeout, now, assignment.isUrgent, false, nullptr };
+    return !assignments.empty();
 }
 
 void layer_orders::requestReport(const registry::target_record& record, open_order& order, steady_time now)
--- a/src/app/registry/registry.cpp
+++ b/src/app/registry/registry.cpp
@@ -62,7 +62,7 @@
             [this](link::channel_number channel) {
                 m_log->onClosed(channel);
                 m_sessions.erase(channel);
-                m_board.forget(channel);
+                m_gatewaySessions.forget(channel);
                 m_memberLimitsSent.erase(channel);
             },
             [this](link::channel_number channel, const std::string& bytes) { onMessage(channel, bytes); },
@@ -84,9 +84,9 @@
     m_log->changed = [this] { onChanged(); };
     m_log->leadershipChanged = [this](bool leads) {
         m_watch.resetLeases();
-        m_board.begin(leads, steadyNow());
+        m_gatewaySessions.begin(leads, steadyNow());
         m_memberLimitsSent.clear();
-        m_quarantineClock.begin();
+        m_quarantineTimers.begin();
         if (leads)
             m_orders.startLeading(m_log->replica().term(), steadyNow());
         else
@@ -236,9 +236,9 @@
     } else if (const auto* report = std::get_if<link::member_report>(&*message)) {
         onReport(channel, *report);
     } else if (const auto* answer = std::get_if<registry::fleet_report>(&*message)) {
-        m_board.applyLeaderAnswer(*answer, m_state.targets());
+        m_gatewaySessions.applyLeaderAnswer(*answer, m_state.targets());
         m_limits.merge(answer->limits, registry::limit_source::Leader, m_state.targets(), steadyNow());
-        m_sumsReceivedAt = steadyNow();
+        m_totalsReceivedAt = steadyNow();
     }
 }
 
@@ -254,12 +254,12 @@
     }
     bootstrapIfFirst();
     std::erase_if(m_sessions, [this, now](const auto& item) {
-        const bool isOver = now >= item.second.deadline;
-        if (isOver) {
-            m_board.forget(item.first);
+        const bool isExpired = now >= item.second.deadline;
+        if (isExpired) {
+            m_gatewaySessions.forget(item.first);
             telemetry::logEvent(event_code::SessionLost, { { "gateway", item.second.instance } });
         }
-        return isOver;
+        return isExpired;
     });
     refreshPlaces();
     pushAll();
@@ -268,12 +268,12 @@
     reportToLeader();
     if (m_log->isLeader()) {
         m_watch.probeExpired(now);
-        expireQuarantineTerms();
+        expireQuarantineEntries();
         m_orders.update(m_state.targets(), services(), m_feed.version(), now);
     }
     m_metrics.gauge("is_leader", m_log->isLeader() ? 1 : 0);
     m_metrics.gauge("commit_index", static_cast<double>(m_log->replica().commitIndex()));
-    m_metrics.gauge("sums_of_others_age_ms", static_cast<double>(ageOfSums().value_or(milliseconds(0)).count()));
+    m_metrics.gauge("sums_of_others_age_ms", static_cast<double>(ageOfTotals().value_or(milliseconds(0)).count()));
     m_metrics.gauge("sessions", static_cast<double>(m_sessions.size()));
     m_metrics.gauge("link_bytes_sent", static_cast<double>(m_hub->bytesSent()));
     m_metrics.gauge("link_bytes_received", static_cast<double>(m_hub->bytesReceived()));
@@ -283,8 +283,8 @@
 void registry_role::onChanged()
 {
     const link::named_work work(m_loop, "committed change");
-    // Gateways are updated before the change is acknowledged, since the next leader may not be
-    // elected in time to do it.
+    // Gateways are updated before the change is acknowledged, since the next leader may not be elected
+    // in time to do it.
     pushAll();
     logQuarantine();
     const std::uint64_t logged = std::exchange(m_loggedTargetRevision, m_state.targets().revision());
@@ -313,29 +313,29 @@
     return m_feed.services();
 }
 
-std::optional<milliseconds> registry_role::ageOfSums() const
+std::optional<milliseconds> registry_role::ageOfTotals() const
 {
-    if (m_log->isLeader() || m_sumsReceivedAt == steady_time {})
+    if (m_log->isLeader() || m_totalsReceivedAt == steady_time {})
         return std::nullopt;
-    return between(m_sumsReceivedAt, steadyNow());
+    return between(m_totalsReceivedAt, steadyNow());
 }
 
 std::vector<gateway::restricted_target> registry_role::restrictedTargets(steady_time now) const
 {
-    std::map<registry::target_incarnation, gateway::restricted_target> held;
+    std::map<registry::target_incarnation, gateway::restricted_target> restricted;
     for (const auto& limit : m_limits.limits(now)) {
-        held[limit.target].perSecond = limit.perSecond;
-        held[limit.target].limitAge = milliseconds(limit.ageMs);
+        restricted[limit.target].perSecond = limit.perSecond;
+        restricted[limit.target].limitAge = milliseconds(limit.ageMs);
     }
     for (const auto& [id, record] : m_state.targets().records()) {
         const auto target = record.incarnation();
         if (record.state == registry::target_state::Draining)
-            held[target].isLeaving = true;
+            restricted[target].isLeaving = true;
         if (m_backoffs.isBackingOff(target, now))
-            held[target].backoffLeft = between(now, m_backoffs.endOf(target));
+            restricted[target].backoffLeft = between(now, m_backoffs.endOf(target));
     }
     std::vector<gateway::restricted_target> rows;
-    for (auto& [target, row] : held) {
+    for (auto& [target, row] : restricted) {
         row.target = target;
         rows.push_back(row);
     }
@@ -347,7 +347,7 @@
     std::string text = "leader " + m_log->leaderAddress() + "\nterm " + std::to_string(m_log->replica().term())
         + "\ndocument " + std::to_string(m_state.document().version) + "\ngateways " + std::to_string(m_sessions.size())
         + "\n";
-    if (const auto age = ageOfSums())
+    if (const auto age = ageOfTotals())
         text += "sums_of_others_ms " + std::to_string(age->count()) + "\n";
     for (const auto& [channel, gatewaySession] : m_sessions)
         text += "gateway " + gatewaySession.instance + " document " + std::to_string(gatewaySession.documentVersion)
--- a/src/app/registry/registry.hpp
+++ b/src/app/registry/registry.hpp
@@ -90,8 +90,8 @@
     /// @brief Submits the queued changes to the log, unless an earlier submission is in flight.
     void submitQuarantine();
     void onQuarantineResult(const quarantine_submission& submission, bool committed);
-    /// @brief At the leader: queues the expiry of terms that have ended.
-    void expireQuarantineTerms();
+    /// @brief At the leader: queues the expiry of quarantine entries whose timeout has passed.
+    void expireQuarantineEntries();
     /// @brief Logs quarantine entries whose stage has changed, and updates their metrics.
     void logQuarantine();
     /// @brief Lists or clears quarantine entries for an operator.
@@ -110,8 +110,8 @@
     void pushAll();
     /// @brief Updates the addresses of the members that gateways are sent.
     void refreshPlaces();
-    /// @return age of the sums over the other controllers' sessions; nothing at the leader, or when none were received
-    [[nodiscard]] std::optional<milliseconds> ageOfSums() const;
+    /// @return age of the totals of the other controllers' sessions; nothing at the leader, or when none were received
+    [[nodiscard]] std::optional<milliseconds> ageOfTotals() const;
     /// @brief Sends the pending report to the leader, unless this controller leads.
     void reportToLeader();
     /// @param sequence of the heartbeat that it answers; 0: none
@@ -152,18 +152,18 @@
     std::map<link::channel_number, session> m_sessions;
     std::vector<link::controller_place> m_places; ///< of all members, to be sent to gateways
     std::uint64_t m_placesRevision = 0; ///< counts changes of m_places
-    registry::gateway_sessions m_board; ///< sessions are numbered by their channels
+    registry::gateway_sessions m_gatewaySessions; ///< sessions are numbered by their channels
     registry::limit_table m_limits;
     agreement::member_id m_lastReportedLeader = 0; ///< leader that the last report went to
     std::uint64_t m_limitsRevisionReported = 0; ///< of m_limits, in the last report
     std::map<link::channel_number, std::uint64_t> m_memberLimitsSent; ///< revision of m_limits, by member link
     link::member_report m_pendingReport; ///< events of targets, for the leader
     steady_time m_nextReportAt {};
-    steady_time m_sumsReceivedAt {}; ///< when the leader last sent the sums of all other sessions
+    steady_time m_totalsReceivedAt {}; ///< when the leader last sent the totals of all other sessions
     steady_time m_nextTablePushAt {};
     quarantine_submission m_pendingQuarantine;
     bool m_isQuarantineInFlight = false; ///< a submission hasn't been answered by the log yet
-    registry::quarantine_timers m_quarantineClock;
+    registry::quarantine_timers m_quarantineTimers;
     std::uint64_t m_loggedStageRevision = 0; ///< stage changes up to it have been logged
     std::set<request_fingerprint> m_loggedFingerprints; ///< fingerprints that were last logged as quarantined
     std::set<registry::target_incarnation> m_announcementsInFlight; ///< submitted to the log and not committed yet
--- a/src/app/registry/registry_quarantine.cpp
+++ b/src/app/registry/registry_quarantine.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Quarantine of requests that crash targets: gateways' reports are committed to the log, terms expire by the
-/// leader's clock, operators list and clear entries.
+/// @brief Quarantine of requests that crash targets: gateways' reports are committed to the log, entries expire
+/// by the leader's clock, and operators list and clear them.
 #include "app/registry/registry.hpp"
 #include "app/shared/control_answer.hpp"
 #include "buckthornrail/link/state_json.hpp"
@@ -91,9 +91,9 @@
     }
 }
 
-void registry_role::expireQuarantineTerms()
+void registry_role::expireQuarantineEntries()
 {
-    const auto ended = m_quarantineClock.takeEnded(m_state.quarantine(), steadyNow());
+    const auto ended = m_quarantineTimers.takeEnded(m_state.quarantine(), steadyNow());
     for (const auto& expiry : ended) {
         const auto& entry = *m_state.quarantine().find(expiry.fingerprint);
         telemetry::logEvent(event_code::QuarantineTermEnded,
--- a/src/app/registry/registry_sessions.cpp
+++ b/src/app/registry/registry_sessions.cpp
@@ -43,10 +43,10 @@
     gatewaySession.documentVersion
         = std::max(gatewaySession.documentVersion, heartbeat.sliceVersion.value_or(heartbeat.documentVersion));
     gatewaySession.targetRevision = std::max(gatewaySession.targetRevision, heartbeat.targetRevision);
-    const registry::gateway_usage life { heartbeat.instance, heartbeat.life, heartbeat.repeats,
+    const registry::gateway_usage usage { heartbeat.instance, heartbeat.life, heartbeat.repeats,
         heartbeat.isRepeatsComplete };
-    m_board.recordHeartbeat(channel, { life, heartbeat.openAttempts, heartbeat.targetRevision, heartbeat.loads },
-        m_state.targets(), steadyNow());
+    m_gatewaySessions.recordHeartbeat(channel,
+        { usage, heartbeat.openAttempts, heartbeat.targetRevision, heartbeat.loads }, m_state.targets(), steadyNow());
     m_limits.merge(heartbeat.limits, registry::limit_source::Downstream, m_state.targets(), steadyNow());
     gatewaySession.pendingSequence = heartbeat.sequence;
     gatewaySession.deadline = steadyNow() + sessionLifetime;
@@ -82,7 +82,7 @@
         m_watch.probeSuspect(target);
     markDraining(report.leavingTargets);
     m_limits.merge(report.limits, registry::limit_source::Downstream, m_state.targets(), steadyNow());
-    auto answer = m_board.answer(channel, report.sessions, m_state.targets(), steadyNow());
+    auto answer = m_gatewaySessions.answer(channel, report.sessions, m_state.targets(), steadyNow());
     auto& sentRevision = m_memberLimitsSent[channel];
     answer.limits = m_limits.changesSince(std::exchange(sentRevision, m_limits.revision()), steadyNow());
     m_hub->send(channel, link::encode(link::message(answer)));
@@ -99,7 +99,7 @@
         return;
     m_nextReportAt = now + reportPeriod;
     auto report = std::exchange(m_pendingReport, {});
-    report.sessions = m_board.report(m_state.targets());
+    report.sessions = m_gatewaySessions.report(m_state.targets());
     if (std::exchange(m_lastReportedLeader, m_log->replica().leader()) != m_log->replica().leader())
         m_limitsRevisionReported = 0;
     report.limits = m_limits.changesForLeader(std::exchange(m_limitsRevisionReported, m_limits.revision()), now);
@@ -197,7 +197,7 @@
 void registry_role::sendUpdate(link::channel_number channel, session& gatewaySession, std::uint64_t sequence,
     std::vector<registry::quarantine_receipt> receipts)
 {
-    const auto fleet = m_board.summaryFor(channel, m_state.targets(), steadyNow());
+    const auto fleet = m_gatewaySessions.summaryFor(channel, m_state.targets(), steadyNow());
     link::gateway_update update;
     update.sequence = sequence;
     update.isServed = true;
--- a/src/buckthornrail/registry/gateway_sessions.cpp
+++ b/src/buckthornrail/registry/gateway_sessions.cpp
@@ -31,7 +31,7 @@
 {
     m_isLeader = isLeader;
     m_gatewayTable.begin(now);
-    for (const auto& [member, sums] : m_members)
+    for (const auto& [member, totals] : m_members)
         m_loads.forget(member);
     m_members.clear();
     m_loads.forget(otherControllers);
@@ -91,7 +91,7 @@
         if (!std::exchange(one.isUnreported, false) && wasCounted)
             continue;
         made.lives.push_back(one.heartbeat.usage);
-        // Reports may be lost, so the usage is repeated until the latest report that contains it is answered.
+        // Reports may be lost, so each one includes the usage until the latest report that contains it is answered.
         if (!wasCounted)
             one.reportedIn = made.sequence;
     }
@@ -115,9 +115,9 @@
             made.earlier.push_back({ usage.id, std::move(*spent) });
     }
     made.others = ownTotals();
-    for (const auto& [number, sums] : m_members) {
+    for (const auto& [number, totals] : m_members) {
         if (number != member)
-            add(made.others, sums);
+            add(made.others, totals);
     }
     made.others.targetRevision = table.revision();
     made.others.loads = m_loads.othersOf(member, table);
@@ -159,8 +159,8 @@
     const auto& one = found->second;
     session_totals all = ownTotals();
     add(all, m_otherControllers);
-    for (const auto& [number, sums] : m_members)
-        add(all, sums);
+    for (const auto& [number, totals] : m_members)
+        add(all, totals);
     made.gateways = all.gateways;
     made.othersOpenAttempts = all.openAttempts - one.heartbeat.openAttempts;
     made.othersLoads = m_loads.othersOf(session, table);
--- a/src/buckthornrail/registry/gateway_sessions_test.cpp
+++ b/src/buckthornrail/registry/gateway_sessions_test.cpp
@@ -172,7 +172,7 @@
                 lead(*rc::gen::inRange(0, controllers));
             return;
         default:
-            return beat(*rc::gen::inRange(0, gateways));
+            return sendHeartbeat(*rc::gen::inRange(0, gateways));
         }
     }
 
@@ -205,7 +205,7 @@
         m_controllers[m_leader].begin(true, at(m_ms));
     }
 
-    void beat(int gateway)
+    void sendHeartbeat(int gateway)
     {
         auto& one = m_gateways[gateway];
         if (one.session == 0)
--- a/src/buckthornrail/registry/layer_plan.cpp
+++ b/src/buckthornrail/registry/layer_plan.cpp
@@ -102,35 +102,35 @@
             m_coverage.add(target);
     }
 
-    void run(std::vector<layer_assignment>& steps)
+    void run(std::vector<layer_assignment>& assignments)
     {
         for (auto& target : m_targets) {
             if (target.canTakeOrder && target.heldLayers.isEmpty() && target.preferredLayers > 0)
-                order(target, m_coverage.leastCovered(target.preferredLayers), steps);
+                order(target, m_coverage.leastCovered(target.preferredLayers), assignments);
         }
         const auto gap = m_coverage.gap();
         if (gap.isEmpty())
             return;
         auto* redundant = findRedundant(gap.size());
         if (redundant == nullptr) {
-            extendNeighbours(gap, steps);
+            extendNeighbours(gap, assignments);
             return;
         }
         m_coverage.remove(*redundant);
         const auto window = m_coverage.leastCovered(redundant->preferredLayers);
         m_coverage.add(*redundant);
-        order(*redundant, window, steps);
-        steps.back().isUrgent = true;
+        order(*redundant, window, assignments);
+        assignments.back().isUrgent = true;
     }
 
 private:
-    void order(plan_target& target, const layer_range& layers, std::vector<layer_assignment>& steps)
+    void order(plan_target& target, const layer_range& layers, std::vector<layer_assignment>& assignments)
     {
         m_coverage.remove(target);
         target.heldLayers = layers;
         target.canTakeOrder = false;
         m_coverage.add(target);
-        steps.push_back({ target.id, target.heldLayers, false });
+        assignments.push_back({ target.id, target.heldLayers, false });
     }
 
     /// @brief Finds the target with the largest spare capacity among those adjacent to a gap on one side.
@@ -154,21 +154,21 @@
 
     /// @brief Extends the targets adjacent to a gap over it, in proportion to their spare capacity. Changes nothing
     /// unless they can fill the whole gap.
-    void extendNeighbours(const layer_range& gap, std::vector<layer_assignment>& steps)
+    void extendNeighbours(const layer_range& gap, std::vector<layer_assignment>& assignments)
     {
         auto* below = findLargestSpareCapacity([&gap](const layer_range& held) { return held.end == gap.first; });
         auto* above = findLargestSpareCapacity([&gap](const layer_range& held) { return held.first == gap.end; });
         const std::uint32_t spareBelow = spareCapacityOf(below);
         const std::uint32_t spareAbove = spareCapacityOf(above);
-        const std::uint32_t space = spareBelow + spareAbove;
-        if (space == 0 || space < gap.size())
+        const std::uint32_t spare = spareBelow + spareAbove;
+        if (spare == 0 || spare < gap.size())
             return;
-        const std::uint32_t share = gap.size() * spareBelow / space;
+        const std::uint32_t share = gap.size() * spareBelow / spare;
         const std::uint32_t taken = std::max(share, gap.size() - std::min(gap.size(), spareAbove));
         if (taken > 0)
-            order(*below, { below->heldLayers.first, gap.first + taken }, steps);
+            order(*below, { below->heldLayers.first, gap.first + taken }, assignments);
         if (taken < gap.size())
-            order(*above, { gap.first + taken, above->heldLayers.end }, steps);
+            order(*above, { gap.first + taken, above->heldLayers.end }, assignments);
     }
 
     /// @brief Finds a target whose layers are all held by others too: the smallest that fills the gap, since it loads
@@ -227,15 +227,15 @@
 
 std::vector<layer_assignment> planLayers(std::span<const plan_target> targets, std::uint32_t layerCount)
 {
-    std::vector<layer_assignment> steps;
+    std::vector<layer_assignment> assignments;
     if (layerCount == 0)
-        return steps;
+        return assignments;
     std::map<std::string, std::vector<plan_target>> domains;
     for (const auto& target : targets)
         domains[target.failureDomain].push_back(target);
     for (auto& [domain, members] : domains)
-        domain_planner(std::move(members), layerCount).run(steps);
-    return steps;
+        domain_planner(std::move(members), layerCount).run(assignments);
+    return assignments;
 }
 
 } // namespace buckthornrail::registry
--- a/src/buckthornrail/registry/load_table_test.cpp
+++ b/src/buckthornrail/registry/load_table_test.cpp
@@ -68,15 +68,15 @@
                 latest.erase(session);
                 continue;
             }
-            const target_loads row { step % 7, step % 11, step % 13 };
-            loads.update(session, table, row);
-            latest[session] = row;
+            const target_loads ownLoads { step % 7, step % 11, step % 13 };
+            loads.update(session, table, ownLoads);
+            latest[session] = ownLoads;
         }
         for (std::uint64_t session = 0; session < 5; ++session) {
             target_loads expected(targets, 0);
-            for (const auto& [other, row] : latest) {
+            for (const auto& [other, otherLoads] : latest) {
                 for (std::size_t at = 0; other != session && at < targets; ++at)
-                    expected[at] += row[at];
+                    expected[at] += otherLoads[at];
             }
             RC_ASSERT(loads.othersOf(session, table) == expected);
         }
--- a/src/buckthornrail/registry/quarantine.cpp
+++ b/src/buckthornrail/registry/quarantine.cpp
@@ -204,7 +204,8 @@
 {
     quarantine_delta delta;
     delta.to = m_stageRevision;
-    // A receiver may be ahead of this controller after a session with one whose log entries are missing here.
+    // A receiver that is ahead had a session with a controller whose log entries this one doesn't have yet, or no
+    // longer has.
     delta.full = since < m_prunedRevision || since > m_stageRevision;
     for (const auto& [fingerprint, entry] : m_entries) {
         if (delta.full || entry.stageRevision > since)
--- a/src/buckthornrail/registry/quarantine_test.cpp
+++ b/src/buckthornrail/registry/quarantine_test.cpp
@@ -119,18 +119,18 @@
 TEST_CASE("quarantine: a crash during a held request's trial proves it for a minute, doubled each time", "[quarantine]")
 {
     quarantine_table table;
-    quarantine_timers clock;
+    quarantine_timers timers;
     prove(table, named(1), "a");
     CHECK(stageOf(table, named(1)) == quarantine_stage::Proven);
     CHECK(table.refusalOf({ named(1), 20, "x" }) == trial_refusal::Proven);
     steady_time now = zero;
     milliseconds expected { 60000 };
     for (int round = 0; round < 9; ++round) {
-        CHECK(clock.takeEnded(table, now).empty());
-        CHECK(clock.takeEnded(table, now + expected - milliseconds(1)).empty());
+        CHECK(timers.takeEnded(table, now).empty());
+        CHECK(timers.takeEnded(table, now + expected - milliseconds(1)).empty());
         now += expected;
         quarantine_change ended;
-        ended.expired = clock.takeEnded(table, now);
+        ended.expired = timers.takeEnded(table, now);
         REQUIRE(ended.expired.size() == 1);
         table.apply(ended);
         CHECK(stageOf(table, named(1)) == quarantine_stage::Held); // allows one more trial
@@ -145,13 +145,13 @@
 TEST_CASE("quarantine: three crashes outside of trials allow another trial soon", "[quarantine]")
 {
     quarantine_table table;
-    quarantine_timers clock;
+    quarantine_timers timers;
     for (const auto* target : { "a", "b", "c" })
         table.apply(crashOf(target, { named(1) }));
     CHECK(stageOf(table, named(1)) == quarantine_stage::Proven);
-    CHECK(clock.takeEnded(table, zero).empty());
+    CHECK(timers.takeEnded(table, zero).empty());
     quarantine_change ended;
-    ended.expired = clock.takeEnded(table, zero + milliseconds(5000));
+    ended.expired = timers.takeEnded(table, zero + milliseconds(5000));
     REQUIRE(ended.expired.size() == 1);
     table.apply(ended);
     CHECK(stageOf(table, named(1)) == quarantine_stage::Held);
@@ -165,20 +165,20 @@
 TEST_CASE("quarantine: an abandoned trial times out, and later the suspect is removed", "[quarantine]")
 {
     quarantine_table table;
-    quarantine_timers clock;
+    quarantine_timers timers;
     table.apply(crashOf("a", { named(1) }));
     table.apply(claimOf(named(1), 11, "b"));
-    CHECK(clock.takeEnded(table, zero).empty());
+    CHECK(timers.takeEnded(table, zero).empty());
     quarantine_change ended;
-    ended.expired = clock.takeEnded(table, zero + milliseconds(5000));
+    ended.expired = timers.takeEnded(table, zero + milliseconds(5000));
     REQUIRE(ended.expired.size() == 1);
     // The expiry is returned again in case it was lost.
-    CHECK(clock.takeEnded(table, zero + milliseconds(5500)).empty());
-    CHECK(clock.takeEnded(table, zero + milliseconds(6000)).size() == 1);
+    CHECK(timers.takeEnded(table, zero + milliseconds(5500)).empty());
+    CHECK(timers.takeEnded(table, zero + milliseconds(6000)).size() == 1);
     table.apply(ended);
     CHECK(table.refusalOf({ named(1), 12, "c" }) == trial_refusal::None);
-    CHECK(clock.takeEnded(table, zero + milliseconds(7000)).empty());
-    ended.expired = clock.takeEnded(table, zero + milliseconds(700000));
+    CHECK(timers.takeEnded(table, zero + milliseconds(7000)).empty());
+    ended.expired = timers.takeEnded(table, zero + milliseconds(700000));
     table.apply(ended);
     CHECK(table.entries().empty());
 }
--- a/src/buckthornrail/registry/target_record_test.cpp
+++ b/src/buckthornrail/registry/target_record_test.cpp
@@ -26,13 +26,13 @@
 int runPlanner(std::vector<plan_target>& targets, std::uint32_t layers)
 {
     for (int round = 0; round < 200; ++round) {
-        const auto steps = planLayers(targets, layers);
-        if (steps.empty())
+        const auto assignments = planLayers(targets, layers);
+        if (assignments.empty())
             return round;
-        for (const auto& step : steps) {
+        for (const auto& assignment : assignments) {
             for (auto& target : targets) {
-                if (target.id == step.id)
-                    target.heldLayers = step.layers;
+                if (target.id == assignment.id)
+                    target.heldLayers = assignment.layers;
             }
         }
     }
@@ -281,13 +281,14 @@
         { "spareSmall", "a", 10, 10, { 0, 10 }, true },
         { "mid", "a", 30, 30, { 40, 70 }, true },
     };
-    const auto steps = planLayers(targets, 80);
-    REQUIRE(steps.size() == 1);
-    CHECK(steps.front() == layer_assignment { "spareSmall", { 70, 80 }, true });
+    const auto assignments = planLayers(targets, 80);
+    REQUIRE(assignments.size() == 1);
+    CHECK(assignments.front() == layer_assignment { "spareSmall", { 70, 80 }, true });
 }
 
-TEST_CASE(
-    "layer plan: without a redundant target, adjacent targets extend into a gap by their spare capacity", "[registry]")
+TEST_CASE("layer plan: without a redundant target, adjacent targets keep their layers and extend into a gap by spare "
+          "capacity",
+    "[registry]")
 {
     std::vector<plan_target> targets {
         { "below", "a", 36, 30, { 0, 30 }, true },
