--- a/include/buckthornrail/gateway/layer_path.hpp
+++ b/include/buckthornrail/gateway/layer_path.hpp
@@ -33,8 +33,8 @@
     /// Cost of a first target outside the gateway's domain. Only events cross there.
     double remoteStartMs = 4;
     /// Cost of a hop between domains, where activations share a link of limited bandwidth: a typical prompt occupies it
-    /// for 14 ms. The cost is higher than that, as the traffic of a domain may cross twice, so paths cross only where
-    /// the local chains are congested. For slower links the pool raises it.
+    /// for 14 ms. The cost is higher than that, as the traffic of a domain may cross twice, so a path crosses only
+    /// where the chains within other domains are congested. For slower links the pool raises it.
     double crossingMs = 80;
     /// Added to crossingMs: time until the link from one domain to another is free, at [from * domains + to]; empty: 0.
     std::vector<double> linkWaitMs;
--- a/include/buckthornrail/gateway/route_document.hpp
+++ b/include/buckthornrail/gateway/route_document.hpp
@@ -45,7 +45,8 @@
     milliseconds eventGapTarget { 0 }; ///< target for the pause between two events of a stream; 0: none
     std::uint32_t priority = 5; ///< 0 is the highest
     std::vector<service_share> services; ///< the sum of the weights is positive
-    std::uint32_t maxAttempts = 1; ///< maximum number of attempts; targets that refuse or have ended don't count
+    /// Maximum number of targets that one request is sent to. Targets that refuse it or have ended do not count.
+    std::uint32_t maxAttempts = 1;
     bool isPublic = false; ///< callers need no key
     bool resumable = false; ///< an interrupted stream may continue at another target after its last event
 };
