--- a/src/buckthornrail/routing/route_table_test.cpp
+++ b/src/buckthornrail/routing/route_table_test.cpp
@@ -102,7 +102,7 @@
     CHECK(table.choose(makeQuery(), later));
 }
 
-TEST_CASE("routes: faster targets get more, and full ones are passed over", "[routing]")
+TEST_CASE("routes: faster targets get more requests, and full ones are skipped", "[routing]")
 {
     route_table table({}, 4);
     table.update(makeTarget("fast"));
@@ -128,7 +128,7 @@
     CHECK(table.choose(query, begin).error().code == result_code::Busy);
 }
 
-TEST_CASE("routes: a prompt's beginning keeps to its target while that has a free slot", "[routing]")
+TEST_CASE("routes: requests with a known prompt prefix stay on one target while it has a free slot", "[routing]")
 {
     route_table table({}, 5);
     for (const char* id : { "a", "b", "c", "d" })
@@ -154,7 +154,7 @@
     CHECK(hashPrefix("w", "a") != hashPrefix("v", "a"));
 }
 
-TEST_CASE("routes: a target without a sample is expected to be like others of its accelerator", "[routing]")
+TEST_CASE("routes: a target without a sample is estimated from others with the same accelerator", "[routing]")
 {
     route_table table({}, 8);
     for (const char* id : { "fast", "slow", "new" }) {
@@ -172,7 +172,7 @@
     CHECK(table.choose(query, begin)->instance == "fast");
 }
 
-TEST_CASE("routes: an old load report counts for nothing", "[routing]")
+TEST_CASE("routes: an expired load report is ignored", "[routing]")
 {
     route_table table({}, 6);
     table.update(makeTarget("a"));
@@ -196,7 +196,7 @@
     CHECK(makeStrategy(strategy_kind::LeastOutstanding)->select(candidates, random).index == 1);
 }
 
-TEST_CASE("retry budget: retries stay a part of the requests", "[routing]")
+TEST_CASE("retry budget: retries are limited to a fraction of the requests", "[routing]")
 {
     retry_budget budget(0.1, 5);
     int retries = 0;
