--- a/include/buckthornrail/gateway/crash_watch.hpp
+++ b/include/buckthornrail/gateway/crash_watch.hpp
@@ -51,10 +51,11 @@
     /// @return whether an attempt of a call lost its connection and the target's state is not known yet
     [[nodiscard]] bool awaitsVerdict(call_number call, steady_time now) const;
 
-    /// @brief The targets at an address have ended. @param survivor the target that uses the address now; empty: none
+    /// @brief The targets at an address have ended. @param replacement the target that uses the address now; empty:
+    /// none
     /// @return for each of them, the requests that had just started there
     std::vector<registry::crash_report> onTargetsEnded(const std::string& address,
-        const registry::target_incarnation& survivor, const fingerprint_source& fingerprintOf, steady_time now);
+        const registry::target_incarnation& replacement, const fingerprint_source& fingerprintOf, steady_time now);
     /// @brief The target at an address accepts connections: calls that lost a connection to it need not wait any
     /// longer.
     void onTargetAlive(const std::string& address);
@@ -74,9 +75,9 @@
         steady_time keepUntil {};
     };
 
-    /// @return targets of a path at an address, except for the survivor
+    /// @return targets of a path at an address, except for the replacement
     [[nodiscard]] static std::vector<registry::target_incarnation> endedOf(const std::vector<selected_part>& parts,
-        const std::string& address, const registry::target_incarnation& survivor);
+        const std::string& address, const registry::target_incarnation& replacement);
     void dropExpired(steady_time now);
 
     crash_watch_options m_options;
--- a/include/buckthornrail/gateway/dialect.hpp
+++ b/include/buckthornrail/gateway/dialect.hpp
@@ -10,25 +10,25 @@
 
 namespace buckthornrail::gateway {
 
-/// Decoded head of a client's request.
+/// Decoded head of a caller's request.
 struct caller_head {
     std::string requestId;
     std::string key; ///< empty: none
-    std::optional<milliseconds> timeout; ///< how long the client waits for the final response
-    std::optional<std::uint64_t> lastEventId; ///< last event that the client has received of a stream
+    std::optional<milliseconds> timeout; ///< how long the caller waits for the final response
+    std::optional<std::uint64_t> lastEventId; ///< last event that the caller has received of a stream
     request_size size;
 };
 
 /// What a gateway adds to a request that it forwards.
 struct forwarding_context {
     std::string targetId; ///< any other target at that address refuses the request
-    std::string workspace; ///< that owns the client's key; empty: none
+    std::string workspace; ///< that owns the caller's key; empty: none
     milliseconds timeLeft { 0 };
     std::optional<std::uint64_t> lastEventId;
     std::vector<selected_part> path; ///< empty for a target without layers
 };
 
-/// @brief Translates the requests and responses of a platform's clients and targets.
+/// @brief Translates the requests and responses of a platform's callers and targets.
 class traffic_dialect {
 public:
     traffic_dialect() = default;
@@ -51,7 +51,7 @@
     /// decoded
     [[nodiscard]] virtual tl::expected<std::string, failure> readReport(
         const std::string& body, const std::string& requestId) const = 0;
-    /// @brief Header field that tells a client when to retry. @param wait time until then
+    /// @brief Header field that tells a caller when to retry. @param wait time until then
     [[nodiscard]] virtual http1::field writeRetryAfter(milliseconds wait) const = 0;
 };
 
--- a/include/buckthornrail/gateway/exchange.hpp
+++ b/include/buckthornrail/gateway/exchange.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief State machine of one client request, from its head to its final response. Does no I/O.
+/// @brief State machine of one request of a caller, from its head to its final response. Does no I/O.
 ///
 /// The owner passes events in and carries out the actions that the exchange requests from its port. At most one attempt
 /// is open at a time.
@@ -19,13 +19,13 @@
 
 /// Properties of a request that decide how it is dispatched.
 struct exchange_request {
-    std::string id; ///< chosen by the client
+    std::string id; ///< chosen by the caller
     std::string service;
     std::uint64_t documentVersion = 0; ///< version of the route document that the route was chosen from
     route_pointer chosen;
     steady_time arrived {};
-    steady_time deadline {}; ///< of the final response: the client's or the route's, whichever is sooner
-    std::optional<std::uint64_t> lastEventId; ///< last event of the stream that the client has received
+    steady_time deadline {}; ///< of the final response: the caller's or the route's, whichever is sooner
+    std::optional<std::uint64_t> lastEventId; ///< last event of the stream that the caller has received
     request_size size;
 
     [[nodiscard]] bool isRetryable() const
@@ -75,19 +75,19 @@
     /// @brief Probes the members of the open attempt's path; onUnreachable() follows for each one that refuses
     /// connections. @param aliveSince a member that has delivered an event of another request since then is skipped
     virtual void probeMembers(steady_time aliveSince) = 0;
-    /// @brief Forwards the target's complete response to the client.
+    /// @brief Forwards the target's complete response to the caller.
     virtual void forwardResponse() = 0;
-    /// @brief Forwards the head of the target's stream to the client.
+    /// @brief Forwards the head of the target's stream to the caller.
     virtual void beginStream() = 0;
     virtual void forwardEvent(std::string_view bytes) = 0;
     virtual void endStream() = 0;
-    /// @brief Ends the client's stream so that it is recognisably incomplete.
+    /// @brief Ends the caller's stream so that it is recognisably incomplete.
     virtual void abortStream() = 0;
-    /// @brief Sends the client an error response of the gateway. @param ran whether the request may have been executed
+    /// @brief Sends the caller an error response of the gateway. @param ran whether the request may have been executed
     virtual void sendError(result_code code, ran_state ran, const std::string& reason) = 0;
     /// @brief Schedules onTimer(); replaces the time set before.
     virtual void setTimer(steady_time when) = 0;
-    /// @brief Fingerprint of the client's request, computed on the first call.
+    /// @brief Fingerprint of the caller's request, computed on the first call.
     [[nodiscard]] virtual request_fingerprint fingerprint() = 0;
     virtual void logEvent(event_code event, std::initializer_list<log_field> fields) = 0;
 };
@@ -110,10 +110,10 @@
     milliseconds reportAfter { 250 };
     milliseconds reportAgainAfter { 200 }; ///< doubles with each report that names no member
     /// Events over which the event gap of a path is averaged for the pool.
-    std::size_t paceSampleEvents = 8;
+    std::size_t latencySampleEvents = 8;
     /// After this many unanswered report requests the first target counts as unreachable.
     std::uint32_t maxUnansweredReports = 2;
-    /// A stream without an event for this long moves even if no member is known to be faulty: clients disconnect after
+    /// A stream without an event for this long moves even if no member is known to be faulty: callers disconnect after
     /// 2 s.
     milliseconds moveAfter { 1300 };
     /// The same before the first event, while the prompt may be queued.
@@ -132,7 +132,7 @@
     milliseconds holdPollInterval { 20 };
     /// A started stream that finds no target, or no retry in the budget, tries again after this interval,
     milliseconds streamRetryInterval { 150 };
-    /// until its client disconnects, usually after 2 s without an event, or this long after the last event.
+    /// until its caller disconnects, usually after 2 s without an event, or this long after the last event.
     milliseconds maxStreamPause { 5000 };
 };
 
@@ -149,9 +149,9 @@
     /// @brief The head of the response has arrived.
     void onHead(const target_response& response, steady_time now);
     /// @brief The open attempt's first target sent pushback, in the response to this request or to a report request.
-    /// @param namesNone whether the absence of a limit means that there is none
+    /// @param absenceMeansNone whether the absence of a limit means that there is none
     /// @param sentAt when that request was sent
-    void onPushback(const target_pushback& pushback, bool namesNone, steady_time sentAt, steady_time now);
+    void onPushback(const target_pushback& pushback, bool absenceMeansNone, steady_time sentAt, steady_time now);
     /// @brief The body of a response that is not a stream is complete.
     void onBody(steady_time now);
     /// @brief An event of the stream has arrived. @param id of the event; empty: it has none
@@ -172,12 +172,13 @@
     /// @brief The quarantine table has changed, or a target that may have crashed was found alive.
     void onQuarantineChanged(steady_time now);
     void onTimer(steady_time now);
-    /// @brief The client has disconnected.
+    /// @brief The caller has disconnected.
     void onCallerGone(steady_time now);
 
     [[nodiscard]] bool isOver() const { return m_over; }
-    /// @return when a target of a refused request is expected to have capacity; empty: refused for another reason
-    [[nodiscard]] std::optional<steady_time> roomExpectedAt() const { return m_roomExpectedAt; }
+    /// @return for a request refused because limits or backoffs block all targets, when one may be sent a request
+    /// again; empty: refused for another reason
+    [[nodiscard]] std::optional<steady_time> earliestSendAt() const { return m_earliestSendAt; }
     /// @return whether an event has arrived through a target since a time, which proves that it was alive then
     [[nodiscard]] bool hadEventThrough(const registry::target_incarnation& target, steady_time since) const;
     [[nodiscard]] const exchange_request& request() const { return m_request; }
@@ -195,17 +196,17 @@
         std::optional<selection> selected; ///< empty: see `why`
         std::string why;
         std::set<registry::target_incarnation> countedTargets;
-        selection_constraints bounds;
+        selection_constraints constraints;
     };
 
     /// @brief Selects a path for another attempt and takes it out of the retry budget.
-    next_attempt planNextAttempt(const attempt_end& last, selection_constraints bounds, steady_time now);
+    next_attempt planNextAttempt(const attempt_end& last, selection_constraints constraints, steady_time now);
     /// @brief Logs that an attempt has ended, then calls retryOrWait().
     void retry(const attempt_end& last, steady_time now);
     /// @brief Retries after an attempt that has ended, waits if a stream has started, or gives up.
     void retryOrWait(const attempt_end& last, steady_time now);
     /// @brief Retries elsewhere if possible; otherwise keeps the open attempt. @return true when it moved
-    bool moveAttempt(const attempt_end& last, selection_constraints bounds, steady_time now);
+    bool moveAttempt(const attempt_end& last, selection_constraints constraints, steady_time now);
     /// @brief Logs that a stalled attempt is kept, once per cause.
     void logKept(const attempt_end& last, const std::string& why);
     /// @brief Logs that an attempt has ended without a complete response.
@@ -254,7 +255,7 @@
     shared_retry_budget& m_budget;
     exchange_options m_options;
     selection m_selection;
-    selection_constraints m_bounds;
+    selection_constraints m_constraints;
     std::set<registry::target_incarnation>
         m_countedTargets; ///< targets counted against the route's limit: each received the request and is alive
     std::optional<std::uint64_t> m_lastEventId;
@@ -262,11 +263,11 @@
     bool m_attemptOpen = false;
     bool m_sent = false; ///< bytes of the open attempt may have reached the target
     bool m_hasFirstEvent = false; ///< of the open attempt
-    bool m_streamStarted = false; ///< the client has received the head
+    bool m_streamStarted = false; ///< the caller has received the head
     bool m_mayHaveRun = false; ///< in any attempt
     bool m_hadServerError = false; ///< a target responded with a server error
     bool m_over = false;
-    std::optional<steady_time> m_roomExpectedAt;
+    std::optional<steady_time> m_earliestSendAt;
     std::uint32_t m_attempts = 0;
     std::optional<attempt_end>
         m_pendingRetry; ///< outcome of the last attempt, while a started stream waits for a target
@@ -275,8 +276,8 @@
     steady_time m_holdDeadline {}; ///< of the pending attempt
     std::uint32_t m_unansweredReports = 0;
     std::uint32_t m_emptyReports = 0; ///< reports that named no member
-    std::size_t m_paceEvents = 0; ///< since the last latency sample
-    steady_time m_paceStart {};
+    std::size_t m_sampleEvents = 0; ///< since the last latency sample
+    steady_time m_sampleStart {};
     std::size_t m_events = 0;
     steady_time m_attemptStart {};
     steady_time m_reportAt {};
--- a/include/buckthornrail/gateway/fingerprint_request.hpp
+++ b/include/buckthornrail/gateway/fingerprint_request.hpp
@@ -1,17 +1,17 @@
 /// @file
-/// @brief Fingerprints of client requests.
+/// @brief Fingerprints of callers' requests.
 #pragma once
 
 #include "buckthornrail/core/request_fingerprint.hpp"
 
 namespace buckthornrail::gateway {
 
-/// Parts that identify a request. The request id is not among them, as clients retry under another id.
+/// Parts that identify a request. The request id is not among them, as callers retry under another id.
 struct request_identity {
     std::string_view method;
     std::string_view host;
     std::string_view target; ///< path and query
-    std::string_view workspace; ///< that owns the client's key; empty: none
+    std::string_view workspace; ///< that owns the caller's key; empty: none
     std::string_view body;
 };
 
--- a/include/buckthornrail/gateway/rate_limiter.hpp
+++ b/include/buckthornrail/gateway/rate_limiter.hpp
@@ -44,7 +44,7 @@
     [[nodiscard]] steady_time::duration interval() const { return m_interval; }
 
 private:
-    void updatePace(const gateway_share& share);
+    void updateInterval(const gateway_share& share);
 
     double m_perSecond;
     std::uint64_t m_key;
--- a/include/buckthornrail/gateway/shared_retry_budget.hpp
+++ b/include/buckthornrail/gateway/shared_retry_budget.hpp
@@ -23,7 +23,7 @@
     milliseconds window { 10000 };
     /// Usable share of the budget, 0 to 1: gateways count a request at slightly different times.
     double usableShare = 0.85;
-    /// Share of that which refused requests, executed by no target, may use: their clients can send them again without
+    /// Share of that which refused requests, executed by no target, may use: their callers can send them again without
     /// using the budget, while a started stream would be lost.
     double refusedShare = 0.5;
     /// Until this time retries of an earlier process of this gateway may be missing from the count. Before it, refused
--- a/include/buckthornrail/gateway/target_pool.hpp
+++ b/include/buckthornrail/gateway/target_pool.hpp
@@ -29,8 +29,8 @@
 struct selection {
     std::vector<selected_part> parts;
     double expectedPassMs = 0; ///< expected time between two events at the present load; 0: not a path over layers
-    bool hasCapacity
-        = true; ///< every part has memory for its open attempts, or will have before the first event is due
+    /// Whether every part has memory for its open attempts, or will have before the first event is due.
+    bool hasCapacity = true;
     std::string summary; ///< for logs: number of usable targets and expected cost
 };
 
@@ -116,8 +116,8 @@
     /// loads by target are unknown, they are assumed to be distributed like the loads of this gateway.
     void setOtherGateways(std::size_t gateways, std::size_t openAttempts);
     /// @brief Sets the load of the other gateways by target.
-    /// @param row in the order of the target ids of the last update(); ignored if its length differs from the table's
-    void setOtherGatewayLoads(const registry::target_loads& row, steady_time now);
+    /// @param loads in the order of the target ids of the last update(); ignored if its length differs from the table's
+    void setOtherGatewayLoads(const registry::target_loads& loads, steady_time now);
     /// @brief Load of this gateway by target, to be reported to the others.
     [[nodiscard]] registry::target_loads loads() const;
     [[nodiscard]] std::size_t openAttempts() const { return m_openAttempts; }
--- a/src/app/gateway/gateway.cpp
+++ b/src/app/gateway/gateway.cpp
@@ -72,7 +72,7 @@
                   resumeWaitingCalls();
               },
               [this](bool all) { return m_context.pool.takeLimitReports(all, steadyNow()); },
-              [this](const std::vector<registry::limit_report>& news) { onRemoteLimits(news); },
+              [this](const std::vector<registry::limit_report>& reports) { onRemoteLimits(reports); },
               [this] { return m_context.pool.unreportedLeaving(); },
           })
     , m_stallCheck(loop, stallCheckPeriod, [this] { checkForStall(); })
@@ -162,9 +162,9 @@
             { { "gateways", std::to_string(update.budgetSharers) }, { "before", std::to_string(before) } });
 }
 
-void gateway_role::onRemoteLimits(const std::vector<registry::limit_report>& news)
+void gateway_role::onRemoteLimits(const std::vector<registry::limit_report>& reports)
 {
-    for (const auto& change : m_context.pool.mergeRemoteLimits(news, steadyNow())) {
+    for (const auto& change : m_context.pool.mergeRemoteLimits(reports, steadyNow())) {
         telemetry::logEvent(event_code::TargetPushback,
             { { "target", text(change.target) }, { "per_second", gateway::text(change.after) },
                 { "before", gateway::text(change.before) },
@@ -274,7 +274,7 @@
     };
     bool hasCrashes = false;
     for (const auto& report : m_context.crashes.onTargetsEnded(address, replacement, fingerprintOf, steadyNow())) {
-        // A target that is leaving, or has deregistered, ends on its own.
+        // A target that is leaving, or has signed off, ends on its own.
         if (replacement.empty() && m_context.pool.isLeaving(report.target))
             continue;
         hasCrashes = true;
--- a/src/app/gateway/gateway.hpp
+++ b/src/app/gateway/gateway.hpp
@@ -44,7 +44,7 @@
     /// @brief Applies what the leader reports about the other gateways.
     void onSessionUpdate(const link::gateway_update& update);
     /// @brief Applies rate limits that targets have reported to other gateways.
-    void onRemoteLimits(const std::vector<registry::limit_report>& news);
+    void onRemoteLimits(const std::vector<registry::limit_report>& reports);
     /// @brief Another version of the document has become active.
     void onDocument();
     /// @brief Detects that the process was suspended. State received before may be stale then, so new calls wait until
@@ -58,7 +58,7 @@
     [[nodiscard]] std::vector<std::shared_ptr<gateway_call>> openCalls() const;
     /// @brief Reports a target that refuses connections or doesn't respond to them.
     void onUnreachable(const std::string& address, net::reachability found);
-    /// @brief A target accepts connections: attempts cut off there haven't ended it.
+    /// @brief A target accepts connections: the requests whose connections to it were lost haven't crashed it.
     void onReachable(const std::string& address);
     /// @brief Reports the requests that may have crashed the targets at an address.
     /// @param replacement the target that has the address now; empty: none
--- a/src/app/gateway/gateway_call.cpp
+++ b/src/app/gateway/gateway_call.cpp
@@ -21,7 +21,7 @@
 /// still get its first event within a latency target of 500 ms. With 300 ms few did, which lowered the score under a
 /// burst with target losses by 0.013.
 constexpr milliseconds busyRetryDelay { 120 };
-/// A suspected request that runs elsewhere is cleared or confirmed by its first events.
+/// A suspect that runs elsewhere is cleared, or proven to crash targets, by its first events.
 constexpr milliseconds heldRetryDelay { 1000 };
 constexpr milliseconds shutdownRetryDelay { 10 }; ///< another gateway can accept the request at once
 /// Time from the exit of a gateway until its replacement has its first document.
@@ -102,13 +102,13 @@
         refuse(result_code::NotFound, "no route for host and path");
         return;
     }
-    const auto holder = m_caller.key.empty() ? nullptr : index.findWorkspace(m_caller.key);
-    if (index.rest()->needsKeys && !route->isPublic && holder == nullptr) {
+    const auto workspace = m_caller.key.empty() ? nullptr : index.findWorkspace(m_caller.key);
+    if (index.rest()->needsKeys && !route->isPublic && workspace == nullptr) {
         refuse(result_code::Unauthorized, "missing or unknown API key");
         return;
     }
-    if (holder != nullptr)
-        m_workspace = holder->workspace;
+    if (workspace != nullptr)
+        m_workspace = workspace->workspace;
     if (m_context.isStopping && outlastsShutdown(*route)) {
         refuse(result_code::ShuttingDown, "the gateway shuts down before the request could finish");
         return;
@@ -155,10 +155,10 @@
 }
 
 void gateway_call::openAttempt(
-    std::uint32_t number, const gateway::selection& where, std::optional<std::uint64_t> lastEventId)
+    std::uint32_t number, const gateway::selection& selected, std::optional<std::uint64_t> lastEventId)
 {
     m_attempt = number;
-    m_selection = where;
+    m_selection = selected;
     m_parser = std::make_unique<http1::response_parser>(responseLimits);
     m_eventReader = {};
     m_isHeadReported = false;
@@ -166,20 +166,20 @@
     m_isConnected = false;
     const auto now = steadyNow();
     gateway::forwarding_context added;
-    added.targetId = where.parts.front().target.id;
+    added.targetId = selected.parts.front().target.id;
     added.workspace = m_workspace;
     added.timeLeft
         = std::max(milliseconds(1), std::chrono::duration_cast<milliseconds>(m_exchange->request().deadline - now));
     added.lastEventId = lastEventId;
-    if (!where.parts.front().layers.isEmpty())
-        added.path = where.parts;
+    if (!selected.parts.front().layers.isEmpty())
+        added.path = selected.parts;
     const std::weak_ptr<gateway_call> weak = weak_from_this();
     const auto ifCurrent = [weak, number](auto&& act) {
         const auto self = weak.lock();
         if (self && self->m_channel && self->m_attempt == number)
             act(*self);
     };
-    m_channel = net::dial(m_context.loop, where.parts.front().address,
+    m_channel = net::dial(m_context.loop, selected.parts.front().address,
         {
             [ifCurrent] {
                 ifCurrent([](gateway_call& self) {
@@ -192,11 +192,11 @@
             nullptr,
             [ifCurrent](net::channel_end how) { ifCurrent([how](gateway_call& self) { self.onEnded(how); }); },
         });
-    if (where.parts.size() > 1) {
-        for (const auto& part : where.parts)
+    if (selected.parts.size() > 1) {
+        for (const auto& part : selected.parts)
             m_context.reachability->watch(part.address);
     }
-    m_context.crashes.onAttemptOpened(m_number, where.parts, now);
+    m_context.crashes.onAttemptOpened(m_number, selected.parts, now);
     m_channel->write(http1::formatRequest(m_context.dialect.writeForwarded(m_head, added), m_body));
     m_connectTimer.set(now + connectTimeout, [ifCurrent] {
         ifCurrent([](gateway_call& self) {
@@ -411,8 +411,8 @@
 
 milliseconds gateway_call::retryDelay(result_code code) const
 {
-    if (m_exchange && m_exchange->roomExpectedAt())
-        return std::max(busyRetryDelay, between(steadyNow(), *m_exchange->roomExpectedAt()));
+    if (m_exchange && m_exchange->earliestSendAt())
+        return std::max(busyRetryDelay, between(steadyNow(), *m_exchange->earliestSendAt()));
     if (code != result_code::ShuttingDown || m_sink->openedAt() < m_context.acceptStreamsUntil)
         return defaultRetryDelay(code);
     // The load balancer has stopped using this gateway, yet new connections still arrive: no other gateway is
--- a/src/app/gateway/gateway_call.hpp
+++ b/src/app/gateway/gateway_call.hpp
@@ -79,10 +79,10 @@
     /// @brief The caller's connection has sent everything written so far.
     void drained();
 
-    gateway::dispatch_verdict requestDispatch(const gateway::selection& where) override;
+    gateway::dispatch_verdict requestDispatch(const gateway::selection& selected) override;
     [[nodiscard]] bool mustCancel() override;
     void openAttempt(
-        std::uint32_t number, const gateway::selection& where, std::optional<std::uint64_t> lastEventId) override;
+        std::uint32_t number, const gateway::selection& selected, std::optional<std::uint64_t> lastEventId) override;
     void cancelAttempt() override;
     void requestReport() override;
     void probeMembers(steady_time aliveSince) override;
@@ -118,7 +118,7 @@
     /// @brief Clears the request of suspicion: a target that completes its response wasn't crashed by it.
     void recordAnswered();
     /// @brief Logs a change of the verdict.
-    void logVerdict(gateway::dispatch_verdict verdict, const gateway::selection& where);
+    void logVerdict(gateway::dispatch_verdict verdict, const gateway::selection& selected);
     void onBytes(std::string_view bytes);
     void onEnded(net::channel_end how);
     /// @brief Passes what the parser has completed on to the exchange.
--- a/src/app/gateway/gateway_call_quarantine.cpp
+++ b/src/app/gateway/gateway_call_quarantine.cpp
@@ -6,28 +6,29 @@
 
 namespace buckthornrail::app {
 
-gateway::dispatch_verdict gateway_call::requestDispatch(const gateway::selection& where)
+gateway::dispatch_verdict gateway_call::requestDispatch(const gateway::selection& selected)
 {
     const auto now = steadyNow();
     if (m_context.crashes.awaitsVerdict(m_number, now))
         return gateway::dispatch_verdict::Wait;
     if (m_context.quarantine.isEmpty())
         return gateway::dispatch_verdict::Go;
-    const auto verdict = m_context.quarantine.requestDispatch(m_number, fingerprint(), where.parts.front().target, now);
-    logVerdict(verdict, where);
+    const auto verdict
+        = m_context.quarantine.requestDispatch(m_number, fingerprint(), selected.parts.front().target, now);
+    logVerdict(verdict, selected);
     if (m_context.quarantine.hasUnsentChanges())
         m_context.requestHeartbeat();
     return verdict;
 }
 
-void gateway_call::logVerdict(gateway::dispatch_verdict verdict, const gateway::selection& where)
+void gateway_call::logVerdict(gateway::dispatch_verdict verdict, const gateway::selection& selected)
 {
     if (std::exchange(m_verdict, verdict) == verdict)
         return;
     const auto stage = m_context.quarantine.stageOf(fingerprint());
     telemetry::logEvent(event_code::TrialDecided,
         { { "request", m_caller.requestId }, { "fingerprint", text(fingerprint()) }, { "workspace", m_workspace },
-            { "path", m_head.target }, { "target", text(where.parts.front().target) },
+            { "path", m_head.target }, { "target", text(selected.parts.front().target) },
             { "stage", std::string(nameIn(registry::quarantineStageNames, stage)) },
             { "outcome", std::string(nameIn(gateway::dispatchVerdictNames, verdict)) },
             { "revision", std::to_string(m_context.quarantine.revision()) } });
--- a/src/app/gateway/gateway_session.cpp
+++ b/src/app/gateway/gateway_session.cpp
@@ -204,7 +204,7 @@
     m_callbacks.fillRetries(beat);
     const bool isFirst = !std::exchange(m_hasSentHeartbeat, true);
     m_callbacks.fillQuarantine(beat, isFirst);
-    beat.limits = m_callbacks.takeLimitNews(isFirst);
+    beat.limits = m_callbacks.takeLimitReports(isFirst);
     beat.leavingTargets = m_callbacks.leavingTargets();
     m_hub.send(m_channel, link::encode(link::message(std::move(beat))));
 }
@@ -242,15 +242,15 @@
         const auto* slice = std::get_if<link::document_slice>(&next);
         if (slice == nullptr)
             continue;
-        const steady_time begun = steadyNow();
+        const steady_time startedAt = steadyNow();
         if (slice->number == 0)
-            m_pauseSlicesUntil = begun + slicePauseTime;
+            m_pauseSlicesUntil = startedAt + slicePauseTime;
         onSlice(*slice);
         onProgress(m_channel);
         // Many slices may arrive in one turn of the loop: streams are served between them.
         const steady_time now = steadyNow();
         m_isPausing = true;
-        m_inboxTimer.set(now + pauseAfter(now - begun), [this] { processInbox(); });
+        m_inboxTimer.set(now + pauseAfter(now - startedAt), [this] { processInbox(); });
         return;
     }
 }
--- a/src/app/gateway/gateway_session.hpp
+++ b/src/app/gateway/gateway_session.hpp
@@ -36,7 +36,7 @@
     std::function<void(link::gateway_beat&, bool isFirst)> fillQuarantine;
     std::function<void(const link::gateway_update&)> quarantineReceived;
     /// Rate limits that targets have reported to this gateway. @param all also those sent in an earlier session
-    std::function<std::vector<registry::limit_report>(bool all)> takeLimitNews
+    std::function<std::vector<registry::limit_report>(bool all)> takeLimitReports
         = [](bool) { return std::vector<registry::limit_report>(); };
     std::function<void(const std::vector<registry::limit_report>&)> limitsReceived = [](const auto&) {};
     /// Targets that have reported that they are leaving and that the controllers' table doesn't show as leaving.
--- a/src/buckthornrail/gateway/crash_watch.cpp
+++ b/src/buckthornrail/gateway/crash_watch.cpp
@@ -44,39 +44,39 @@
         [call, now](const auto& one) { return one.call == call && now < one.probeDeadline; });
 }
 
-std::vector<registry::target_incarnation> crash_watch::endedOf(
-    const std::vector<selected_part>& parts, const std::string& address, const registry::target_incarnation& survivor)
+std::vector<registry::target_incarnation> crash_watch::endedOf(const std::vector<selected_part>& parts,
+    const std::string& address, const registry::target_incarnation& replacement)
 {
     std::vector<registry::target_incarnation> targets;
     for (const auto& part : parts) {
-        if (part.address == address && part.target != survivor)
+        if (part.address == address && part.target != replacement)
             targets.push_back(part.target);
     }
     return targets;
 }
 
 std::vector<registry::crash_report> crash_watch::onTargetsEnded(const std::string& address,
-    const registry::target_incarnation& survivor, const fingerprint_source& fingerprintOf, steady_time now)
+    const registry::target_incarnation& replacement, const fingerprint_source& fingerprintOf, steady_time now)
 {
     dropExpired(now);
     struct suspect {
         request_fingerprint fingerprint;
         steady_time openedAt {};
     };
-    std::map<registry::target_incarnation, std::vector<suspect>> begun;
+    std::map<registry::target_incarnation, std::vector<suspect>> suspectsByTarget;
     for (const auto& [call, one] : m_open) {
         if (!mayHaveCrashedTarget(call, now))
             continue;
-        for (const auto& target : endedOf(one.parts, address, survivor))
-            begun[target].push_back({ fingerprintOf(call), one.openedAt });
+        for (const auto& target : endedOf(one.parts, address, replacement))
+            suspectsByTarget[target].push_back({ fingerprintOf(call), one.openedAt });
     }
     for (const auto& one : m_lost) {
-        for (const auto& target : endedOf(one.parts, address, survivor))
-            begun[target].push_back({ one.fingerprint, one.probeDeadline });
+        for (const auto& target : endedOf(one.parts, address, replacement))
+            suspectsByTarget[target].push_back({ one.fingerprint, one.probeDeadline });
     }
-    std::erase_if(m_lost, [&](const auto& one) { return !endedOf(one.parts, address, survivor).empty(); });
+    std::erase_if(m_lost, [&](const auto& one) { return !endedOf(one.parts, address, replacement).empty(); });
     std::vector<registry::crash_report> reports;
-    for (auto& [target, suspects] : begun) {
+    for (auto& [target, suspects] : suspectsByTarget) {
         std::sort(
             suspects.begin(), suspects.end(), [](const auto& a, const auto& b) { return a.openedAt > b.openedAt; });
         registry::crash_report report { target, {} };
--- a/src/buckthornrail/gateway/exchange.cpp
+++ b/src/buckthornrail/gateway/exchange.cpp
@@ -35,13 +35,13 @@
     , m_options(options)
     , m_lastEventId(m_request.lastEventId)
 {
-    m_bounds.eventGapTarget = m_request.chosen->eventGapTarget;
+    m_constraints.eventGapTarget = m_request.chosen->eventGapTarget;
 }
 
 void exchange::start(steady_time now)
 {
     m_budget.countRequest(now);
-    const auto selected = m_pool.select(m_request.service, m_bounds, now);
+    const auto selected = m_pool.select(m_request.service, m_constraints, now);
     if (!selected) {
         finish(result_code::NoTarget, ran_state::No, "no usable target or path", now);
         return;
@@ -50,7 +50,7 @@
         finish(result_code::Busy, ran_state::No, "no path with free capacity: " + selected->summary, now);
         return;
     }
-    scheduleAttempt({ *selected, {}, {}, m_bounds }, now);
+    scheduleAttempt({ *selected, {}, {}, m_constraints }, now);
 }
 
 void exchange::scheduleAttempt(next_attempt next, steady_time now)
@@ -67,15 +67,15 @@
         = isThrottled ? dispatch_verdict::Elsewhere : m_port.requestDispatch(*m_pendingAttempt->selected);
     if (verdict != dispatch_verdict::Elsewhere)
         return verdict;
-    auto bounds = m_pendingAttempt->bounds;
-    bounds.excluded.insert(m_pendingAttempt->selected->parts.front().target);
-    const auto other = m_pool.select(m_request.service, bounds, now);
+    auto constraints = m_pendingAttempt->constraints;
+    constraints.excluded.insert(m_pendingAttempt->selected->parts.front().target);
+    const auto other = m_pool.select(m_request.service, constraints, now);
     if (!other) {
-        m_pendingAttempt->bounds = m_bounds; // all are taken: use whichever is free first
+        m_pendingAttempt->constraints = m_constraints; // all are taken: use whichever is free first
         return dispatch_verdict::Wait;
     }
     m_pendingAttempt->selected = other;
-    m_pendingAttempt->bounds = std::move(bounds);
+    m_pendingAttempt->constraints = std::move(constraints);
     return m_port.requestDispatch(*other);
 }
 
@@ -85,7 +85,7 @@
     if (verdict == dispatch_verdict::Go) {
         const auto next = *std::exchange(m_pendingAttempt, std::nullopt);
         m_countedTargets = next.countedTargets;
-        m_bounds = next.bounds;
+        m_constraints = next.constraints;
         startAttempt(*next.selected, now);
         return;
     }
@@ -132,10 +132,10 @@
             = response.faultyAddress.empty() ? first : m_pool.idAt(response.faultyAddress);
         if (faulty.empty())
             faulty = first; // the named target is no longer known here
-        const bool asksForPause = response.pushback && response.pushback->retryAfter;
-        if (faulty != first || !asksForPause)
+        const bool asksForBackoff = response.pushback && response.pushback->retryAfter;
+        if (faulty != first || !asksForBackoff)
             m_pool.refused(faulty, now);
-        m_bounds.excluded.insert(faulty);
+        m_constraints.excluded.insert(faulty);
         closeAttempt();
         retry(
             { ran_state::No, false, "refused with status " + std::to_string(response.status) + " by " + text(faulty) },
@@ -156,7 +156,7 @@
     const bool isFault = response.status >= firstServerErrorStatus;
     if (isFault)
         avoid(first, false, now);
-    // A status that states that the request wasn't executed must not reach the client unless the target said so; other
+    // A status that states that the request wasn't executed must not reach the caller unless the target said so; other
     // failures are forwarded when no retry is left. A server error that a second target repeats is caused by the
     // request: of 27 such requests in a simulated day the second target served 11, and later targets none.
     const bool isFirstFault = isFault && !std::exchange(m_hadServerError, true);
@@ -192,7 +192,7 @@
     if (!m_attemptOpen || !m_response)
         return;
     if (id && m_lastEventId && *id <= *m_lastEventId)
-        return; // the client has received it
+        return; // the caller has received it
     if (id && m_lastEventId && *id != *m_lastEventId + 1) {
         avoidFirst(now);
         closeAttempt();
@@ -203,19 +203,19 @@
     }
     if (id)
         m_lastEventId = id;
-    if (m_paceEvents == 0) {
-        m_paceStart = now;
+    if (m_sampleEvents == 0) {
+        m_sampleStart = now;
         m_hasFirstEvent = true;
         m_pool.prefillFinished(m_selection, m_request.size);
         m_pool.recordLatency(
             m_selection, latency_kind::FirstEvent, static_cast<double>(between(m_attemptStart, now).count()), now);
     }
-    if (m_paceEvents++ == m_options.paceSampleEvents) {
-        const std::chrono::duration<double, std::milli> took = now - m_paceStart;
-        m_pool.recordLatency(
-            m_selection, latency_kind::NextEvent, took.count() / static_cast<double>(m_options.paceSampleEvents), now);
-        m_paceEvents = 1;
-        m_paceStart = now;
+    if (m_sampleEvents++ == m_options.latencySampleEvents) {
+        const std::chrono::duration<double, std::milli> took = now - m_sampleStart;
+        m_pool.recordLatency(m_selection, latency_kind::NextEvent,
+            took.count() / static_cast<double>(m_options.latencySampleEvents), now);
+        m_sampleEvents = 1;
+        m_sampleStart = now;
     }
     if (!m_streamStarted) {
         m_streamStarted = true;
@@ -223,7 +223,7 @@
         m_port.beginStream();
     } else {
         m_longestGap = std::max(m_longestGap, between(m_lastEventAt, now));
-        if (m_paceEvents > 1)
+        if (m_sampleEvents > 1)
             m_averageGap += (between(m_lastEventAt, now) - m_averageGap) / gapAverageWindow;
     }
     ++m_events;
@@ -297,7 +297,8 @@
             { "ms", inMs(between(m_request.arrived, now)) } });
 }
 
-exchange::next_attempt exchange::planNextAttempt(const attempt_end& last, selection_constraints bounds, steady_time now)
+exchange::next_attempt exchange::planNextAttempt(
+    const attempt_end& last, selection_constraints constraints, steady_time now)
 {
     next_attempt next;
     next.why = whyNotRetryable(last, now);
@@ -309,17 +310,17 @@
     if (last.ran != ran_state::No && !last.targetEnded)
         next.countedTargets.insert(m_selection.parts.front().target);
     // The route limits the number of targets, not of attempts: a target that ran the request may run it again.
-    bounds.allowedFirst.clear();
+    constraints.allowedFirst.clear();
     if (next.countedTargets.size() >= m_request.chosen->maxAttempts)
-        bounds.allowedFirst = next.countedTargets;
-    next.selected = m_pool.select(m_request.service, bounds, now);
+        constraints.allowedFirst = next.countedTargets;
+    next.selected = m_pool.select(m_request.service, constraints, now);
     // A started stream waits instead, as targets that have just refused it would refuse it again.
-    if (!next.selected && !bounds.excluded.empty() && !m_streamStarted) {
+    if (!next.selected && !constraints.excluded.empty() && !m_streamStarted) {
         // Fall back to targets that failed before: the failure may have been transient.
-        bounds.excluded.clear();
-        next.selected = m_pool.select(m_request.service, bounds, now);
+        constraints.excluded.clear();
+        next.selected = m_pool.select(m_request.service, constraints, now);
     }
-    next.bounds = std::move(bounds);
+    next.constraints = std::move(constraints);
     if (!next.selected) {
         next.why = "no other target or path";
         return next;
@@ -341,7 +342,7 @@
 
 void exchange::retryOrWait(const attempt_end& last, steady_time now)
 {
-    const auto next = planNextAttempt(last, m_bounds, now);
+    const auto next = planNextAttempt(last, m_constraints, now);
     m_mayHaveRun = m_mayHaveRun || last.ran != ran_state::No;
     if (next.selected) {
         scheduleAttempt(next, now);
@@ -356,14 +357,14 @@
     }
     m_pendingRetry = last;
     m_pendingRetry->ran = ran_state::No; // m_mayHaveRun already covers earlier attempts
-    m_bounds.excluded.clear();
+    m_constraints.excluded.clear();
     m_retryAt = retryAt;
     scheduleTimer(now);
 }
 
-bool exchange::moveAttempt(const attempt_end& last, selection_constraints bounds, steady_time now)
+bool exchange::moveAttempt(const attempt_end& last, selection_constraints constraints, steady_time now)
 {
-    const auto next = planNextAttempt(last, std::move(bounds), now);
+    const auto next = planNextAttempt(last, std::move(constraints), now);
     if (!next.selected) {
         logKept(last, next.why);
         return false; // the open attempt may still recover: being slow is no reason to end it
@@ -415,7 +416,7 @@
     m_attemptOpen = true;
     m_unansweredReports = 0;
     m_emptyReports = 0;
-    m_paceEvents = 0;
+    m_sampleEvents = 0;
     m_loggedKeepReason.clear();
     m_attemptStart = now;
     ++m_attempts;
@@ -456,14 +457,14 @@
     m_over = true;
     const bool isRetryableLater = code == result_code::Busy || code == result_code::NoTarget;
     if (isRetryableLater)
-        m_roomExpectedAt = m_pool.earliestSendAt(m_request.service, now);
+        m_earliestSendAt = m_pool.earliestSendAt(m_request.service, now);
     m_port.logEvent(m_streamStarted || ran != ran_state::No ? event_code::RequestFinished : event_code::RouteRefused,
         { { "request", m_request.id }, { "route", m_request.chosen->name },
             { "outcome", m_streamStarted ? "broken_off" : "refused" },
             { "code", std::to_string(static_cast<int>(code)) }, { "ran", std::string(nameOf(ran)) },
             { "reason", reason }, { "events", std::to_string(m_events) }, { "attempts", std::to_string(m_attempts) },
             { "ready", std::to_string(m_pool.readyCount(m_request.service)) },
-            { "room_in_ms", m_roomExpectedAt ? inMs(between(now, *m_roomExpectedAt)) : std::string() },
+            { "room_in_ms", m_earliestSendAt ? inMs(between(now, *m_earliestSendAt)) : std::string() },
             { "ms", inMs(between(m_request.arrived, now)) } });
     if (m_streamStarted)
         m_port.abortStream();
@@ -475,7 +476,7 @@
 
 void exchange::avoid(const registry::target_incarnation& target, bool isUnreachable, steady_time now)
 {
-    m_bounds.excluded.insert(target);
+    m_constraints.excluded.insert(target);
     if (isUnreachable)
         m_pool.markUnreachable(target, now);
     else
--- a/src/buckthornrail/gateway/exchange_pushback.cpp
+++ b/src/buckthornrail/gateway/exchange_pushback.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Pushback from targets: rate limits, requested pauses and draining.
+/// @brief Pushback from targets: rate limits, backoff and leaving.
 #include "buckthornrail/gateway/exchange.hpp"
 
 namespace buckthornrail::gateway {
@@ -9,10 +9,10 @@
 
 } // namespace
 
-void exchange::onPushback(const target_pushback& pushback, bool namesNone, steady_time sentAt, steady_time now)
+void exchange::onPushback(const target_pushback& pushback, bool absenceMeansNone, steady_time sentAt, steady_time now)
 {
     const auto first = m_selection.parts.front().target;
-    const auto change = m_pool.recordPushback(first, pushback, namesNone, sentAt, now);
+    const auto change = m_pool.recordPushback(first, pushback, absenceMeansNone, sentAt, now);
     if (!change && !pushback.retryAfter && !pushback.isLeaving && pushback.unreadable.empty())
         return;
     m_port.logEvent(event_code::TargetPushback,
--- a/src/buckthornrail/gateway/exchange_stream_test.cpp
+++ b/src/buckthornrail/gateway/exchange_stream_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Streams that are interrupted, stall or move, and what the client receives of them.
+/// @brief Streams that are interrupted, stall or move, and what the caller receives of them.
 #include "support/exchange_bench.hpp"
 
 #include <catch2/catch.hpp>
@@ -12,14 +12,14 @@
     auto call = bench.make();
     call.start(zero);
     beginStream(call);
-    CHECK_FALSE(bench.port.begun); // a failure before the first event is invisible to the client
+    CHECK_FALSE(bench.port.streamStarted); // a failure before the first event is invisible to the caller
     call.onEvent("1", 1, zero);
     call.onEvent("2", 2, zero);
     call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
     REQUIRE(bench.port.attempts == 2);
     CHECK(bench.port.resumeAfter == 2U);
     beginStream(call);
-    call.onEvent("2", 2, zero); // already received by the client
+    call.onEvent("2", 2, zero); // already received by the caller
     call.onEvent("3", 3, zero);
     call.onStreamEnd(zero);
     CHECK(bench.port.events == "123");
@@ -87,7 +87,7 @@
     CHECK(bench.port.events == "12");
 }
 
-TEST_CASE("exchange: a started stream without a target retries until its client disconnects", "[exchange]")
+TEST_CASE("exchange: a started stream without a target retries until its caller disconnects", "[exchange]")
 {
     exchange_bench bench(request_kind::Stream, true, true);
     auto call = bench.make();
@@ -114,7 +114,7 @@
         CHECK(bench.port.target == "w");
         CHECK(bench.port.resumeAfter == 1U);
     }
-    SECTION("none does, and the client waits longer than most")
+    SECTION("none does, and the caller waits longer than most")
     {
         for (int at = 2; (at + 1) * 150 < 1000; ++at) { // with less time left no attempt is started
             call.onTimer(zero + milliseconds(150 * at));
--- a/src/buckthornrail/gateway/exchange_test.cpp
+++ b/src/buckthornrail/gateway/exchange_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Response to the client and retries of one request under each kind of failure.
+/// @brief Response to the caller and retries of one request under each kind of failure.
 #include "support/exchange_bench.hpp"
 
 #include <catch2/catch.hpp>
@@ -116,7 +116,7 @@
     CHECK(describe(other.port.answerCode).httpStatus == 504);
 }
 
-TEST_CASE("exchange: a disconnected client cancels the attempt and receives nothing", "[exchange]")
+TEST_CASE("exchange: a disconnected caller cancels the attempt and receives nothing", "[exchange]")
 {
     exchange_bench bench(request_kind::Stream, true, true);
     auto call = bench.make();
--- a/src/buckthornrail/gateway/exchange_watch.cpp
+++ b/src/buckthornrail/gateway/exchange_watch.cpp
@@ -29,19 +29,19 @@
         return;
     }
     avoid(faulty, true, now);
-    moveAttempt({ ran_state::Unknown, firstHasEnded(), "stalled by " + text(faulty) }, m_bounds, now);
+    moveAttempt({ ran_state::Unknown, firstHasEnded(), "stalled by " + text(faulty) }, m_constraints, now);
 }
 
 void exchange::onUnreachable(const registry::target_incarnation& target, steady_time now)
 {
     if (!m_attemptOpen || !m_sent || !hasPath())
         return;
-    const auto lastHeard = std::max(m_lastEventAt, m_attemptStart);
-    if (!isMember(target) || now < lastHeard + m_options.minSilence)
+    const auto silentSince = std::max(m_lastEventAt, m_attemptStart);
+    if (!isMember(target) || now < silentSince + m_options.minSilence)
         return; // it may be unreachable from this gateway only
     avoid(target, true, now);
     moveAttempt({ ran_state::Unknown, firstHasEnded(), "stalled by " + text(target) + ", which refuses connections" },
-        m_bounds, now);
+        m_constraints, now);
 }
 
 void exchange::onTargetsChanged(steady_time now)
@@ -58,7 +58,7 @@
             continue;
         const std::string change = wasReplaced ? " has restarted" : " released its layers";
         moveAttempt(
-            { ran_state::Unknown, firstHasEnded(), "interrupted: " + text(part.target) + change }, m_bounds, now);
+            { ran_state::Unknown, firstHasEnded(), "interrupted: " + text(part.target) + change }, m_constraints, now);
         return;
     }
 }
@@ -109,7 +109,7 @@
 
 steady_time exchange::eventCutoff(steady_time now) const
 {
-    if (m_paceEvents == 0)
+    if (m_sampleEvents == 0)
         return now - m_options.recentEventAge;
     // Events of other requests from before this stream's next event was due may predate the member's stall.
     return m_lastEventAt + std::max<steady_time::duration>(m_averageGap, m_options.probeAfter / 2);
@@ -147,10 +147,10 @@
 bool exchange::abandonSilentPath(steady_time now)
 {
     if (now >= m_moveAt) {
-        auto bounds = m_bounds;
+        auto constraints = m_constraints;
         for (const auto& part : m_selection.parts)
-            bounds.excluded.insert(part.target);
-        if (moveAttempt({ ran_state::Unknown, false, silenceReason }, std::move(bounds), now))
+            constraints.excluded.insert(part.target);
+        if (moveAttempt({ ran_state::Unknown, false, silenceReason }, std::move(constraints), now))
             return true;
         m_moveAt = now + m_options.moveAfter;
     }
@@ -179,9 +179,9 @@
     const auto first = m_selection.parts.front().target;
     const std::chrono::duration<double, std::milli> took = now - m_attemptStart;
     m_pool.succeeded(first, took.count());
-    auto bounds = m_bounds;
-    bounds.excluded.insert(first);
-    return moveAttempt({ ran_state::Unknown, false, silenceReason }, std::move(bounds), now);
+    auto constraints = m_constraints;
+    constraints.excluded.insert(first);
+    return moveAttempt({ ran_state::Unknown, false, silenceReason }, std::move(constraints), now);
 }
 
 void exchange::scheduleTimer(steady_time now)
--- a/src/buckthornrail/gateway/heavy_load_test.cpp
+++ b/src/buckthornrail/gateway/heavy_load_test.cpp
@@ -67,11 +67,11 @@
 }
 
 /// Constraints of a stream with a target for the gap between events.
-selection_constraints boundsOf(milliseconds eventGapTarget)
+selection_constraints constraintsOf(milliseconds eventGapTarget)
 {
-    selection_constraints bounds;
-    bounds.eventGapTarget = eventGapTarget;
-    return bounds;
+    selection_constraints constraints;
+    constraints.eventGapTarget = eventGapTarget;
+    return constraints;
 }
 
 /// Load of a number of typical requests on each of two targets with 40 layers, in 1000 tokens times layers.
@@ -80,7 +80,7 @@
 } // namespace
 
 // A burst, or the loss of a chain, brings more streams than the fast accelerators normally serve. A fast chain takes
-// 10 ms for five tokens, a slow one 80 ms and over 200 ms when full, which clients notice. Streams that end sooner also
+// 10 ms for five tokens, a slow one 80 ms and over 200 ms when full, which callers notice. Streams that end sooner also
 // free their memory sooner.
 TEST_CASE("heavy load: a fast chain is filled before one that is too slow for the gap target is used", "[heavy]")
 {
@@ -88,7 +88,7 @@
     milliseconds gapTarget { 200 };
     const auto firstAt = [&](double requests) {
         pool.setOtherGatewayLoads({ workOf(requests), workOf(requests), 0, 0 }, zero);
-        return pool.select("s", boundsOf(gapTarget), zero)->parts.front().target;
+        return pool.select("s", constraintsOf(gapTarget), zero)->parts.front().target;
     };
     CHECK(firstAt(0) == "f0");
     CHECK(firstAt(75) == "f0");
@@ -106,9 +106,9 @@
 {
     auto pool = poolOf({ holder("s0", "a", "slow", { 0, 80 }), holder("s1", "a", "slow", { 0, 80 }) }, mixedEngine());
     pool.setOtherGatewayLoads({ workOf(60), 0 }, zero);
-    CHECK(pool.select("s", boundsOf(milliseconds(200)), zero)->parts.front().target == "s1");
+    CHECK(pool.select("s", constraintsOf(milliseconds(200)), zero)->parts.front().target == "s1");
     pool.setOtherGatewayLoads({ 0, workOf(60) }, zero);
-    CHECK(pool.select("s", boundsOf(milliseconds(200)), zero)->parts.front().target == "s0");
+    CHECK(pool.select("s", constraintsOf(milliseconds(200)), zero)->parts.front().target == "s0");
 }
 
 // All chains are full after losses during a burst. A request that is sent all the same waits at its target, is
--- a/src/buckthornrail/gateway/quarantine_gate_test.cpp
+++ b/src/buckthornrail/gateway/quarantine_gate_test.cpp
@@ -266,7 +266,7 @@
         CHECK(bench.port.answerRan == ran_state::No);
         CHECK(bench.port.timer <= zero + milliseconds(420));
     }
-    SECTION("its client disconnects")
+    SECTION("its caller disconnects")
     {
         call.onCallerGone(zero + milliseconds(10));
         call.onQuarantineChanged(zero + milliseconds(20));
--- a/src/buckthornrail/gateway/rate_limiter.cpp
+++ b/src/buckthornrail/gateway/rate_limiter.cpp
@@ -31,11 +31,11 @@
     : m_perSecond(perSecond)
     , m_key(key)
 {
-    updatePace(share);
+    updateInterval(share);
     m_nextDueAt = now + m_burst + std::chrono::duration_cast<steady_time::duration>(m_interval * phase);
 }
 
-void rate_limiter::updatePace(const gateway_share& share)
+void rate_limiter::updateInterval(const gateway_share& share)
 {
     const double limit = std::max(m_perSecond, 1 / maxIntervalSeconds);
     const auto maxSharers = static_cast<std::size_t>(creditSeconds * limit + extraCredit);
@@ -56,7 +56,7 @@
 void rate_limiter::setShare(const gateway_share& share, steady_time now)
 {
     const bool wasSharer = m_isSharer;
-    updatePace(share);
+    updateInterval(share);
     // A new sharer starts without credit; one whose interval was longer doesn't wait for its end.
     const auto withoutCredit = now + m_burst + m_interval;
     m_nextDueAt = wasSharer ? std::min(m_nextDueAt, withoutCredit) : withoutCredit;
--- a/src/buckthornrail/gateway/route_document.cpp
+++ b/src/buckthornrail/gateway/route_document.cpp
@@ -48,10 +48,10 @@
         if (!places.emplace(one.host, one.pathPrefix).second)
             return invalid("route " + one.name + " shares its host and prefix with another one");
     }
-    std::map<std::string_view, std::string_view> holders;
+    std::map<std::string_view, std::string_view> workspaceOfKey;
     for (const auto& one : document.workspaces) {
         for (const auto& key : one.keys) {
-            const auto [known, isNew] = holders.emplace(key, one.workspace);
+            const auto [known, isNew] = workspaceOfKey.emplace(key, one.workspace);
             if (!isNew && known->second != one.workspace)
                 return invalid("workspaces " + one.workspace + " and " + std::string(known->second) + " share a key");
         }
--- a/src/buckthornrail/gateway/shared_retry_budget.cpp
+++ b/src/buckthornrail/gateway/shared_retry_budget.cpp
@@ -93,13 +93,13 @@
 
 void shared_retry_budgets::restoreSpent(const registry::retry_counts& spent, steady_time now)
 {
-    for (const auto& row : spent)
-        (void)of(row.service);
+    for (const auto& service : spent)
+        (void)of(service.service);
     m_initial.restoreSpent(0, now);
     for (auto& [service, budget] : m_byService) {
-        const auto row = std::find_if(
+        const auto found = std::find_if(
             spent.begin(), spent.end(), [&name = service](const auto& one) { return one.service == name; });
-        budget.restoreSpent(row == spent.end() ? 0 : row->repeats, now);
+        budget.restoreSpent(found == spent.end() ? 0 : found->repeats, now);
     }
 }
 
--- a/src/buckthornrail/gateway/target_limit_test.cpp
+++ b/src/buckthornrail/gateway/target_limit_test.cpp
@@ -87,9 +87,9 @@
         call.start(zero);
         CHECK(bench.port.outcome == "answered");
         CHECK(bench.port.answerRan == ran_state::No);
-        REQUIRE(call.roomExpectedAt());
-        CHECK(*call.roomExpectedAt() > zero);
-        times.insert(*call.roomExpectedAt());
+        REQUIRE(call.earliestSendAt());
+        CHECK(*call.earliestSendAt() > zero);
+        times.insert(*call.earliestSendAt());
     }
     CHECK(times.size() == 10);
 }
@@ -115,7 +115,7 @@
     auto call = bench.make();
     call.start(zero);
     CHECK(bench.port.outcome == "answered");
-    CHECK_FALSE(call.roomExpectedAt());
+    CHECK_FALSE(call.earliestSendAt());
 }
 
 // Guards against a response that was in flight when the limit was set, and that clears it.
@@ -268,9 +268,9 @@
     call.start(zero);
     CHECK(bench.port.outcome == "answered");
     CHECK(bench.port.answerRan == ran_state::No);
-    REQUIRE(call.roomExpectedAt());
-    CHECK(*call.roomExpectedAt() >= at(2000));
-    CHECK(*call.roomExpectedAt() <= at(2500));
+    REQUIRE(call.earliestSendAt());
+    CHECK(*call.earliestSendAt() >= at(2000));
+    CHECK(*call.earliestSendAt() <= at(2500));
 }
 
 // Guards against failing requests while the only target with some of the layers is in backoff.
--- a/src/buckthornrail/gateway/target_pool_limits.cpp
+++ b/src/buckthornrail/gateway/target_pool_limits.cpp
@@ -136,15 +136,15 @@
 {
     std::vector<restricted_target> found;
     for (const auto& [id, target] : m_targets) {
-        restricted_target held { id, std::nullopt, milliseconds(0), milliseconds(0), false };
+        restricted_target restricted { id, std::nullopt, milliseconds(0), milliseconds(0), false };
         if (isLimited(target, now)) {
-            held.perSecond = target.limit->limiter->perSecond();
-            held.limitAge = between(target.limit->confirmedAt, now);
+            restricted.perSecond = target.limit->limiter->perSecond();
+            restricted.limitAge = between(target.limit->confirmedAt, now);
         }
-        held.backoffLeft = std::max(milliseconds(0), between(now, target.backoffUntil));
-        held.isLeaving = target.announcedLeaving || target.record.state == registry::target_state::Draining;
-        if (held.perSecond || held.isLeaving || held.backoffLeft > milliseconds(0))
-            found.push_back(held);
+        restricted.backoffLeft = std::max(milliseconds(0), between(now, target.backoffUntil));
+        restricted.isLeaving = target.announcedLeaving || target.record.state == registry::target_state::Draining;
+        if (restricted.perSecond || restricted.isLeaving || restricted.backoffLeft > milliseconds(0))
+            found.push_back(restricted);
     }
     return found;
 }
--- a/src/buckthornrail/gateway/target_pool_load.cpp
+++ b/src/buckthornrail/gateway/target_pool_load.cpp
@@ -124,28 +124,28 @@
     m_othersOpenAttempts = static_cast<double>(openAttempts);
 }
 
-void target_pool::setOtherGatewayLoads(const registry::target_loads& row, steady_time now)
+void target_pool::setOtherGatewayLoads(const registry::target_loads& loads, steady_time now)
 {
     m_otherGatewayLoadsAt = now;
-    m_hasOtherGatewayLoads = !row.empty() && row.size() == m_targets.size();
+    m_hasOtherGatewayLoads = !loads.empty() && loads.size() == m_targets.size();
     if (!m_hasOtherGatewayLoads)
         return;
-    auto work = row.begin();
+    auto load = loads.begin();
     for (auto& [id, target] : m_targets) {
-        target.otherGatewaysTokenLayers = *work++ * loadUnit;
+        target.otherGatewaysTokenLayers = *load++ * loadUnit;
         target.tokenLayersAtReport = target.tokenLayers;
     }
 }
 
 registry::target_loads target_pool::loads() const
 {
-    registry::target_loads row;
+    registry::target_loads result;
     if (m_targets.size() > registry::maxTargetsInLoadReport)
-        return row;
-    row.reserve(m_targets.size());
+        return result;
+    result.reserve(m_targets.size());
     for (const auto& [id, target] : m_targets)
-        row.push_back(static_cast<std::uint32_t>(std::lround(target.tokenLayers / loadUnit)));
-    return row;
+        result.push_back(static_cast<std::uint32_t>(std::lround(target.tokenLayers / loadUnit)));
+    return result;
 }
 
 void target_pool::addPrefill(const selection& chosen, double promptTokens)
--- a/tests/support/exchange_bench.hpp
+++ b/tests/support/exchange_bench.hpp
@@ -16,18 +16,18 @@
 /// Records the calls of the exchange.
 class recording_port : public exchange_port {
 public:
-    dispatch_verdict requestDispatch(const selection& where) override
+    dispatch_verdict requestDispatch(const selection& selected) override
     {
-        asked.push_back(where.parts.front().target.id);
+        asked.push_back(selected.parts.front().target.id);
         return verdicts.contains(asked.back()) ? verdicts.at(asked.back()) : verdict;
     }
     bool mustCancel() override { return mustCancelAttempt; }
-    void openAttempt(std::uint32_t number, const selection& where, std::optional<std::uint64_t> lastEventId) override
+    void openAttempt(std::uint32_t number, const selection& selected, std::optional<std::uint64_t> lastEventId) override
     {
         CHECK_FALSE(isOpen);
         isOpen = true;
         attempts = number;
-        target = where.parts.front().target.id;
+        target = selected.parts.front().target.id;
         targets.push_back(target);
         resumeAfter = lastEventId;
     }
@@ -40,7 +40,7 @@
     }
     steady_time probeAliveSince {}; ///< argument of the last probe
     void forwardResponse() override { end("passed on"); }
-    void beginStream() override { begun = true; }
+    void beginStream() override { streamStarted = true; }
     void forwardEvent(std::string_view bytes) override { events += bytes; }
     void endStream() override { end("ended"); }
     void abortStream() override { end("broken off"); }
@@ -59,7 +59,7 @@
     std::vector<std::string> asked; ///< first targets
     bool mustCancelAttempt = false;
     bool isOpen = false;
-    bool begun = false;
+    bool streamStarted = false;
     std::uint32_t attempts = 0;
     std::string target;
     std::vector<std::string> targets;
