--- a/examples/embedded_log.cpp
+++ b/examples/embedded_log.cpp
@@ -44,7 +44,7 @@
     std::vector<peer_message> network;
     for (int step = 0; step < 300; ++step) {
         now += milliseconds(10);
-        std::vector<join_wish> wishes;
+        std::vector<joining_replica> wishes;
         for (std::size_t at = 1; at < nodes.size(); ++at)
             wishes.push_back({ nodes[at].log.self(), "node " + std::to_string(at + 1) });
         for (auto& one : nodes) {
--- a/src/app/shared/replicated_log.cpp
+++ b/src/app/shared/replicated_log.cpp
@@ -339,7 +339,7 @@
         m_deadAfter.clear();
         return;
     }
-    std::vector<agreement::join_wish> wishes;
+    std::vector<agreement::joining_replica> wishes;
     for (const auto& [id, wish] : m_joins) {
         const auto& listed = m_options.seeds;
         if (m_options.admitsUnlisted || std::find(listed.begin(), listed.end(), wish.address) != listed.end())
@@ -360,7 +360,7 @@
     }
     auto next = agreement::nextMembers(*m_replica, wishes, now);
     if (!next)
-        next = agreement::withoutDead(*m_replica, replaceable, droppable, now);
+        next = agreement::withoutDeadMember(*m_replica, replaceable, droppable, now);
     if (next)
         (void)m_replica->proposeMembers(std::move(*next)); // refused while another change is open; asked again
 }
--- a/src/buckthornrail/agreement/admission.cpp
+++ b/src/buckthornrail/agreement/admission.cpp
@@ -7,15 +7,15 @@
 namespace buckthornrail::agreement {
 namespace {
 
-constexpr log_index closeEnough = 16; ///< a learner that lacks no more entries may become a voter
+constexpr log_index maxPromotionLag = 16; ///< a learner that lacks no more entries may become a voter
 
-std::optional<std::vector<member>> withLearner(std::vector<member> members, std::span<const join_wish> wishes)
+std::optional<std::vector<member>> withLearner(std::vector<member> members, std::span<const joining_replica> joining)
 {
-    for (const auto& wish : wishes) {
-        const auto isSame = [&wish](const member& one) { return one.id == wish.id; };
+    for (const auto& newReplica : joining) {
+        const auto isSame = [&newReplica](const member& one) { return one.id == newReplica.id; };
         if (std::any_of(members.begin(), members.end(), isSame))
             continue;
-        members.push_back({ wish.id, wish.address, false });
+        members.push_back({ newReplica.id, newReplica.address, false });
         return members;
     }
     return std::nullopt;
@@ -24,17 +24,17 @@
 } // namespace
 
 std::optional<std::vector<member>> nextMembers(
-    const replica& leader, std::span<const join_wish> wishes, steady_time now)
+    const replica& leader, std::span<const joining_replica> joining, steady_time now)
 {
     if (leader.role() != replica_role::Leader)
         return std::nullopt;
     if (leader.members().size() < maxMembers) {
-        if (auto changed = withLearner(leader.members(), wishes))
+        if (auto changed = withLearner(leader.members(), joining))
             return changed;
     }
     for (const auto& learner : leader.members()) {
         const auto lag = leader.lagOf(learner.id);
-        if (learner.voter || !lag || *lag > closeEnough || !leader.isReachable(learner.id, now))
+        if (learner.voter || !lag || *lag > maxPromotionLag || !leader.isReachable(learner.id, now))
             continue;
         // A replaced disk: the old member of this address goes before the new one votes.
         auto changed = leader.members();
@@ -44,15 +44,15 @@
             changed.erase(old);
             return changed;
         }
-        const auto fresh = std::find_if(
+        const auto promoted = std::find_if(
             changed.begin(), changed.end(), [&learner](const member& one) { return one.id == learner.id; });
-        fresh->voter = true;
+        promoted->voter = true;
         return changed;
     }
     return std::nullopt;
 }
 
-std::optional<std::vector<member>> withoutDead(const replica& leader, std::span<const member_id> replaceable,
+std::optional<std::vector<member>> withoutDeadMember(const replica& leader, std::span<const member_id> replaceable,
     std::span<const member_id> droppable, steady_time now)
 {
     const auto& members = leader.members();
@@ -64,9 +64,9 @@
         [&](const member& one) { return one.voter && leader.isReachable(one.id, now); });
     for (const auto& one : members) {
         const bool isSurplus = one.voter && voters >= 4 && voters % 2 == 0 && isIn(replaceable, one.id);
-        const bool blocksPlace = members.size() >= maxMembers && isIn(droppable, one.id);
+        const bool occupiesSlot = members.size() >= maxMembers && isIn(droppable, one.id);
         const bool isDeadLearner = !one.voter && isIn(droppable, one.id);
-        if (!isSurplus && !blocksPlace && !isDeadLearner)
+        if (!isSurplus && !occupiesSlot && !isDeadLearner)
             continue;
         const auto votersLeft = voters - (one.voter ? 1 : 0);
         if (reachable < votersLeft / 2 + 1)
--- a/src/buckthornrail/agreement/replica_test.cpp
+++ b/src/buckthornrail/agreement/replica_test.cpp
@@ -359,10 +359,10 @@
     const auto other = std::find_if(replica.members().begin(), replica.members().end(),
         [&](const member& one) { return one.id != replica.self(); });
     const std::vector<member_id> dead { other->id };
-    const auto left = withoutDead(replica, dead, {}, steady_time {});
+    const auto left = withoutDeadMember(replica, dead, {}, steady_time {});
     REQUIRE(left);
     CHECK(left->size() == 3);
-    CHECK_FALSE(withoutDead(replica, {}, {}, steady_time {}));
+    CHECK_FALSE(withoutDeadMember(replica, {}, {}, steady_time {}));
 
     log_world three(3, 11);
     three.heal();
@@ -374,7 +374,7 @@
     const auto peer = std::find_if(
         odd.members().begin(), odd.members().end(), [&](const member& one) { return one.id != odd.self(); });
     const std::vector<member_id> gone { peer->id };
-    CHECK_FALSE(withoutDead(odd, gone, gone, steady_time {})); // three bear one loss, two bear none
+    CHECK_FALSE(withoutDeadMember(odd, gone, gone, steady_time {})); // three bear one loss, two bear none
 }
 
 namespace {
--- a/tests/support/log_world.cpp
+++ b/tests/support/log_world.cpp
@@ -71,7 +71,7 @@
                 }
             }
         }
-        std::vector<join_wish> wishes;
+        std::vector<joining_replica> wishes;
         for (const auto& node : m_nodes) {
             if (node.process && node.process->members().empty())
                 wishes.push_back({ node.id, node.address });
