--- a/include/buckthornrail/agreement/replica.hpp
+++ b/include/buckthornrail/agreement/replica.hpp
@@ -35,7 +35,7 @@
     milliseconds electionTimeoutMax { 1400 };
     /// Longest draw until a replica has met a leader since its start: it has none to wait for, and a pre-vote doesn't
     /// disturb one that others have. 0: as any other time.
-    milliseconds firstElectionTimeout { 0 };
+    milliseconds initialElectionTimeoutMax { 0 };
     milliseconds snapshotResendInterval { 3000 };
     std::size_t maxEntriesPerMessage = 512;
 };
@@ -73,7 +73,7 @@
     void receive(const peer_message& message, steady_time now);
     /// @brief A part of a long message came from a member, or was taken by it. It counts for life as a whole one does:
     /// a follower waits for its leader, a leader for its quorum, and a snapshot under way isn't sent anew.
-    void progressFrom(member_id from, steady_time now);
+    void recordContact(member_id from, steady_time now);
 
     /// @brief Appends a command. @return its index, or nothing when this replica doesn't lead.
     std::optional<log_index> propose(std::string command);
@@ -82,7 +82,7 @@
     tl::expected<log_index, failure> proposeMembers(std::vector<member> members);
 
     /// @brief Asks for a read confirmation; the answer comes in effects::reads, or never when no quorum answers.
-    void confirmRead(std::uint64_t readId);
+    void requestReadIndex(std::uint64_t readId);
 
     /// @brief Drops entries up to index, which `state` stands for. @return the snapshot to persist.
     snapshot compact(log_index index, std::string state);
@@ -91,7 +91,7 @@
     void transferLeadership();
 
     /// @brief The disk failed: leave the protocol for good.
-    void fault();
+    void markFaulted();
 
     [[nodiscard]] effects takeEffects();
 
@@ -136,13 +136,13 @@
     void becomeFollower(term_number term, member_id leader, steady_time now);
     void becomeLeader(steady_time now);
     void startElection(bool preVote, bool transfer, steady_time now);
-    void drawElectionDeadline(steady_time now);
+    void resetElectionDeadline(steady_time now);
     void followLeader(const peer_message& message, steady_time now);
-    void appendOwn(log_entry entry);
+    void appendEntry(log_entry entry);
     void truncateFrom(log_index index);
     void refreshMembers();
     void advanceCommit();
-    void releaseReads();
+    void completeReads();
     void broadcast();
     void sendAppend(member_id to, progress& peer);
     void send(member_id to, peer_body body);
@@ -175,7 +175,7 @@
     std::vector<pending_read> m_pendingReads;
     std::uint64_t m_round = 0;
     bool m_broadcastNeeded = false;
-    bool m_hasMetLeader = false; ///< since the start
+    bool m_hasKnownLeader = false; ///< since the start
     steady_time m_electionDeadline {};
     steady_time m_leaderDeadline {}; ///< until then a follower refuses to vote against a live leader
     steady_time m_heartbeatDeadline {};
--- a/src/app/shared/replicated_log.cpp
+++ b/src/app/shared/replicated_log.cpp
@@ -29,7 +29,7 @@
     agreement::replica_options options;
     options.electionTimeoutMin = milliseconds(electionTimeoutMs);
     options.electionTimeoutMax = milliseconds(2 * electionTimeoutMs);
-    options.firstElectionTimeout = milliseconds(electionTimeoutMs / 2);
+    options.initialElectionTimeoutMax = milliseconds(electionTimeoutMs / 2);
     options.heartbeatInterval = milliseconds(std::max<std::uint32_t>(electionTimeoutMs / 7, 10));
     return options;
 }
@@ -127,7 +127,7 @@
 {
     const std::uint64_t readId = ++m_lastReadId;
     m_confirmations[readId] = { std::move(callback), steadyNow() + patience, 0 };
-    m_replica->confirmRead(readId);
+    m_replica->requestReadIndex(readId);
     scheduleFlush();
 }
 
@@ -379,7 +379,7 @@
 
 void replicated_log::disable(const failure& why)
 {
-    m_replica->fault();
+    m_replica->markFaulted();
     m_recoverDeadline = steadyNow() + recoverPeriod;
     telemetry::logEvent(event_code::StorageFault,
         { { "code", std::to_string(static_cast<int>(why.code)) }, { "reason", why.reason } },
@@ -397,7 +397,7 @@
         return;
     const auto probed = m_store->probe();
     if (!probed) {
-        m_replica->fault();
+        m_replica->markFaulted();
         return;
     }
     telemetry::logEvent(event_code::StorageRegained, { { "index", std::to_string(m_replica->lastIndex()) } });
--- a/src/app/shared/replicated_log_links.cpp
+++ b/src/app/shared/replicated_log_links.cpp
@@ -55,13 +55,13 @@
 void replicated_log::onProgress(link::channel_number channel)
 {
     if (const auto dialled = m_dialledBy.find(channel); dialled != m_dialledBy.end()) {
-        m_replica->progressFrom(dialled->second, steadyNow());
+        m_replica->recordContact(dialled->second, steadyNow());
         return;
     }
     for (const auto& member : m_replica->members()) {
         const auto peer = m_peers.find(member.address);
         if (peer != m_peers.end() && peer->second.channel == channel)
-            m_replica->progressFrom(member.id, steadyNow());
+            m_replica->recordContact(member.id, steadyNow());
     }
 }
 
--- a/src/buckthornrail/agreement/replica.cpp
+++ b/src/buckthornrail/agreement/replica.cpp
@@ -34,7 +34,7 @@
     , m_now(now)
 {
     refreshMembers();
-    drawElectionDeadline(now);
+    resetElectionDeadline(now);
 }
 
 tl::expected<void, failure> replica::initialize(const std::string& address, steady_time now)
@@ -47,7 +47,7 @@
     first.term = 1;
     first.kind = entry_kind::Members;
     first.members = { member { m_self, address, true } };
-    appendOwn(std::move(first));
+    appendEntry(std::move(first));
     becomeLeader(now);
     return {};
 }
@@ -71,7 +71,7 @@
     if (now < m_electionDeadline)
         return;
     if (!isVoter(m_self)) {
-        drawElectionDeadline(now);
+        resetElectionDeadline(now);
         return;
     }
     startElection(true, false, now);
@@ -121,7 +121,7 @@
         startElection(false, true, now);
 }
 
-void replica::progressFrom(member_id from, steady_time now)
+void replica::recordContact(member_id from, steady_time now)
 {
     if (m_role == replica_role::Leader) {
         const auto found = m_progress.find(from);
@@ -138,7 +138,7 @@
         return;
     if (m_leader == from)
         m_leaderDeadline = now + m_options.electionTimeoutMin;
-    drawElectionDeadline(now);
+    resetElectionDeadline(now);
 }
 
 std::optional<log_index> replica::propose(std::string command)
@@ -149,7 +149,7 @@
     entry.term = m_hard.term;
     entry.kind = entry_kind::Command;
     entry.command = std::move(command);
-    appendOwn(std::move(entry));
+    appendEntry(std::move(entry));
     return lastIndex();
 }
 
@@ -177,11 +177,11 @@
     entry.term = m_hard.term;
     entry.kind = entry_kind::Members;
     entry.members = std::move(members);
-    appendOwn(std::move(entry));
+    appendEntry(std::move(entry));
     return lastIndex();
 }
 
-void replica::confirmRead(std::uint64_t readId)
+void replica::requestReadIndex(std::uint64_t readId)
 {
     if (m_role == replica_role::Leader) {
         m_pendingReads.push_back({ m_self, readId, 0, 0 });
@@ -211,7 +211,7 @@
     return m_base;
 }
 
-void replica::fault()
+void replica::markFaulted()
 {
     m_role = replica_role::Faulted;
     m_leader = 0;
@@ -238,7 +238,7 @@
     if (m_role == replica_role::Leader) {
         if (m_broadcastNeeded)
             broadcast();
-        releaseReads();
+        completeReads();
     }
     effects out;
     out.installed = std::exchange(m_installed, std::nullopt);
@@ -269,7 +269,7 @@
     return id == m_self || (found != m_progress.end() && now <= found->second.contactDeadline);
 }
 
-void replica::appendOwn(log_entry entry)
+void replica::appendEntry(log_entry entry)
 {
     entry.index = lastIndex() + 1;
     const bool changesMembers = entry.kind == entry_kind::Members;
@@ -305,7 +305,7 @@
     m_progress = std::move(kept);
 }
 
-void replica::releaseReads()
+void replica::completeReads()
 {
     std::vector<std::uint64_t> rounds;
     for (const auto& one : m_members) {
--- a/src/buckthornrail/agreement/replica_election.cpp
+++ b/src/buckthornrail/agreement/replica_election.cpp
@@ -25,7 +25,7 @@
     if (granted) {
         m_hardChanged = m_hardChanged || m_hard.votedFor != message.from;
         m_hard.votedFor = message.from;
-        drawElectionDeadline(now);
+        resetElectionDeadline(now);
     }
     send(message.from, vote_reply { granted, false });
 }
@@ -57,28 +57,28 @@
     m_pendingReads.clear();
     m_progress.clear();
     m_broadcastNeeded = false;
-    drawElectionDeadline(now);
+    resetElectionDeadline(now);
 }
 
 void replica::becomeLeader(steady_time now)
 {
     m_role = replica_role::Leader;
     m_leader = m_self;
-    m_hasMetLeader = true;
+    m_hasKnownLeader = true;
     m_pendingReads.clear();
     m_progress.clear();
     refreshMembers();
     m_heartbeatDeadline = now + m_options.heartbeatInterval;
     log_entry first;
     first.term = m_hard.term;
-    appendOwn(std::move(first));
+    appendEntry(std::move(first));
     for (auto& [id, peer] : m_progress)
         peer.contactDeadline = now + m_options.electionTimeoutMax;
 }
 
 void replica::startElection(bool preVote, bool transfer, steady_time now)
 {
-    drawElectionDeadline(now);
+    resetElectionDeadline(now);
     m_role = preVote ? replica_role::PreCandidate : replica_role::Candidate;
     m_leader = 0;
     m_votes = { m_self };
@@ -101,11 +101,11 @@
     }
 }
 
-void replica::drawElectionDeadline(steady_time now)
+void replica::resetElectionDeadline(steady_time now)
 {
-    const bool isFirst = !m_hasMetLeader && m_options.firstElectionTimeout.count() > 0;
-    const auto shortest = isFirst ? m_options.firstElectionTimeout / 3 : m_options.electionTimeoutMin;
-    const auto longest = isFirst ? m_options.firstElectionTimeout : m_options.electionTimeoutMax;
+    const bool isInitial = !m_hasKnownLeader && m_options.initialElectionTimeoutMax.count() > 0;
+    const auto shortest = isInitial ? m_options.initialElectionTimeoutMax / 3 : m_options.electionTimeoutMin;
+    const auto longest = isInitial ? m_options.initialElectionTimeoutMax : m_options.electionTimeoutMax;
     std::uniform_int_distribution<std::int64_t> draw(shortest.count(), longest.count());
     m_electionDeadline = now + milliseconds(draw(m_random));
 }
--- a/src/buckthornrail/agreement/replica_replication.cpp
+++ b/src/buckthornrail/agreement/replica_replication.cpp
@@ -89,9 +89,9 @@
     if (m_role != replica_role::Follower)
         becomeFollower(message.term, message.from, now);
     m_leader = message.from;
-    m_hasMetLeader = true;
+    m_hasKnownLeader = true;
     m_leaderDeadline = now + m_options.electionTimeoutMin;
-    drawElectionDeadline(now);
+    resetElectionDeadline(now);
 }
 
 void replica::truncateFrom(log_index index)
--- a/src/buckthornrail/agreement/replica_test.cpp
+++ b/src/buckthornrail/agreement/replica_test.cpp
@@ -125,7 +125,7 @@
     rc::prop("five replicas", [](std::uint64_t seed) {
         const auto draws = *schedule();
         replica_options options;
-        options.firstElectionTimeout = milliseconds(seed % 2 * 300); // in half of the cases
+        options.initialElectionTimeoutMax = milliseconds(seed % 2 * 300); // in half of the cases
         log_world world(5, seed, options);
         for (std::size_t at = 0; at < draws.size(); ++at)
             disturb(world, draws[at], static_cast<int>(at), true);
@@ -293,7 +293,7 @@
 {
     constexpr int stepsPerSecond = 100;
     replica_options options;
-    options.firstElectionTimeout = milliseconds(250);
+    options.initialElectionTimeoutMax = milliseconds(250);
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         log_world world(3, seed, options);
         world.run(stepsPerSecond);
@@ -336,7 +336,7 @@
     const auto leader = *world.leader();
     const std::size_t other = (leader + 1) % 3;
     auto& faulted = *world.nodes()[other].process;
-    faulted.fault();
+    faulted.markFaulted();
     world.propose("x");
     world.run(100);
     CHECK(faulted.role() == replica_role::Faulted);
@@ -418,14 +418,14 @@
     // Three times the longest patience.
     for (milliseconds passed { 0 }; passed < 3 * periods.electionTimeoutMax; passed += step) {
         now += step;
-        follower.progressFrom(leading, now);
+        follower.recordContact(leading, now);
         follower.tick(now);
         CHECK_FALSE(asksForVotes(follower));
     }
     // Pieces of others don't speak for the leader.
     for (milliseconds passed { 0 }; passed < periods.electionTimeoutMax; passed += step) {
         now += step;
-        follower.progressFrom(third, now);
+        follower.recordContact(third, now);
         follower.tick(now);
     }
     CHECK(asksForVotes(follower));
@@ -443,7 +443,7 @@
     REQUIRE(one.role() == replica_role::Leader);
     for (milliseconds passed { 0 }; passed < 3 * periods.electionTimeoutMax; passed += step) {
         now += step;
-        one.progressFrom(third, now);
+        one.recordContact(third, now);
         one.tick(now);
         CHECK(one.role() == replica_role::Leader);
     }
--- a/tests/support/log_world.cpp
+++ b/tests/support/log_world.cpp
@@ -103,7 +103,7 @@
         return;
     const std::uint64_t id = ++m_lastRead;
     node.reads[id] = { m_committed.begin(), m_committed.end() };
-    node.process->confirmRead(id);
+    node.process->requestReadIndex(id);
     flush(node, crash_point::None);
 }
 
