--- a/include/buckthornrail/agreement/replica.hpp
+++ b/include/buckthornrail/agreement/replica.hpp
@@ -100,12 +100,12 @@
     [[nodiscard]] member_id leader() const { return m_leader; }
     [[nodiscard]] term_number term() const { return m_hard.term; }
     [[nodiscard]] log_index commitIndex() const { return m_commit; }
-    [[nodiscard]] log_index lastIndex() const { return m_base.index + m_entries.size(); }
-    [[nodiscard]] log_index baseIndex() const { return m_base.index; }
+    [[nodiscard]] log_index lastIndex() const { return m_snapshot.index + m_entries.size(); }
+    [[nodiscard]] log_index snapshotIndex() const { return m_snapshot.index; }
     [[nodiscard]] const std::vector<member>& members() const { return m_members; }
     [[nodiscard]] const hard_state& hardState() const { return m_hard; }
     /// @brief The log after the last snapshot.
-    [[nodiscard]] const std::vector<log_entry>& entriesAfterBase() const { return m_entries; }
+    [[nodiscard]] const std::vector<log_entry>& entriesAfterSnapshot() const { return m_entries; }
     [[nodiscard]] bool isVoter(member_id id) const;
     /// @brief Entries that a learner still lacks; nothing when not leading or not known.
     [[nodiscard]] std::optional<log_index> lagOf(member_id id) const;
@@ -151,14 +151,14 @@
     [[nodiscard]] std::optional<term_number> termAt(log_index index) const;
     [[nodiscard]] std::size_t quorumSize() const;
     [[nodiscard]] bool hasQuorumContact(steady_time now) const;
-    [[nodiscard]] const log_entry& entryAt(log_index index) const { return m_entries[index - m_base.index - 1]; }
+    [[nodiscard]] const log_entry& entryAt(log_index index) const { return m_entries[index - m_snapshot.index - 1]; }
 
     member_id m_self;
     replica_options m_options;
     std::mt19937_64 m_random;
     replica_role m_role = replica_role::Follower;
     hard_state m_hard;
-    snapshot m_base;
+    snapshot m_snapshot;
     std::vector<log_entry> m_entries;
     std::vector<member> m_members;
     log_index m_membersIndex = 0;
--- a/include/buckthornrail/agreement/types.hpp
+++ b/include/buckthornrail/agreement/types.hpp
@@ -56,8 +56,8 @@
 /// What a replica finds on its disk when it starts.
 struct persistent_state {
     hard_state hard;
-    snapshot base; ///< index 0: none
-    std::vector<log_entry> entries; ///< contiguous, the first one has index base.index + 1
+    snapshot lastSnapshot; ///< index 0: none
+    std::vector<log_entry> entries; ///< contiguous, the first one has index lastSnapshot.index + 1
 };
 
 struct vote_request {
--- a/include/buckthornrail/storage/log_store.hpp
+++ b/include/buckthornrail/storage/log_store.hpp
@@ -28,7 +28,7 @@
     tl::expected<void, failure> persist(const agreement::effects& effects);
 
     /// @brief Puts a snapshot and the entries after it in place of the log.
-    tl::expected<void, failure> saveSnapshot(const agreement::snapshot& base, const agreement::hard_state& hard,
+    tl::expected<void, failure> saveSnapshot(const agreement::snapshot& snapshot, const agreement::hard_state& hard,
         const std::vector<agreement::log_entry>& entriesAfter);
 
     /// @brief Writes an empty record, to learn whether the device takes bytes again.
--- a/src/app/shared/replicated_log.cpp
+++ b/src/app/shared/replicated_log.cpp
@@ -74,16 +74,16 @@
     if (!loaded)
         return tl::make_unexpected(loaded.error());
     const bool isReopened = m_replica != nullptr;
-    if (loaded->base.index > 0 || isReopened) {
-        if (auto restored = m_state.restoreState(loaded->base.state); !restored)
+    if (loaded->lastSnapshot.index > 0 || isReopened) {
+        if (auto restored = m_state.restoreState(loaded->lastSnapshot.state); !restored)
             return restored;
     }
-    m_applied = loaded->base.index;
+    m_applied = loaded->lastSnapshot.index;
     m_replica = std::make_unique<agreement::replica>(
         *self, std::move(*loaded), replicaOptions(m_options.electionTimeoutMs), randomNumber(), steadyNow());
     telemetry::logEvent(event_code::LogOpened,
-        { { "snapshot", std::to_string(m_replica->baseIndex()) }, { "last", std::to_string(m_replica->lastIndex()) },
-            { "term", std::to_string(m_replica->term()) } });
+        { { "snapshot", std::to_string(m_replica->snapshotIndex()) },
+            { "last", std::to_string(m_replica->lastIndex()) }, { "term", std::to_string(m_replica->term()) } });
     return {};
 }
 
@@ -281,11 +281,11 @@
 
 void replicated_log::saveSnapshotWhenDue()
 {
-    const bool isDue = m_applied - m_replica->baseIndex() >= m_options.snapshotEntries;
+    const bool isDue = m_applied - m_replica->snapshotIndex() >= m_options.snapshotEntries;
     if (m_replica->role() == agreement::replica_role::Faulted || !isDue)
         return;
     const auto base = m_replica->compact(m_applied, m_state.saveState());
-    const auto saved = m_store->saveSnapshot(base, m_replica->hardState(), m_replica->entriesAfterBase());
+    const auto saved = m_store->saveSnapshot(base, m_replica->hardState(), m_replica->entriesAfterSnapshot());
     if (!saved) {
         disable(saved.error());
         return;
--- a/src/buckthornrail/agreement/replica.cpp
+++ b/src/buckthornrail/agreement/replica.cpp
@@ -26,10 +26,10 @@
     , m_options(options)
     , m_random(seed)
     , m_hard(state.hard)
-    , m_base(std::move(state.base))
+    , m_snapshot(std::move(state.lastSnapshot))
     , m_entries(std::move(state.entries))
-    , m_commit(m_base.index)
-    , m_applied(m_base.index)
+    , m_commit(m_snapshot.index)
+    , m_applied(m_snapshot.index)
     , m_unpersisted(lastIndex() + 1)
     , m_now(now)
 {
@@ -194,21 +194,21 @@
 snapshot replica::compact(log_index index, std::string state)
 {
     index = std::min(index, m_applied);
-    if (index <= m_base.index)
-        return m_base;
+    if (index <= m_snapshot.index)
+        return m_snapshot;
     snapshot made;
     made.index = index;
     made.term = termAt(index).value_or(0);
-    made.members = m_base.members;
-    for (log_index at = m_base.index + 1; at <= index; ++at) {
+    made.members = m_snapshot.members;
+    for (log_index at = m_snapshot.index + 1; at <= index; ++at) {
         if (entryAt(at).kind == entry_kind::Members)
             made.members = entryAt(at).members;
     }
     made.state = std::move(state);
-    const auto dropped = static_cast<std::ptrdiff_t>(index - m_base.index);
+    const auto dropped = static_cast<std::ptrdiff_t>(index - m_snapshot.index);
     m_entries.erase(m_entries.begin(), m_entries.begin() + dropped);
-    m_base = std::move(made);
-    return m_base;
+    m_snapshot = std::move(made);
+    return m_snapshot;
 }
 
 void replica::markFaulted()
@@ -281,8 +281,8 @@
 
 void replica::refreshMembers()
 {
-    m_members = m_base.members;
-    m_membersIndex = m_base.index;
+    m_members = m_snapshot.members;
+    m_membersIndex = m_snapshot.index;
     for (auto entry = m_entries.rbegin(); entry != m_entries.rend(); ++entry) {
         if (entry->kind != entry_kind::Members)
             continue;
@@ -347,9 +347,9 @@
 
 std::optional<term_number> replica::termAt(log_index index) const
 {
-    if (index == m_base.index)
-        return m_base.term;
-    if (index < m_base.index || index > lastIndex())
+    if (index == m_snapshot.index)
+        return m_snapshot.term;
+    if (index < m_snapshot.index || index > lastIndex())
         return std::nullopt;
     return entryAt(index).term;
 }
--- a/src/buckthornrail/agreement/replica_replication.cpp
+++ b/src/buckthornrail/agreement/replica_replication.cpp
@@ -13,18 +13,18 @@
         return;
     }
     followLeader(message, now);
-    const bool isBeforeBase = request.previousIndex < m_base.index;
-    if (!isBeforeBase && termAt(request.previousIndex) != request.previousTerm) {
+    const bool isBeforeSnapshot = request.previousIndex < m_snapshot.index;
+    if (!isBeforeSnapshot && termAt(request.previousIndex) != request.previousTerm) {
         log_index hint = std::min(lastIndex(), request.previousIndex - 1);
         const auto conflicting = termAt(hint);
-        while (hint > m_base.index && hint > m_commit && termAt(hint) == conflicting)
+        while (hint > m_snapshot.index && hint > m_commit && termAt(hint) == conflicting)
             --hint;
         send(message.from, append_reply { false, hint, request.round });
         return;
     }
     bool changesMembers = false;
     for (const auto& entry : request.entries) {
-        if (entry.index <= m_base.index || termAt(entry.index) == entry.term)
+        if (entry.index <= m_snapshot.index || termAt(entry.index) == entry.term)
             continue;
         if (entry.index <= lastIndex()) {
             truncateFrom(entry.index);
@@ -69,16 +69,16 @@
     followLeader(message, now);
     if (request.base.index > m_commit) {
         if (termAt(request.base.index) == request.base.term) {
-            const auto covered = static_cast<std::ptrdiff_t>(request.base.index - m_base.index);
+            const auto covered = static_cast<std::ptrdiff_t>(request.base.index - m_snapshot.index);
             m_entries.erase(m_entries.begin(), m_entries.begin() + covered);
         } else {
             m_entries.clear();
         }
-        m_base = request.base;
-        m_commit = m_base.index;
-        m_applied = m_base.index;
-        m_installed = m_base;
-        m_unpersisted = m_base.index + 1; // the log file starts anew: what was kept is persisted again
+        m_snapshot = request.base;
+        m_commit = m_snapshot.index;
+        m_applied = m_snapshot.index;
+        m_installed = m_snapshot;
+        m_unpersisted = m_snapshot.index + 1; // the log file starts anew: what was kept is persisted again
         refreshMembers();
     }
     send(message.from, append_reply { true, std::max(request.base.index, m_commit), request.round });
@@ -96,7 +96,7 @@
 
 void replica::truncateFrom(log_index index)
 {
-    m_entries.resize(index - m_base.index - 1);
+    m_entries.resize(index - m_snapshot.index - 1);
     m_unpersisted = std::min(m_unpersisted, index);
 }
 
@@ -131,13 +131,13 @@
 
 void replica::sendAppend(member_id to, progress& peer)
 {
-    if (peer.next <= m_base.index) {
+    if (peer.next <= m_snapshot.index) {
         if (m_now < peer.snapshotDeadline) {
-            send(to, append_request { m_base.index, m_base.term, m_commit, m_round, {} });
+            send(to, append_request { m_snapshot.index, m_snapshot.term, m_commit, m_round, {} });
             return;
         }
         peer.snapshotDeadline = m_now + m_options.snapshotResendInterval;
-        send(to, snapshot_request { m_base, m_round });
+        send(to, snapshot_request { m_snapshot, m_round });
         return;
     }
     append_request request;
--- a/src/buckthornrail/agreement/replica_test.cpp
+++ b/src/buckthornrail/agreement/replica_test.cpp
@@ -285,7 +285,7 @@
     world.restart(behind);
     world.run(300);
     CHECK(world.nodes()[behind].applied == world.nodes()[leader].applied);
-    CHECK(world.nodes()[behind].process->baseIndex() > 500);
+    CHECK(world.nodes()[behind].process->snapshotIndex() > 500);
     CHECK(world.violations().empty());
 }
 
--- a/src/buckthornrail/storage/log_store.cpp
+++ b/src/buckthornrail/storage/log_store.cpp
@@ -103,13 +103,13 @@
 private:
     bool append(agreement::log_entry entry)
     {
-        const auto& base = m_state.base;
-        if (entry.index <= base.index) {
+        const auto& snapshot = m_state.lastSnapshot;
+        if (entry.index <= snapshot.index) {
             m_state.entries.clear(); // an append replaces everything after it
-            m_diverges = entry.index == base.index && entry.term != base.term;
+            m_diverges = entry.index == snapshot.index && entry.term != snapshot.term;
             return true;
         }
-        const std::size_t position = entry.index - base.index - 1;
+        const std::size_t position = entry.index - snapshot.index - 1;
         if (position > m_state.entries.size())
             return false;
         m_state.entries.resize(position);
@@ -156,7 +156,7 @@
             const auto record = readRecord(**snapshotBytes, 0);
             if (!record)
                 return corrupt("the snapshot file is damaged");
-            state.base = record->first.get<agreement::snapshot>();
+            state.lastSnapshot = record->first.get<agreement::snapshot>();
         }
         const std::string& log = logBytes->has_value() ? **logBytes : std::string();
         std::size_t offset = 0;
@@ -201,12 +201,12 @@
 
 tl::expected<void, failure> log_store::probe() { return m_device.appendSynced(logFile, frameRecord(json::object())); }
 
-tl::expected<void, failure> log_store::saveSnapshot(const agreement::snapshot& base, const agreement::hard_state& hard,
-    const std::vector<agreement::log_entry>& entriesAfter)
+tl::expected<void, failure> log_store::saveSnapshot(const agreement::snapshot& snapshot,
+    const agreement::hard_state& hard, const std::vector<agreement::log_entry>& entriesAfter)
 {
     m_hard = hard;
     // The snapshot goes first: an old log beside a newer snapshot is read right, the other way round is a gap.
-    if (auto saved = m_device.replaceSynced(snapshotFile, frameRecord(json(base))); !saved)
+    if (auto saved = m_device.replaceSynced(snapshotFile, frameRecord(json(snapshot))); !saved)
         return saved;
     return m_device.replaceSynced(logFile, frameRecord(json { { "hard", hard }, { "entries", entriesAfter } }));
 }
--- a/src/buckthornrail/storage/log_store_test.cpp
+++ b/src/buckthornrail/storage/log_store_test.cpp
@@ -83,8 +83,8 @@
             device.restart();
             const auto state = log_store(device).load();
             REQUIRE(state);
-            CHECK(state->base.index + state->entries.size() == 10);
-            CHECK((state->base.index == 0 || state->base.state == "state"));
+            CHECK(state->lastSnapshot.index + state->entries.size() == 10);
+            CHECK((state->lastSnapshot.index == 0 || state->lastSnapshot.state == "state"));
         }
     }
 }
@@ -102,7 +102,7 @@
     device.restart();
     const auto state = log_store(device).load();
     REQUIRE(state);
-    CHECK(state->base.index == 8);
+    CHECK(state->lastSnapshot.index == 8);
     CHECK(state->entries.empty());
 }
 
--- a/tests/support/log_world.cpp
+++ b/tests/support/log_world.cpp
@@ -158,8 +158,8 @@
     if (!node.process)
         return;
     const auto base = node.process->compact(node.process->commitIndex(), join(node.applied));
-    node.disk.base = base;
-    node.disk.entries = node.process->entriesAfterBase();
+    node.disk.lastSnapshot = base;
+    node.disk.entries = node.process->entriesAfterSnapshot();
 }
 
 std::optional<std::size_t> log_world::leader() const
@@ -203,13 +203,13 @@
 void log_world::persist(world_node& node, const effects& effects) const
 {
     if (effects.installed) {
-        node.disk.base = *effects.installed;
+        node.disk.lastSnapshot = *effects.installed;
         node.disk.entries.clear();
     }
     if (effects.hardState && !forgetVotes)
         node.disk.hard = *effects.hardState;
     for (const auto& entry : effects.appended) {
-        node.disk.entries.resize(entry.index - node.disk.base.index - 1);
+        node.disk.entries.resize(entry.index - node.disk.lastSnapshot.index - 1);
         node.disk.entries.push_back(entry);
     }
 }
@@ -255,8 +255,8 @@
 void log_world::start(world_node& node)
 {
     persistent_state disk = node.disk;
-    if (disk.base.index > 0)
-        node.applied = split(disk.base.state);
+    if (disk.lastSnapshot.index > 0)
+        node.applied = split(disk.lastSnapshot.state);
     else
         node.applied.clear();
     node.process = std::make_unique<replica>(node.id, std::move(disk), m_options, m_random(), m_now);
