--- a/include/buckthornrail/storage/log_store.hpp
+++ b/include/buckthornrail/storage/log_store.hpp
@@ -17,8 +17,8 @@
     {
     }
 
-    /// @brief This folder's member id; made from `fresh` and synced when the folder is new.
-    tl::expected<agreement::member_id, failure> loadIdentity(agreement::member_id fresh);
+    /// @brief This folder's member id; made from `newId` and synced when the folder is new.
+    tl::expected<agreement::member_id, failure> loadIdentity(agreement::member_id newId);
 
     /// @brief Reads snapshot and log. A torn last record is cut.
     /// @return StorageCorrupt when a damaged record stands before a whole one, StorageFailed on a read error.
--- a/src/buckthornrail/agreement/replica.cpp
+++ b/src/buckthornrail/agreement/replica.cpp
@@ -87,12 +87,12 @@
         onVoteRequest(message, *vote, now);
         return;
     }
-    const auto* voteAnswer = std::get_if<vote_reply>(&message.body);
-    const bool isPreVoteGrant = voteAnswer != nullptr && voteAnswer->preVote && voteAnswer->granted;
+    const auto* voteReply = std::get_if<vote_reply>(&message.body);
+    const bool isPreVoteGrant = voteReply != nullptr && voteReply->preVote && voteReply->granted;
     if (message.term > m_hard.term && !isPreVoteGrant)
         becomeFollower(message.term, 0, now);
-    if (voteAnswer != nullptr) {
-        onVoteReply(message, *voteAnswer, now);
+    if (voteReply != nullptr) {
+        onVoteReply(message, *voteReply, now);
         return;
     }
     if (const auto* request = std::get_if<append_request>(&message.body)) {
@@ -116,8 +116,8 @@
         m_reads.push_back({ reply->readId, reply->index });
         return;
     }
-    const bool mayLead = message.term == m_hard.term && isVoter(m_self) && m_role != replica_role::Leader;
-    if (std::holds_alternative<election_request>(message.body) && mayLead)
+    const bool canCampaign = message.term == m_hard.term && isVoter(m_self) && m_role != replica_role::Leader;
+    if (std::holds_alternative<election_request>(message.body) && canCampaign)
         startElection(false, true, now);
 }
 
@@ -133,8 +133,8 @@
         return;
     }
     // The first message of a leader that this member has voted for may be a long one: it isn't known to lead yet.
-    const bool mayLead = m_leader == 0 && m_hard.votedFor == from;
-    if (m_role != replica_role::Follower || (m_leader != from && !mayLead))
+    const bool isVotedFor = m_leader == 0 && m_hard.votedFor == from;
+    if (m_role != replica_role::Follower || (m_leader != from && !isVotedFor))
         return;
     if (m_leader == from)
         m_leaderDeadline = now + m_options.electionTimeoutMin;
@@ -161,17 +161,17 @@
         return tl::make_unexpected(failure { result_code::NoQuorum, "another change of members is open" });
     if (termAt(m_commit) != m_hard.term)
         return tl::make_unexpected(failure { result_code::NoQuorum, "the leader has not committed in its term" });
-    std::size_t votersChanged = 0;
-    const auto countMissing = [&votersChanged](const std::vector<member>& from, const std::vector<member>& in) {
+    std::size_t changedVoters = 0;
+    const auto countMissing = [&changedVoters](const std::vector<member>& from, const std::vector<member>& in) {
         for (const auto& one : from) {
             const auto same = [&one](const member& other) { return other.id == one.id && other.voter; };
             if (one.voter && std::none_of(in.begin(), in.end(), same))
-                ++votersChanged;
+                ++changedVoters;
         }
     };
     countMissing(m_members, members);
     countMissing(members, m_members);
-    if (votersChanged > 1)
+    if (changedVoters > 1)
         return tl::make_unexpected(failure { result_code::NoQuorum, "members change one voter at a time" });
     log_entry entry;
     entry.term = m_hard.term;
--- a/src/buckthornrail/agreement/replica_election.cpp
+++ b/src/buckthornrail/agreement/replica_election.cpp
@@ -6,8 +6,8 @@
 
 void replica::onVoteRequest(const peer_message& message, const vote_request& request, steady_time now)
 {
-    const bool leaderAlive = m_leader != 0 && now < m_leaderDeadline;
-    if (!request.transfer && (m_role == replica_role::Leader || leaderAlive)) {
+    const bool isLeaderAlive = m_leader != 0 && now < m_leaderDeadline;
+    if (!request.transfer && (m_role == replica_role::Leader || isLeaderAlive)) {
         if (message.term > m_hard.term)
             return; // a live leader is not put out by a process that could not hear it
         send(message.from, vote_reply { false, request.preVote });
@@ -20,8 +20,8 @@
     }
     if (message.term > m_hard.term)
         becomeFollower(message.term, 0, now);
-    const bool free = m_hard.votedFor == 0 || m_hard.votedFor == message.from;
-    const bool granted = message.term == m_hard.term && free && isUpToDate(request);
+    const bool isVoteAvailable = m_hard.votedFor == 0 || m_hard.votedFor == message.from;
+    const bool granted = message.term == m_hard.term && isVoteAvailable && isUpToDate(request);
     if (granted) {
         m_hardChanged = m_hardChanged || m_hard.votedFor != message.from;
         m_hard.votedFor = message.from;
@@ -32,9 +32,9 @@
 
 void replica::onVoteReply(const peer_message& message, const vote_reply& reply, steady_time now)
 {
-    const bool asked = reply.preVote ? m_role == replica_role::PreCandidate && message.term == m_hard.term + 1
-                                     : m_role == replica_role::Candidate && message.term == m_hard.term;
-    if (!asked || !reply.granted || !isVoter(message.from))
+    const bool isExpected = reply.preVote ? m_role == replica_role::PreCandidate && message.term == m_hard.term + 1
+                                          : m_role == replica_role::Candidate && message.term == m_hard.term;
+    if (!isExpected || !reply.granted || !isVoter(message.from))
         return;
     m_votes.insert(message.from);
     if (m_votes.size() < quorumSize())
@@ -93,11 +93,12 @@
             becomeLeader(now);
         return;
     }
-    const term_number asked = preVote ? m_hard.term + 1 : m_hard.term;
+    const term_number electionTerm = preVote ? m_hard.term + 1 : m_hard.term;
     for (const auto& one : m_members) {
         if (!one.voter || one.id == m_self)
             continue;
-        sendInTerm(one.id, asked, vote_request { lastIndex(), termAt(lastIndex()).value_or(0), preVote, transfer });
+        sendInTerm(
+            one.id, electionTerm, vote_request { lastIndex(), termAt(lastIndex()).value_or(0), preVote, transfer });
     }
 }
 
--- a/src/buckthornrail/agreement/replica_test.cpp
+++ b/src/buckthornrail/agreement/replica_test.cpp
@@ -31,7 +31,7 @@
 }
 
 /// A disk may go only while all members vote and are in step: what survives a loss is a quorum of disks.
-void loseDiskWhenWhole(log_world& world, std::size_t node)
+void loseDiskWhenAllVote(log_world& world, std::size_t node)
 {
     world.heal();
     for (int round = 0; round < 100; ++round) {
@@ -53,7 +53,7 @@
 }
 
 /// One random fault or action; `draw` chooses which and where.
-void disturb(log_world& world, std::uint32_t draw, int number, bool withLostDisks)
+void injectFault(log_world& world, std::uint32_t draw, int number, bool canLoseDisks)
 {
     const std::size_t node = draw / 16 % world.nodes().size();
     switch (draw % 12) {
@@ -86,8 +86,8 @@
         world.read();
         break;
     case 10:
-        if (withLostDisks)
-            loseDiskWhenWhole(world, node);
+        if (canLoseDisks)
+            loseDiskWhenAllVote(world, node);
         break;
     default:
         break;
@@ -96,7 +96,7 @@
     world.run(static_cast<int>(draw / 4096 % 40));
 }
 
-/// Draws of a schedule; see disturb().
+/// Draws of a schedule; see injectFault().
 rc::Gen<std::vector<std::uint32_t>> schedule()
 {
     return rc::gen::container<std::vector<std::uint32_t>>(rc::gen::inRange<std::uint32_t>(0, 1U << 30U));
@@ -117,7 +117,7 @@
         const auto draws = *schedule();
         log_world world(3, seed);
         for (std::size_t at = 0; at < draws.size(); ++at)
-            disturb(world, draws[at], static_cast<int>(at), false);
+            injectFault(world, draws[at], static_cast<int>(at), false);
         RC_ASSERT(distinctViolations(world).empty());
         checkRecovers(world, "last");
         RC_ASSERT(distinctViolations(world).empty());
@@ -128,7 +128,7 @@
         options.initialElectionTimeoutMax = milliseconds(seed % 2 * 300); // in half of the cases
         log_world world(5, seed, options);
         for (std::size_t at = 0; at < draws.size(); ++at)
-            disturb(world, draws[at], static_cast<int>(at), true);
+            injectFault(world, draws[at], static_cast<int>(at), true);
         checkRecovers(world, "last");
         RC_ASSERT(distinctViolations(world).empty());
     });
@@ -144,7 +144,7 @@
         world.forgetVotes = true;
         std::mt19937_64 random(seed);
         for (int at = 0; at < 60; ++at)
-            disturb(world, static_cast<std::uint32_t>(random()), at, false);
+            injectFault(world, static_cast<std::uint32_t>(random()), at, false);
         noticed = !world.violations().empty();
     }
     CHECK(noticed);
@@ -227,7 +227,7 @@
 TEST_CASE("replica: what was committed survives lost disks while all other members lose power", "[agreement]")
 {
     const std::size_t members = GENERATE(3U, 5U);
-    const std::size_t mostLost = (members - 1) / 2;
+    const std::size_t maxLostDisks = (members - 1) / 2;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         CAPTURE(members, seed);
         log_world world(members, seed);
@@ -248,7 +248,7 @@
         const std::size_t first = leader && seed % 2 == 0 ? *leader : seed % members;
         for (std::size_t at = 0; at < members; ++at)
             world.crash((first + at) % members, at % 2 == 0 ? crash_point::BeforePersist : crash_point::AfterPersist);
-        for (std::size_t at = 0; at < mostLost; ++at)
+        for (std::size_t at = 0; at < maxLostDisks; ++at)
             world.loseDisk((first + at) % members);
         world.heal();
         const auto holdsAll = [&] {
@@ -258,13 +258,13 @@
                 });
             });
         };
-        bool isBack = false;
-        for (int round = 0; round < 200 && !isBack; ++round) {
+        bool isRecovered = false;
+        for (int round = 0; round < 200 && !isRecovered; ++round) {
             world.run(20);
             world.propose("after-" + std::to_string(round));
-            isBack = holdsAll();
+            isRecovered = holdsAll();
         }
-        CHECK(isBack);
+        CHECK(isRecovered);
         CHECK(world.violations().empty());
     }
 }
@@ -370,21 +370,22 @@
         three.run(20);
     const auto first = three.leader();
     REQUIRE(first);
-    const auto& odd = *three.nodes()[*first].process;
-    const auto peer = std::find_if(
-        odd.members().begin(), odd.members().end(), [&](const member& one) { return one.id != odd.self(); });
-    const std::vector<member_id> gone { peer->id };
-    CHECK_FALSE(withoutDeadMember(odd, gone, gone, steady_time {})); // three bear one loss, two bear none
+    const auto& replicaOfThree = *three.nodes()[*first].process;
+    const auto peer = std::find_if(replicaOfThree.members().begin(), replicaOfThree.members().end(),
+        [&](const member& one) { return one.id != replicaOfThree.self(); });
+    const std::vector<member_id> unreachable { peer->id };
+    CHECK_FALSE(withoutDeadMember(
+        replicaOfThree, unreachable, unreachable, steady_time {})); // three bear one loss, two bear none
 }
 
 namespace {
 
-constexpr member_id self = 1;
-constexpr member_id leading = 2;
-constexpr member_id third = 3;
+constexpr member_id selfId = 1;
+constexpr member_id leaderId = 2;
+constexpr member_id otherId = 3;
 
 /// A member of a log of three, with nothing in it but the members.
-replica memberOfThree(steady_time now)
+replica makeMemberOfThree(steady_time now)
 {
     persistent_state state;
     state.hard = { 1, 0 };
@@ -392,16 +393,16 @@
     first.index = 1;
     first.term = 1;
     first.kind = entry_kind::Members;
-    first.members = { { self, "a", true }, { leading, "b", true }, { third, "c", true } };
+    first.members = { { selfId, "a", true }, { leaderId, "b", true }, { otherId, "c", true } };
     state.entries = { first };
-    return { self, state, replica_options {}, 7, now };
+    return { selfId, state, replica_options {}, 7, now };
 }
 
 /// Whether it asked for votes since the last call.
-bool asksForVotes(replica& one)
+bool requestsVotes(replica& one)
 {
-    const auto done = one.takeEffects();
-    return std::any_of(done.messages.begin(), done.messages.end(),
+    const auto effects = one.takeEffects();
+    return std::any_of(effects.messages.begin(), effects.messages.end(),
         [](const auto& message) { return std::holds_alternative<vote_request>(message.body); });
 }
 
@@ -409,45 +410,45 @@
 
 TEST_CASE("replica: a long message of the leader that is on its way is no silence", "[agreement]")
 {
-    const replica_options periods;
+    const replica_options options;
     const milliseconds step { 100 };
     steady_time now {};
-    replica follower = memberOfThree(now);
-    follower.receive({ leading, self, 1, append_request { 1, 1, 1, 1, {} } }, now);
-    REQUIRE(follower.leader() == leading);
+    replica follower = makeMemberOfThree(now);
+    follower.receive({ leaderId, selfId, 1, append_request { 1, 1, 1, 1, {} } }, now);
+    REQUIRE(follower.leader() == leaderId);
     // Three times the longest patience.
-    for (milliseconds passed { 0 }; passed < 3 * periods.electionTimeoutMax; passed += step) {
+    for (milliseconds passed { 0 }; passed < 3 * options.electionTimeoutMax; passed += step) {
         now += step;
-        follower.recordContact(leading, now);
+        follower.recordContact(leaderId, now);
         follower.tick(now);
-        CHECK_FALSE(asksForVotes(follower));
+        CHECK_FALSE(requestsVotes(follower));
     }
     // Pieces of others don't speak for the leader.
-    for (milliseconds passed { 0 }; passed < periods.electionTimeoutMax; passed += step) {
+    for (milliseconds passed { 0 }; passed < options.electionTimeoutMax; passed += step) {
         now += step;
-        follower.recordContact(third, now);
+        follower.recordContact(otherId, now);
         follower.tick(now);
     }
-    CHECK(asksForVotes(follower));
+    CHECK(requestsVotes(follower));
 }
 
 TEST_CASE(
     "replica: a leader whose long messages are being taken stays, one that is not heard steps down", "[agreement]")
 {
-    const replica_options periods;
+    const replica_options options;
     const milliseconds step { 100 };
     steady_time now {};
-    replica one = memberOfThree(now);
-    one.receive({ leading, self, 1, election_request {} }, now);
-    one.receive({ third, self, 2, vote_reply { true, false } }, now);
+    replica one = makeMemberOfThree(now);
+    one.receive({ leaderId, selfId, 1, election_request {} }, now);
+    one.receive({ otherId, selfId, 2, vote_reply { true, false } }, now);
     REQUIRE(one.role() == replica_role::Leader);
-    for (milliseconds passed { 0 }; passed < 3 * periods.electionTimeoutMax; passed += step) {
+    for (milliseconds passed { 0 }; passed < 3 * options.electionTimeoutMax; passed += step) {
         now += step;
-        one.recordContact(third, now);
+        one.recordContact(otherId, now);
         one.tick(now);
         CHECK(one.role() == replica_role::Leader);
     }
-    for (milliseconds passed { 0 }; passed <= periods.electionTimeoutMax; passed += step) {
+    for (milliseconds passed { 0 }; passed <= options.electionTimeoutMax; passed += step) {
         now += step;
         one.tick(now);
     }
--- a/src/buckthornrail/storage/folder_device.cpp
+++ b/src/buckthornrail/storage/folder_device.cpp
@@ -103,18 +103,18 @@
     tl::expected<void, failure> replaceSynced(const std::string& name, const std::string& bytes) override
     {
         const std::string path = pathOf(name);
-        const std::string fresh = path + ".new";
+        const std::string temporaryPath = path + ".new";
         {
-            const descriptor file(::open(fresh.c_str(), O_WRONLY | O_TRUNC | O_CREAT | O_CLOEXEC, fileMode));
+            const descriptor file(::open(temporaryPath.c_str(), O_WRONLY | O_TRUNC | O_CREAT | O_CLOEXEC, fileMode));
             if (!file.isOpen())
-                return systemFailure("open", fresh);
+                return systemFailure("open", temporaryPath);
             if (!writeAll(file.get(), bytes))
-                return systemFailure("write", fresh);
+                return systemFailure("write", temporaryPath);
             if (::fsync(file.get()) != 0)
-                return systemFailure("sync", fresh);
+                return systemFailure("sync", temporaryPath);
         }
-        if (::rename(fresh.c_str(), path.c_str()) != 0)
-            return systemFailure("rename", fresh);
+        if (::rename(temporaryPath.c_str(), path.c_str()) != 0)
+            return systemFailure("rename", temporaryPath);
         return syncFolder();
     }
 
--- a/src/buckthornrail/storage/log_store.cpp
+++ b/src/buckthornrail/storage/log_store.cpp
@@ -56,7 +56,7 @@
     return std::pair { std::move(payload), start + length };
 }
 
-bool hasRecordAfter(const std::string& bytes, std::size_t offset)
+bool hasWholeRecordAfter(const std::string& bytes, std::size_t offset)
 {
     const std::string magic(reinterpret_cast<const char*>(&recordMagic), sizeof recordMagic);
     for (std::size_t at = bytes.find(magic, offset + 1); at != std::string::npos; at = bytes.find(magic, at + 1)) {
@@ -66,7 +66,7 @@
     return false;
 }
 
-tl::unexpected<failure> corrupt(const std::string& reason)
+tl::unexpected<failure> corruptionFailure(const std::string& reason)
 {
     return tl::make_unexpected(failure { result_code::StorageCorrupt, reason });
 }
@@ -96,7 +96,7 @@
     /// @brief Drops entries that do not follow from the snapshot: a crash fell between the two files.
     void finish()
     {
-        if (m_diverges)
+        if (m_isDiverged)
             m_state.entries.clear();
     }
 
@@ -106,7 +106,7 @@
         const auto& snapshot = m_state.lastSnapshot;
         if (entry.index <= snapshot.index) {
             m_state.entries.clear(); // an append replaces everything after it
-            m_diverges = entry.index == snapshot.index && entry.term != snapshot.term;
+            m_isDiverged = entry.index == snapshot.index && entry.term != snapshot.term;
             return true;
         }
         const std::size_t position = entry.index - snapshot.index - 1;
@@ -118,12 +118,12 @@
     }
 
     agreement::persistent_state& m_state;
-    bool m_diverges = false;
+    bool m_isDiverged = false;
 };
 
 } // namespace
 
-tl::expected<agreement::member_id, failure> log_store::loadIdentity(agreement::member_id fresh)
+tl::expected<agreement::member_id, failure> log_store::loadIdentity(agreement::member_id newId)
 {
     auto bytes = m_device.read(identityFile);
     if (!bytes)
@@ -131,14 +131,14 @@
     if (!bytes->has_value()) {
         auto log = m_device.read(logFile);
         if (log && log->has_value())
-            return corrupt("the identity file is missing beside a log");
-        if (auto saved = m_device.replaceSynced(identityFile, frameRecord(json { { "member", fresh } })); !saved)
+            return corruptionFailure("the identity file is missing beside a log");
+        if (auto saved = m_device.replaceSynced(identityFile, frameRecord(json { { "member", newId } })); !saved)
             return tl::make_unexpected(saved.error());
-        return fresh;
+        return newId;
     }
     const auto record = readRecord(**bytes, 0);
     if (!record || !record->first.contains("member"))
-        return corrupt("the identity file is damaged");
+        return corruptionFailure("the identity file is damaged");
     return record->first.at("member").get<agreement::member_id>();
 }
 
@@ -155,7 +155,7 @@
         if (snapshotBytes->has_value()) {
             const auto record = readRecord(**snapshotBytes, 0);
             if (!record)
-                return corrupt("the snapshot file is damaged");
+                return corruptionFailure("the snapshot file is damaged");
             state.lastSnapshot = record->first.get<agreement::snapshot>();
         }
         const std::string& log = logBytes->has_value() ? **logBytes : std::string();
@@ -166,18 +166,18 @@
             if (!record)
                 break;
             if (!replay.apply(record->first))
-                return corrupt("the log has a gap at offset " + std::to_string(offset));
+                return corruptionFailure("the log has a gap at offset " + std::to_string(offset));
             offset = record->second;
         }
         replay.finish();
         if (offset < log.size()) {
-            if (hasRecordAfter(log, offset))
-                return corrupt("the log has a damaged record at offset " + std::to_string(offset));
+            if (hasWholeRecordAfter(log, offset))
+                return corruptionFailure("the log has a damaged record at offset " + std::to_string(offset));
             if (auto cut = m_device.replaceSynced(logFile, log.substr(0, offset)); !cut)
                 return tl::make_unexpected(cut.error());
         }
     } catch (const json::exception& error) {
-        return corrupt(std::string("a record has an unknown form: ") + error.what());
+        return corruptionFailure(std::string("a record has an unknown form: ") + error.what());
     }
     m_hard = state.hard;
     return state;
