--- a/include/buckthornrail/storage/storage_device.hpp
+++ b/include/buckthornrail/storage/storage_device.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Port to the files of one data folder. Tests put a device behind it that fails on purpose.
+/// @brief Interface to the files of a data folder. Tests implement it with a device that injects faults.
 #pragma once
 
 #include "buckthornrail/core/result_code.hpp"
@@ -11,7 +11,7 @@
 
 namespace buckthornrail::storage {
 
-/// Named files of one folder. What was written lasts only once it is synced.
+/// Named files of one folder. Written data is durable only once it is synced.
 class storage_device {
 public:
     storage_device() = default;
@@ -19,16 +19,19 @@
     storage_device& operator=(const storage_device&) = delete;
     virtual ~storage_device() = default;
 
-    /// @return the file's bytes, nothing when there is no such file, StorageFailed when it can't be read.
+    /// @return the file's contents; nothing when it doesn't exist; StorageFailed when it can't be read
     virtual tl::expected<std::optional<std::string>, failure> read(const std::string& name) = 0;
-    /// @brief Appends bytes and syncs the file. @return StorageFailed when that can't be done.
+    /// @brief Appends bytes and syncs the file. After an error part of them may have been written.
+    /// @return StorageFailed when writing or syncing fails
     virtual tl::expected<void, failure> appendSynced(const std::string& name, const std::string& bytes) = 0;
-    /// @brief Puts bytes in place of the whole file: afterwards it holds the old or the new bytes, never a mixture.
+    /// @brief Replaces the file's contents atomically and syncs: afterwards it holds the old or the new bytes, even
+    /// after an error or a crash.
+    /// @return StorageFailed when writing, syncing or renaming fails
     virtual tl::expected<void, failure> replaceSynced(const std::string& name, const std::string& bytes) = 0;
 };
 
-/// @brief A device over a folder, which is made when missing and locked against a second process.
-/// @return StorageFailed when the folder can't be used.
+/// @brief Opens a folder as a storage device. It is created when missing, and locked against other processes.
+/// @return StorageFailed when the folder can't be created or locked
 tl::expected<std::unique_ptr<storage_device>, failure> openFolder(const std::string& path);
 
 } // namespace buckthornrail::storage
--- a/src/buckthornrail/agreement/admission.cpp
+++ b/src/buckthornrail/agreement/admission.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Admission of blank replicas.
+/// @brief Membership changes of the replicated log.
 #include "buckthornrail/agreement/admission.hpp"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 namespace buckthornrail::agreement {
 namespace {
 
-constexpr log_index maxPromotionLag = 16; ///< a learner that lacks no more entries may become a voter
+constexpr log_index maxPromotionLag = 16; ///< entries that a learner may lack when it becomes a voter
 
 std::optional<std::vector<member>> withLearner(std::vector<member> members, std::span<const joining_replica> joining)
 {
@@ -36,7 +36,8 @@
         const auto lag = leader.lagOf(learner.id);
         if (learner.voter || !lag || *lag > maxPromotionLag || !leader.isReachable(learner.id, now))
             continue;
-        // A replaced disk: the old member of this address goes before the new one votes.
+        // The learner replaces a lost disk: the old member at its address is removed before the learner votes, so
+        // that each change concerns one voter only.
         auto changed = leader.members();
         const auto old = std::find_if(changed.begin(), changed.end(),
             [&learner](const member& one) { return one.address == learner.address && one.id != learner.id; });
--- a/src/buckthornrail/agreement/replica.cpp
+++ b/src/buckthornrail/agreement/replica.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Replicated log: elections with pre-vote, replication, confirmed reads, snapshots, member changes.
+/// @brief Replica: event handling, proposals, read index, compaction, effects.
 #include "buckthornrail/agreement/replica.hpp"
 
 #include "buckthornrail/core/enum_names.hpp"
@@ -40,7 +40,8 @@
 tl::expected<void, failure> replica::initialize(const std::string& address, steady_time now)
 {
     if (lastIndex() != 0 || m_hard.term != 0)
-        return tl::make_unexpected(failure { result_code::AlreadyInitialized, "the data folder holds a log" });
+        return tl::make_unexpected(
+            failure { result_code::AlreadyInitialized, "the data folder already contains a log" });
     m_hard = hard_state { 1, m_self };
     m_hardChanged = true;
     log_entry first;
@@ -132,7 +133,8 @@
             found->second.snapshotDeadline = now + m_options.snapshotResendInterval;
         return;
     }
-    // The first message of a leader that this member has voted for may be a long one: it isn't known to lead yet.
+    // The first message of a new leader may be a long one. Until it is complete, the sender isn't known to be the
+    // leader, so contact with the candidate that this member voted for counts as well.
     const bool isVotedFor = m_leader == 0 && m_hard.votedFor == from;
     if (m_role != replica_role::Follower || (m_leader != from && !isVotedFor))
         return;
@@ -156,11 +158,12 @@
 tl::expected<log_index, failure> replica::proposeMembers(std::vector<member> members)
 {
     if (m_role != replica_role::Leader)
-        return tl::make_unexpected(failure { result_code::NoQuorum, "this controller doesn't lead" });
+        return tl::make_unexpected(failure { result_code::NoQuorum, "this controller is not the leader" });
     if (m_membersIndex > m_commit)
-        return tl::make_unexpected(failure { result_code::NoQuorum, "another change of members is open" });
+        return tl::make_unexpected(failure { result_code::NoQuorum, "another membership change is pending" });
     if (termAt(m_commit) != m_hard.term)
-        return tl::make_unexpected(failure { result_code::NoQuorum, "the leader has not committed in its term" });
+        return tl::make_unexpected(
+            failure { result_code::NoQuorum, "the leader has not yet committed an entry in its term" });
     std::size_t changedVoters = 0;
     const auto countMissing = [&changedVoters](const std::vector<member>& from, const std::vector<member>& in) {
         for (const auto& one : from) {
@@ -172,7 +175,8 @@
     countMissing(m_members, members);
     countMissing(members, m_members);
     if (changedVoters > 1)
-        return tl::make_unexpected(failure { result_code::NoQuorum, "members change one voter at a time" });
+        return tl::make_unexpected(
+            failure { result_code::NoQuorum, "a membership change may add or remove only one voter" });
     log_entry entry;
     entry.term = m_hard.term;
     entry.kind = entry_kind::Members;
--- a/src/buckthornrail/agreement/replica_election.cpp
+++ b/src/buckthornrail/agreement/replica_election.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Elections: pre-vote, votes, becoming leader or follower.
+/// @brief Replica: elections with pre-vote, role changes, leadership transfer.
 #include "buckthornrail/agreement/replica.hpp"
 
 namespace buckthornrail::agreement {
@@ -9,7 +9,7 @@
     const bool isLeaderAlive = m_leader != 0 && now < m_leaderDeadline;
     if (!request.transfer && (m_role == replica_role::Leader || isLeaderAlive)) {
         if (message.term > m_hard.term)
-            return; // a live leader is not put out by a process that could not hear it
+            return; // a member that lost contact with a live leader must not depose it
         send(message.from, vote_reply { false, request.preVote });
         return;
     }
--- a/src/buckthornrail/agreement/replica_replication.cpp
+++ b/src/buckthornrail/agreement/replica_replication.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Replication: appending, conflicts, snapshots for members far behind, commit.
+/// @brief Replica: replication of entries, log conflicts, snapshots for lagging members, commit index.
 #include "buckthornrail/agreement/replica.hpp"
 
 #include <algorithm>
@@ -78,7 +78,7 @@
         m_commit = m_snapshot.index;
         m_applied = m_snapshot.index;
         m_installed = m_snapshot;
-        m_unpersisted = m_snapshot.index + 1; // the log file starts anew: what was kept is persisted again
+        m_unpersisted = m_snapshot.index + 1; // the log file is replaced, so the remaining entries are persisted again
         refreshMembers();
     }
     send(message.from, append_reply { true, std::max(request.base.index, m_commit), request.round });
--- a/src/buckthornrail/agreement/replica_test.cpp
+++ b/src/buckthornrail/agreement/replica_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The replicated log under random schedules of faults, and its single rules.
+/// @brief Tests of the replicated log: random schedules of faults, and single rules of the protocol.
 #include "support/log_world.hpp"
 
 #include <catch2/catch.hpp>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Commands after the faults have ended must commit everywhere: nothing is stuck.
+/// Checks that after the faults have ended a command is committed and applied at all nodes.
 void checkRecovers(log_world& world, const std::string& command)
 {
     world.heal();
@@ -27,10 +27,10 @@
         if (everywhere)
             return;
     }
-    FAIL("the command did not commit everywhere after the faults");
+    FAIL("the command was not applied at all nodes after the faults had ended");
 }
 
-/// A disk may go only while all members vote and are in step: what survives a loss is a quorum of disks.
+/// Loses a node's disk once all nodes are voters and up to date, so that a quorum of disks with all data remains.
 void loseDiskWhenAllVote(log_world& world, std::size_t node)
 {
     world.heal();
@@ -52,7 +52,8 @@
     }
 }
 
-/// One random fault or action; `draw` chooses which and where.
+/// Injects a fault or performs an action, then proposes a command.
+/// @param draw random number that selects the action and the node
 void injectFault(log_world& world, std::uint32_t draw, int number, bool canLoseDisks)
 {
     const std::size_t node = draw / 16 % world.nodes().size();
@@ -96,7 +97,7 @@
     world.run(static_cast<int>(draw / 4096 % 40));
 }
 
-/// Draws of a schedule; see injectFault().
+/// Generates a schedule of faults: the random numbers for injectFault().
 rc::Gen<std::vector<std::uint32_t>> schedule()
 {
     return rc::gen::container<std::vector<std::uint32_t>>(rc::gen::inRange<std::uint32_t>(0, 1U << 30U));
@@ -136,8 +137,8 @@
 
 TEST_CASE("replica: the checker notices when votes are not persisted", "[agreement][checker]")
 {
-    // The protection taken out: hard state does not reach the disk. Some schedule must show two leaders in a term
-    // or a changed command, or the checker is blind.
+    // With the hard state not written to disk, some schedule must lead to two leaders in a term or to a changed
+    // command. Otherwise the checker misses such violations.
     bool noticed = false;
     for (std::uint64_t seed = 1; seed <= 200 && !noticed; ++seed) {
         log_world world(3, seed);
@@ -150,7 +151,7 @@
     CHECK(noticed);
 }
 
-TEST_CASE("replica: confirmed reads see every command that was committed before", "[agreement]")
+TEST_CASE("replica: confirmed reads include every command committed before the request", "[agreement]")
 {
     log_world world(3, 7);
     for (int round = 0; round < 200; ++round) {
@@ -166,7 +167,7 @@
     CHECK(world.readsAnswered() > 20);
 }
 
-TEST_CASE("replica: a leader cut off from its quorum steps down and confirms no read", "[agreement]")
+TEST_CASE("replica: a leader partitioned from its quorum steps down", "[agreement]")
 {
     log_world world(3, 11);
     const auto old = world.leader();
@@ -177,7 +178,7 @@
     CHECK(world.leader());
 }
 
-TEST_CASE("replica: a member cut off for long does not put out the leader when it comes back", "[agreement]")
+TEST_CASE("replica: a member that returns after a long partition does not depose the leader", "[agreement]")
 {
     log_world world(3, 13);
     const auto leader = *world.leader();
@@ -191,7 +192,7 @@
     CHECK(world.nodes()[leader].process->term() == term);
 }
 
-TEST_CASE("replica: a lost disk is replaced, and a second member may die right after the repair", "[agreement]")
+TEST_CASE("replica: a lost disk is replaced, and a second member may fail right after the replacement", "[agreement]")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         log_world world(3, seed);
@@ -199,7 +200,8 @@
         world.run(50);
         const std::size_t lost = seed % 3;
         world.loseDisk(lost);
-        // The repair is done when the blank disk votes; until then every committed command stays readable.
+        // The replacement is complete when the replica with the blank disk is a voter. Until then committed commands
+        // must remain available.
         bool repaired = false;
         for (int round = 0; round < 200 && !repaired; ++round) {
             world.run(10);
@@ -224,14 +226,15 @@
     }
 }
 
-TEST_CASE("replica: what was committed survives lost disks while all other members lose power", "[agreement]")
+TEST_CASE(
+    "replica: committed commands survive the loss of a minority of disks while all other members crash", "[agreement]")
 {
     const std::size_t members = GENERATE(3U, 5U);
     const std::size_t maxLostDisks = (members - 1) / 2;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         CAPTURE(members, seed);
         log_world world(members, seed);
-        // Some members lag: a change stands on a bare quorum when it is acknowledged.
+        // With message loss some members lag, so the last command is on a bare quorum when it is acknowledged.
         world.setLoss(0.3);
         for (int at = 0; at < 5; ++at) {
             world.propose("early-" + std::to_string(at));
@@ -243,7 +246,8 @@
             world.run(1);
         REQUIRE(world.committed().size() > before);
         const auto acknowledged = world.committed();
-        // At that very moment: those that lose their disks, the leader among them in every other case.
+        // All members crash as soon as the command is committed. Some lose their disks; for every second seed the
+        // leader is one of them.
         const auto leader = world.leader();
         const std::size_t first = leader && seed % 2 == 0 ? *leader : seed % members;
         for (std::size_t at = 0; at < members; ++at)
@@ -269,7 +273,7 @@
     }
 }
 
-TEST_CASE("replica: a process hundreds of commands behind catches up by a snapshot", "[agreement]")
+TEST_CASE("replica: a member hundreds of commands behind catches up through a snapshot", "[agreement]")
 {
     log_world world(3, 17);
     const auto leader = *world.leader();
@@ -289,7 +293,7 @@
     CHECK(world.violations().empty());
 }
 
-TEST_CASE("replica: members that start one after the other elect soon after a quorum is up", "[agreement]")
+TEST_CASE("replica: members that start one after another elect a leader soon after a quorum is up", "[agreement]")
 {
     constexpr int stepsPerSecond = 100;
     replica_options options;
@@ -300,15 +304,16 @@
         for (std::size_t node = 0; node < 3; ++node)
             world.crash(node, crash_point::None);
         world.restart(0);
-        world.run(stepsPerSecond / 3); // its first attempts find nobody
+        world.run(stepsPerSecond / 3); // its first elections find no other member
         world.restart(1);
-        world.run(stepsPerSecond / 2); // two drawn timeouts of 250 ms at the longest; others are 700 ms at the least
+        // Two initial election timeouts of at most 250 ms each. The usual ones are at least 700 ms.
+        world.run(stepsPerSecond / 2);
         CHECK(world.leader());
         CHECK(world.violations().empty());
     }
 }
 
-TEST_CASE("replica: leadership is handed over without waiting for a timeout", "[agreement]")
+TEST_CASE("replica: leadership is transferred without waiting for an election timeout", "[agreement]")
 {
     log_world world(3, 19);
     const auto old = *world.leader();
@@ -319,7 +324,7 @@
     CHECK(*fresh != old);
 }
 
-TEST_CASE("replica: members change by one voter at a time, and a log is formed once", "[agreement]")
+TEST_CASE("replica: members change by one voter at a time, and a log is initialized only once", "[agreement]")
 {
     log_world world(3, 23);
     world.run(100);
@@ -327,10 +332,10 @@
     CHECK_FALSE(leader.initialize("again", steady_time {}));
     const auto result = leader.proposeMembers({ member { leader.self(), "a", true } });
     REQUIRE_FALSE(result);
-    CHECK(result.error().reason == "members change one voter at a time");
+    CHECK(result.error().reason == "a membership change may add or remove only one voter");
 }
 
-TEST_CASE("replica: a faulted replica answers nothing", "[agreement]")
+TEST_CASE("replica: a faulted replica sends no messages", "[agreement]")
 {
     log_world world(3, 29);
     const auto leader = *world.leader();
@@ -344,7 +349,7 @@
     CHECK(world.nodes()[leader].applied.back() == "x");
 }
 
-TEST_CASE("admission: a dead voter gives way only where as many losses are borne without it", "[agreement]")
+TEST_CASE("admission: a dead voter is removed only if that does not reduce fault tolerance", "[agreement]")
 {
     log_world world(4, 11);
     world.heal();
@@ -374,8 +379,8 @@
     const auto peer = std::find_if(replicaOfThree.members().begin(), replicaOfThree.members().end(),
         [&](const member& one) { return one.id != replicaOfThree.self(); });
     const std::vector<member_id> unreachable { peer->id };
-    CHECK_FALSE(withoutDeadMember(
-        replicaOfThree, unreachable, unreachable, steady_time {})); // three bear one loss, two bear none
+    // Three voters tolerate one failure, two tolerate none.
+    CHECK_FALSE(withoutDeadMember(replicaOfThree, unreachable, unreachable, steady_time {}));
 }
 
 namespace {
@@ -384,7 +389,7 @@
 constexpr member_id leaderId = 2;
 constexpr member_id otherId = 3;
 
-/// A member of a log of three, with nothing in it but the members.
+/// @return a voter of three whose log holds only the membership entry
 replica makeMemberOfThree(steady_time now)
 {
     persistent_state state;
@@ -398,7 +403,7 @@
     return { selfId, state, replica_options {}, 7, now };
 }
 
-/// Whether it asked for votes since the last call.
+/// @return whether the replica requested votes since the last call
 bool requestsVotes(replica& one)
 {
     const auto effects = one.takeEffects();
@@ -408,7 +413,7 @@
 
 } // namespace
 
-TEST_CASE("replica: a long message of the leader that is on its way is no silence", "[agreement]")
+TEST_CASE("replica: parts of a long message from the leader postpone the election timeout", "[agreement]")
 {
     const replica_options options;
     const milliseconds step { 100 };
@@ -416,14 +421,14 @@
     replica follower = makeMemberOfThree(now);
     follower.receive({ leaderId, selfId, 1, append_request { 1, 1, 1, 1, {} } }, now);
     REQUIRE(follower.leader() == leaderId);
-    // Three times the longest patience.
+    // Three times the longest election timeout.
     for (milliseconds passed { 0 }; passed < 3 * options.electionTimeoutMax; passed += step) {
         now += step;
         follower.recordContact(leaderId, now);
         follower.tick(now);
         CHECK_FALSE(requestsVotes(follower));
     }
-    // Pieces of others don't speak for the leader.
+    // Parts of messages from other members don't count as contact with the leader.
     for (milliseconds passed { 0 }; passed < options.electionTimeoutMax; passed += step) {
         now += step;
         follower.recordContact(otherId, now);
@@ -432,8 +437,8 @@
     CHECK(requestsVotes(follower));
 }
 
-TEST_CASE(
-    "replica: a leader whose long messages are being taken stays, one that is not heard steps down", "[agreement]")
+TEST_CASE("replica: a leader stays while parts of its long messages are acknowledged, and steps down without contact",
+    "[agreement]")
 {
     const replica_options options;
     const milliseconds step { 100 };
--- a/src/buckthornrail/storage/folder_device.cpp
+++ b/src/buckthornrail/storage/folder_device.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Storage device over a folder of the file system.
+/// @brief Storage device for a folder of the file system.
 #include "buckthornrail/storage/storage_device.hpp"
 
 #include <array>
@@ -13,7 +13,7 @@
 namespace buckthornrail::storage {
 namespace {
 
-constexpr mode_t fileMode = 0600;
+constexpr mode_t fileMode = 0600; ///< owner only
 
 tl::unexpected<failure> systemFailure(const std::string& action, const std::string& path)
 {
@@ -21,7 +21,7 @@
     return tl::make_unexpected(failure { result_code::StorageFailed, action + " " + path + ": " + detail });
 }
 
-/// Owns a file descriptor.
+/// Owns a file descriptor and closes it.
 class descriptor {
 public:
     explicit descriptor(int fd)
--- a/src/buckthornrail/storage/log_store.cpp
+++ b/src/buckthornrail/storage/log_store.cpp
@@ -1,7 +1,8 @@
 /// @file
-/// @brief Records of the replicated log on disk.
+/// @brief Files of the replicated log.
 ///
-/// A record: magic (4 bytes), length (4), xxHash64 of the payload (8), payload (CBOR).
+/// Layout of a record: magic (4 bytes), length of the payload (4), xxHash64 of the payload (8), payload (CBOR). Numbers
+/// are in the machine's byte order.
 #include "buckthornrail/storage/log_store.hpp"
 
 #include "buckthornrail/link/agreement_json.hpp"
@@ -18,7 +19,7 @@
 constexpr const char* snapshotFile = "snapshot";
 constexpr const char* logFile = "log";
 constexpr std::uint32_t recordMagic = 0x4252'4c31; // "BRL1"
-constexpr std::size_t headerSize = 16;
+constexpr std::size_t headerSize = 16; ///< in bytes
 
 std::string frameRecord(const json& payload)
 {
@@ -33,7 +34,7 @@
     return record + body;
 }
 
-/// @return the payload and the offset after it, or nothing when no whole record stands at the offset.
+/// @return the payload and the offset after it; nothing when there is no intact record at the offset
 std::optional<std::pair<json, std::size_t>> readRecord(const std::string& bytes, std::size_t offset)
 {
     if (bytes.size() < offset + headerSize)
@@ -56,6 +57,7 @@
     return std::pair { std::move(payload), start + length };
 }
 
+/// @return whether an intact record follows anywhere after the offset
 bool hasWholeRecordAfter(const std::string& bytes, std::size_t offset)
 {
     const std::string magic(reinterpret_cast<const char*>(&recordMagic), sizeof recordMagic);
@@ -79,7 +81,7 @@
     {
     }
 
-    /// @return false when the record's entries leave a gap.
+    /// @return false when there is a gap before the record's entries
     bool apply(const json& record)
     {
         if (record.contains("hard"))
@@ -93,7 +95,7 @@
         return true;
     }
 
-    /// @brief Drops entries that do not follow from the snapshot: a crash fell between the two files.
+    /// @brief Drops entries that don't continue the snapshot, as after a crash between the writes of the two files.
     void finish()
     {
         if (m_isDiverged)
@@ -105,7 +107,7 @@
     {
         const auto& snapshot = m_state.lastSnapshot;
         if (entry.index <= snapshot.index) {
-            m_state.entries.clear(); // an append replaces everything after it
+            m_state.entries.clear(); // an entry replaces all that follow it
             m_isDiverged = entry.index == snapshot.index && entry.term != snapshot.term;
             return true;
         }
@@ -131,7 +133,7 @@
     if (!bytes->has_value()) {
         auto log = m_device.read(logFile);
         if (log && log->has_value())
-            return corruptionFailure("the identity file is missing beside a log");
+            return corruptionFailure("the identity file is missing although a log exists");
         if (auto saved = m_device.replaceSynced(identityFile, frameRecord(json { { "member", newId } })); !saved)
             return tl::make_unexpected(saved.error());
         return newId;
@@ -177,7 +179,7 @@
                 return tl::make_unexpected(cut.error());
         }
     } catch (const json::exception& error) {
-        return corruptionFailure(std::string("a record has an unknown form: ") + error.what());
+        return corruptionFailure(std::string("a record cannot be decoded: ") + error.what());
     }
     m_hard = state.hard;
     return state;
@@ -205,7 +207,8 @@
     const agreement::hard_state& hard, const std::vector<agreement::log_entry>& entriesAfter)
 {
     m_hard = hard;
-    // The snapshot goes first: an old log beside a newer snapshot is read right, the other way round is a gap.
+    // The snapshot is written first: load() handles an old log with a newer snapshot, but with an old snapshot and a
+    // new log it would find a gap.
     if (auto saved = m_device.replaceSynced(snapshotFile, frameRecord(json(snapshot))); !saved)
         return saved;
     return m_device.replaceSynced(logFile, frameRecord(json { { "hard", hard }, { "entries", entriesAfter } }));
--- a/src/buckthornrail/storage/log_store_test.cpp
+++ b/src/buckthornrail/storage/log_store_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The log's files at every crash point, and what is damaged.
+/// @brief Tests of the log's files with faults at every write, and with damaged bytes.
 #include "buckthornrail/storage/log_store.hpp"
 #include "support/failing_device.hpp"
 
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE("log_store: every fault at every write leaves all acknowledged records and no half one", "[storage]")
+TEST_CASE("log_store: every fault at every write leaves all acknowledged records and no partial one", "[storage]")
 {
     for (const auto fault : allFaults) {
         for (int at = 0; at < 6; ++at) {
@@ -89,13 +89,13 @@
     }
 }
 
-TEST_CASE("log_store: an installed snapshot drops a log that does not lead to it", "[storage]")
+TEST_CASE("log_store: an installed snapshot drops a log with a different history", "[storage]")
 {
     failing_device device;
     log_store store(device);
     REQUIRE(store.persist(entriesFrom(1, 10, 1)));
     device.fault = device_fault::CrashBeforeWrite;
-    device.writesUntilFault = 1; // the snapshot lasts, the new log doesn't
+    device.writesUntilFault = 1; // the snapshot is written, the new log isn't
     agreement::effects installed;
     installed.installed = agreement::snapshot { 8, 5, {}, "other history" };
     CHECK_FALSE(store.persist(installed));
@@ -118,9 +118,9 @@
     CHECK(state->entries.back().term == 2);
 }
 
-TEST_CASE("log_store: a damaged byte is never read as data", "[storage][property]")
+TEST_CASE("log_store: a record with a damaged byte is never read as data", "[storage][property]")
 {
-    rc::prop("one byte", [] {
+    rc::prop("one damaged byte", [] {
         failing_device device;
         log_store store(device);
         for (agreement::log_index first = 1; first < 10; ++first)
@@ -133,14 +133,14 @@
             RC_ASSERT(state.error().code == result_code::StorageCorrupt);
             return;
         }
-        // Only damage to the last record passes for a torn tail: it is cut, and what is before it stands.
+        // Only a damaged last record is taken for a torn one. It is truncated, and the records before it remain.
         RC_ASSERT(state->entries.size() == 8U);
         for (std::size_t at = 0; at < state->entries.size(); ++at)
             RC_ASSERT(state->entries[at].command == "c" + std::to_string(at + 1));
     });
 }
 
-TEST_CASE("log_store: a lost log beside its identity is not taken for a fresh disk's", "[storage]")
+TEST_CASE("log_store: a log without its identity file is not taken for a new folder", "[storage]")
 {
     failing_device device;
     log_store store(device);
@@ -152,7 +152,7 @@
     CHECK(identity.error().code == result_code::StorageCorrupt);
 }
 
-TEST_CASE("folder device: appends, replaces and locks", "[storage]")
+TEST_CASE("folder_device: appends, replaces and locks", "[storage]")
 {
     const auto folder = std::filesystem::temp_directory_path() / "buckthornrail-folder-test";
     std::filesystem::remove_all(folder);
