--- a/src/app/shared/replicated_log.cpp
+++ b/src/app/shared/replicated_log.cpp
@@ -29,7 +29,7 @@
     agreement::replica_options options;
     options.electionTimeoutMin = milliseconds(electionTimeoutMs);
     options.electionTimeoutMax = milliseconds(2 * electionTimeoutMs);
-    options.firstElectionTimeout = milliseconds(electionTimeoutMs / 2);
+    options.initialElectionTimeoutMax = milliseconds(electionTimeoutMs / 2);
     options.heartbeatInterval = milliseconds(std::max<std::uint32_t>(electionTimeoutMs / 7, 10));
     return options;
 }
@@ -74,16 +74,16 @@
     if (!loaded)
         return tl::make_unexpected(loaded.error());
     const bool isReopened = m_replica != nullptr;
-    if (loaded->base.index > 0 || isReopened) {
-        if (auto restored = m_state.restoreState(loaded->base.state); !restored)
+    if (loaded->lastSnapshot.index > 0 || isReopened) {
+        if (auto restored = m_state.restoreState(loaded->lastSnapshot.state); !restored)
             return restored;
     }
-    m_applied = loaded->base.index;
+    m_applied = loaded->lastSnapshot.index;
     m_replica = std::make_unique<agreement::replica>(
         *self, std::move(*loaded), replicaOptions(m_options.electionTimeoutMs), randomNumber(), steadyNow());
     telemetry::logEvent(event_code::LogOpened,
-        { { "snapshot", std::to_string(m_replica->baseIndex()) }, { "last", std::to_string(m_replica->lastIndex()) },
-            { "term", std::to_string(m_replica->term()) } });
+        { { "snapshot", std::to_string(m_replica->snapshotIndex()) },
+            { "last", std::to_string(m_replica->lastIndex()) }, { "term", std::to_string(m_replica->term()) } });
     return {};
 }
 
@@ -127,7 +127,7 @@
 {
     const std::uint64_t readId = ++m_lastReadId;
     m_confirmations[readId] = { std::move(callback), steadyNow() + patience, 0 };
-    m_replica->confirmRead(readId);
+    m_replica->requestReadIndex(readId);
     scheduleFlush();
 }
 
@@ -281,11 +281,11 @@
 
 void replicated_log::saveSnapshotWhenDue()
 {
-    const bool isDue = m_applied - m_replica->baseIndex() >= m_options.snapshotEntries;
+    const bool isDue = m_applied - m_replica->snapshotIndex() >= m_options.snapshotEntries;
     if (m_replica->role() == agreement::replica_role::Faulted || !isDue)
         return;
     const auto base = m_replica->compact(m_applied, m_state.saveState());
-    const auto saved = m_store->saveSnapshot(base, m_replica->hardState(), m_replica->entriesAfterBase());
+    const auto saved = m_store->saveSnapshot(base, m_replica->hardState(), m_replica->entriesAfterSnapshot());
     if (!saved) {
         disable(saved.error());
         return;
@@ -339,7 +339,7 @@
         m_deadAfter.clear();
         return;
     }
-    std::vector<agreement::join_wish> wishes;
+    std::vector<agreement::joining_replica> wishes;
     for (const auto& [id, wish] : m_joins) {
         const auto& listed = m_options.seeds;
         if (m_options.admitsUnlisted || std::find(listed.begin(), listed.end(), wish.address) != listed.end())
@@ -360,7 +360,7 @@
     }
     auto next = agreement::nextMembers(*m_replica, wishes, now);
     if (!next)
-        next = agreement::withoutDead(*m_replica, replaceable, droppable, now);
+        next = agreement::withoutDeadMember(*m_replica, replaceable, droppable, now);
     if (next)
         (void)m_replica->proposeMembers(std::move(*next)); // refused while another change is open; asked again
 }
@@ -379,7 +379,7 @@
 
 void replicated_log::disable(const failure& why)
 {
-    m_replica->fault();
+    m_replica->markFaulted();
     m_recoverDeadline = steadyNow() + recoverPeriod;
     telemetry::logEvent(event_code::StorageFault,
         { { "code", std::to_string(static_cast<int>(why.code)) }, { "reason", why.reason } },
@@ -397,7 +397,7 @@
         return;
     const auto probed = m_store->probe();
     if (!probed) {
-        m_replica->fault();
+        m_replica->markFaulted();
         return;
     }
     telemetry::logEvent(event_code::StorageRegained, { { "index", std::to_string(m_replica->lastIndex()) } });
--- a/src/buckthornrail/agreement/replica.cpp
+++ b/src/buckthornrail/agreement/replica.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Replicated log: elections with pre-vote, replication, confirmed reads, snapshots, member changes.
+/// @brief Replica: event handling, proposals, read index, compaction, effects.
 #include "buckthornrail/agreement/replica.hpp"
 
 #include "buckthornrail/core/enum_names.hpp"
@@ -26,28 +26,29 @@
     , m_options(options)
     , m_random(seed)
     , m_hard(state.hard)
-    , m_base(std::move(state.base))
+    , m_snapshot(std::move(state.lastSnapshot))
     , m_entries(std::move(state.entries))
-    , m_commit(m_base.index)
-    , m_applied(m_base.index)
+    , m_commit(m_snapshot.index)
+    , m_applied(m_snapshot.index)
     , m_unpersisted(lastIndex() + 1)
     , m_now(now)
 {
     refreshMembers();
-    drawElectionDeadline(now);
+    resetElectionDeadline(now);
 }
 
 tl::expected<void, failure> replica::initialize(const std::string& address, steady_time now)
 {
     if (lastIndex() != 0 || m_hard.term != 0)
-        return tl::make_unexpected(failure { result_code::AlreadyInitialized, "the data folder holds a log" });
+        return tl::make_unexpected(
+            failure { result_code::AlreadyInitialized, "the data folder already contains a log" });
     m_hard = hard_state { 1, m_self };
     m_hardChanged = true;
     log_entry first;
     first.term = 1;
     first.kind = entry_kind::Members;
     first.members = { member { m_self, address, true } };
-    appendOwn(std::move(first));
+    appendEntry(std::move(first));
     becomeLeader(now);
     return {};
 }
@@ -71,7 +72,7 @@
     if (now < m_electionDeadline)
         return;
     if (!isVoter(m_self)) {
-        drawElectionDeadline(now);
+        resetElectionDeadline(now);
         return;
     }
     startElection(true, false, now);
@@ -87,12 +88,12 @@
         onVoteRequest(message, *vote, now);
         return;
     }
-    const auto* voteAnswer = std::get_if<vote_reply>(&message.body);
-    const bool isPreVoteGrant = voteAnswer != nullptr && voteAnswer->preVote && voteAnswer->granted;
+    const auto* voteReply = std::get_if<vote_reply>(&message.body);
+    const bool isPreVoteGrant = voteReply != nullptr && voteReply->preVote && voteReply->granted;
     if (message.term > m_hard.term && !isPreVoteGrant)
         becomeFollower(message.term, 0, now);
-    if (voteAnswer != nullptr) {
-        onVoteReply(message, *voteAnswer, now);
+    if (voteReply != nullptr) {
+        onVoteReply(message, *voteReply, now);
         return;
     }
     if (const auto* request = std::get_if<append_request>(&message.body)) {
@@ -116,12 +117,12 @@
         m_reads.push_back({ reply->readId, reply->index });
         return;
     }
-    const bool mayLead = message.term == m_hard.term && isVoter(m_self) && m_role != replica_role::Leader;
-    if (std::holds_alternative<election_request>(message.body) && mayLead)
+    const bool canCampaign = message.term == m_hard.term && isVoter(m_self) && m_role != replica_role::Leader;
+    if (std::holds_alternative<election_request>(message.body) && canCampaign)
         startElection(false, true, now);
 }
 
-void replica::progressFrom(member_id from, steady_time now)
+void replica::recordContact(member_id from, steady_time now)
 {
     if (m_role == replica_role::Leader) {
         const auto found = m_progress.find(from);
@@ -132,13 +133,14 @@
             found->second.snapshotDeadline = now + m_options.snapshotResendInterval;
         return;
     }
-    // The first message of a leader that this member has voted for may be a long one: it isn't known to lead yet.
-    const bool mayLead = m_leader == 0 && m_hard.votedFor == from;
-    if (m_role != replica_role::Follower || (m_leader != from && !mayLead))
+    // The first message of a new leader may be a long one. Until it is complete, the sender isn't known to be the
+    // leader, so contact with the candidate that this member voted for counts as well.
+    const bool isVotedFor = m_leader == 0 && m_hard.votedFor == from;
+    if (m_role != replica_role::Follower || (m_leader != from && !isVotedFor))
         return;
     if (m_leader == from)
         m_leaderDeadline = now + m_options.electionTimeoutMin;
-    drawElectionDeadline(now);
+    resetElectionDeadline(now);
 }
 
 std::optional<log_index> replica::propose(std::string command)
@@ -149,39 +151,41 @@
     entry.term = m_hard.term;
     entry.kind = entry_kind::Command;
     entry.command = std::move(command);
-    appendOwn(std::move(entry));
+    appendEntry(std::move(entry));
     return lastIndex();
 }
 
 tl::expected<log_index, failure> replica::proposeMembers(std::vector<member> members)
 {
     if (m_role != replica_role::Leader)
-        return tl::make_unexpected(failure { result_code::NoQuorum, "this controller doesn't lead" });
+        return tl::make_unexpected(failure { result_code::NoQuorum, "this controller is not the leader" });
     if (m_membersIndex > m_commit)
-        return tl::make_unexpected(failure { result_code::NoQuorum, "another change of members is open" });
+        return tl::make_unexpected(failure { result_code::NoQuorum, "another membership change is pending" });
     if (termAt(m_commit) != m_hard.term)
-        return tl::make_unexpected(failure { result_code::NoQuorum, "the leader has not committed in its term" });
-    std::size_t votersChanged = 0;
-    const auto countMissing = [&votersChanged](const std::vector<member>& from, const std::vector<member>& in) {
+        return tl::make_unexpected(
+            failure { result_code::NoQuorum, "the leader has not yet committed an entry in its term" });
+    std::size_t changedVoters = 0;
+    const auto countMissing = [&changedVoters](const std::vector<member>& from, const std::vector<member>& in) {
         for (const auto& one : from) {
             const auto same = [&one](const member& other) { return other.id == one.id && other.voter; };
             if (one.voter && std::none_of(in.begin(), in.end(), same))
-                ++votersChanged;
+                ++changedVoters;
         }
     };
     countMissing(m_members, members);
     countMissing(members, m_members);
-    if (votersChanged > 1)
-        return tl::make_unexpected(failure { result_code::NoQuorum, "members change one voter at a time" });
+    if (changedVoters > 1)
+        return tl::make_unexpected(
+            failure { result_code::NoQuorum, "a membership change may add or remove only one voter" });
     log_entry entry;
     entry.term = m_hard.term;
     entry.kind = entry_kind::Members;
     entry.members = std::move(members);
-    appendOwn(std::move(entry));
+    appendEntry(std::move(entry));
     return lastIndex();
 }
 
-void replica::confirmRead(std::uint64_t readId)
+void replica::requestReadIndex(std::uint64_t readId)
 {
     if (m_role == replica_role::Leader) {
         m_pendingReads.push_back({ m_self, readId, 0, 0 });
@@ -194,24 +198,24 @@
 snapshot replica::compact(log_index index, std::string state)
 {
     index = std::min(index, m_applied);
-    if (index <= m_base.index)
-        return m_base;
+    if (index <= m_snapshot.index)
+        return m_snapshot;
     snapshot made;
     made.index = index;
     made.term = termAt(index).value_or(0);
-    made.members = m_base.members;
-    for (log_index at = m_base.index + 1; at <= index; ++at) {
+    made.members = m_snapshot.members;
+    for (log_index at = m_snapshot.index + 1; at <= index; ++at) {
         if (entryAt(at).kind == entry_kind::Members)
             made.members = entryAt(at).members;
     }
     made.state = std::move(state);
-    const auto dropped = static_cast<std::ptrdiff_t>(index - m_base.index);
+    const auto dropped = static_cast<std::ptrdiff_t>(index - m_snapshot.index);
     m_entries.erase(m_entries.begin(), m_entries.begin() + dropped);
-    m_base = std::move(made);
-    return m_base;
+    m_snapshot = std::move(made);
+    return m_snapshot;
 }
 
-void replica::fault()
+void replica::markFaulted()
 {
     m_role = replica_role::Faulted;
     m_leader = 0;
@@ -238,7 +242,7 @@
     if (m_role == replica_role::Leader) {
         if (m_broadcastNeeded)
             broadcast();
-        releaseReads();
+        completeReads();
     }
     effects out;
     out.installed = std::exchange(m_installed, std::nullopt);
@@ -269,7 +273,7 @@
     return id == m_self || (found != m_progress.end() && now <= found->second.contactDeadline);
 }
 
-void replica::appendOwn(log_entry entry)
+void replica::appendEntry(log_entry entry)
 {
     entry.index = lastIndex() + 1;
     const bool changesMembers = entry.kind == entry_kind::Members;
@@ -281,8 +285,8 @@
 
 void replica::refreshMembers()
 {
-    m_members = m_base.members;
-    m_membersIndex = m_base.index;
+    m_members = m_snapshot.members;
+    m_membersIndex = m_snapshot.index;
     for (auto entry = m_entries.rbegin(); entry != m_entries.rend(); ++entry) {
         if (entry->kind != entry_kind::Members)
             continue;
@@ -305,7 +309,7 @@
     m_progress = std::move(kept);
 }
 
-void replica::releaseReads()
+void replica::completeReads()
 {
     std::vector<std::uint64_t> rounds;
     for (const auto& one : m_members) {
@@ -347,9 +351,9 @@
 
 std::optional<term_number> replica::termAt(log_index index) const
 {
-    if (index == m_base.index)
-        return m_base.term;
-    if (index < m_base.index || index > lastIndex())
+    if (index == m_snapshot.index)
+        return m_snapshot.term;
+    if (index < m_snapshot.index || index > lastIndex())
         return std::nullopt;
     return entryAt(index).term;
 }
--- a/src/buckthornrail/agreement/replica_election.cpp
+++ b/src/buckthornrail/agreement/replica_election.cpp
@@ -1,15 +1,15 @@
 /// @file
-/// @brief Elections: pre-vote, votes, becoming leader or follower.
+/// @brief Replica: elections with pre-vote, role changes, leadership transfer.
 #include "buckthornrail/agreement/replica.hpp"
 
 namespace buckthornrail::agreement {
 
 void replica::onVoteRequest(const peer_message& message, const vote_request& request, steady_time now)
 {
-    const bool leaderAlive = m_leader != 0 && now < m_leaderDeadline;
-    if (!request.transfer && (m_role == replica_role::Leader || leaderAlive)) {
+    const bool isLeaderAlive = m_leader != 0 && now < m_leaderDeadline;
+    if (!request.transfer && (m_role == replica_role::Leader || isLeaderAlive)) {
         if (message.term > m_hard.term)
-            return; // a live leader is not put out by a process that could not hear it
+            return; // a member that lost contact with a live leader must not depose it
         send(message.from, vote_reply { false, request.preVote });
         return;
     }
@@ -20,21 +20,21 @@
     }
     if (message.term > m_hard.term)
         becomeFollower(message.term, 0, now);
-    const bool free = m_hard.votedFor == 0 || m_hard.votedFor == message.from;
-    const bool granted = message.term == m_hard.term && free && isUpToDate(request);
+    const bool isVoteAvailable = m_hard.votedFor == 0 || m_hard.votedFor == message.from;
+    const bool granted = message.term == m_hard.term && isVoteAvailable && isUpToDate(request);
     if (granted) {
         m_hardChanged = m_hardChanged || m_hard.votedFor != message.from;
         m_hard.votedFor = message.from;
-        drawElectionDeadline(now);
+        resetElectionDeadline(now);
     }
     send(message.from, vote_reply { granted, false });
 }
 
 void replica::onVoteReply(const peer_message& message, const vote_reply& reply, steady_time now)
 {
-    const bool asked = reply.preVote ? m_role == replica_role::PreCandidate && message.term == m_hard.term + 1
-                                     : m_role == replica_role::Candidate && message.term == m_hard.term;
-    if (!asked || !reply.granted || !isVoter(message.from))
+    const bool isExpected = reply.preVote ? m_role == replica_role::PreCandidate && message.term == m_hard.term + 1
+                                          : m_role == replica_role::Candidate && message.term == m_hard.term;
+    if (!isExpected || !reply.granted || !isVoter(message.from))
         return;
     m_votes.insert(message.from);
     if (m_votes.size() < quorumSize())
@@ -57,28 +57,28 @@
     m_pendingReads.clear();
     m_progress.clear();
     m_broadcastNeeded = false;
-    drawElectionDeadline(now);
+    resetElectionDeadline(now);
 }
 
 void replica::becomeLeader(steady_time now)
 {
     m_role = replica_role::Leader;
     m_leader = m_self;
-    m_hasMetLeader = true;
+    m_hasKnownLeader = true;
     m_pendingReads.clear();
     m_progress.clear();
     refreshMembers();
     m_heartbeatDeadline = now + m_options.heartbeatInterval;
     log_entry first;
     first.term = m_hard.term;
-    appendOwn(std::move(first));
+    appendEntry(std::move(first));
     for (auto& [id, peer] : m_progress)
         peer.contactDeadline = now + m_options.electionTimeoutMax;
 }
 
 void replica::startElection(bool preVote, bool transfer, steady_time now)
 {
-    drawElectionDeadline(now);
+    resetElectionDeadline(now);
     m_role = preVote ? replica_role::PreCandidate : replica_role::Candidate;
     m_leader = 0;
     m_votes = { m_self };
@@ -93,19 +93,20 @@
             becomeLeader(now);
         return;
     }
-    const term_number asked = preVote ? m_hard.term + 1 : m_hard.term;
+    const term_number electionTerm = preVote ? m_hard.term + 1 : m_hard.term;
     for (const auto& one : m_members) {
         if (!one.voter || one.id == m_self)
             continue;
-        sendInTerm(one.id, asked, vote_request { lastIndex(), termAt(lastIndex()).value_or(0), preVote, transfer });
+        sendInTerm(
+            one.id, electionTerm, vote_request { lastIndex(), termAt(lastIndex()).value_or(0), preVote, transfer });
     }
 }
 
-void replica::drawElectionDeadline(steady_time now)
+void replica::resetElectionDeadline(steady_time now)
 {
-    const bool isFirst = !m_hasMetLeader && m_options.firstElectionTimeout.count() > 0;
-    const auto shortest = isFirst ? m_options.firstElectionTimeout / 3 : m_options.electionTimeoutMin;
-    const auto longest = isFirst ? m_options.firstElectionTimeout : m_options.electionTimeoutMax;
+    const bool isInitial = !m_hasKnownLeader && m_options.initialElectionTimeoutMax.count() > 0;
+    const auto shortest = isInitial ? m_options.initialElectionTimeoutMax / 3 : m_options.electionTimeoutMin;
+    const auto longest = isInitial ? m_options.initialElectionTimeoutMax : m_options.electionTimeoutMax;
     std::uniform_int_distribution<std::int64_t> draw(shortest.count(), longest.count());
     m_electionDeadline = now + milliseconds(draw(m_random));
 }
--- a/src/buckthornrail/agreement/replica_test.cpp
+++ b/src/buckthornrail/agreement/replica_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The replicated log under random schedules of faults, and its single rules.
+/// @brief Tests of the replicated log: random schedules of faults, and single rules of the protocol.
 #include "support/log_world.hpp"
 
 #include <catch2/catch.hpp>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Commands after the faults have ended must commit everywhere: nothing is stuck.
+/// Checks that after the faults have ended a command is committed and applied at all nodes.
 void checkRecovers(log_world& world, const std::string& command)
 {
     world.heal();
@@ -27,11 +27,11 @@
         if (everywhere)
             return;
     }
-    FAIL("the command did not commit everywhere after the faults");
+    FAIL("the command was not applied at all nodes after the faults had ended");
 }
 
-/// A disk may go only while all members vote and are in step: what survives a loss is a quorum of disks.
-void loseDiskWhenWhole(log_world& world, std::size_t node)
+/// Loses a node's disk once all nodes are voters and up to date, so that a quorum of disks with all data remains.
+void loseDiskWhenAllVote(log_world& world, std::size_t node)
 {
     world.heal();
     for (int round = 0; round < 100; ++round) {
@@ -52,8 +52,9 @@
     }
 }
 
-/// One random fault or action; `draw` chooses which and where.
-void disturb(log_world& world, std::uint32_t draw, int number, bool withLostDisks)
+/// Injects a fault or performs an action, then proposes a command.
+/// @param draw random number that selects the action and the node
+void injectFault(log_world& world, std::uint32_t draw, int number, bool canLoseDisks)
 {
     const std::size_t node = draw / 16 % world.nodes().size();
     switch (draw % 12) {
@@ -86,8 +87,8 @@
         world.read();
         break;
     case 10:
-        if (withLostDisks)
-            loseDiskWhenWhole(world, node);
+        if (canLoseDisks)
+            loseDiskWhenAllVote(world, node);
         break;
     default:
         break;
@@ -96,7 +97,7 @@
     world.run(static_cast<int>(draw / 4096 % 40));
 }
 
-/// Draws of a schedule; see disturb().
+/// Generates a schedule of faults: the random numbers for injectFault().
 rc::Gen<std::vector<std::uint32_t>> schedule()
 {
     return rc::gen::container<std::vector<std::uint32_t>>(rc::gen::inRange<std::uint32_t>(0, 1U << 30U));
@@ -117,7 +118,7 @@
         const auto draws = *schedule();
         log_world world(3, seed);
         for (std::size_t at = 0; at < draws.size(); ++at)
-            disturb(world, draws[at], static_cast<int>(at), false);
+            injectFault(world, draws[at], static_cast<int>(at), false);
         RC_ASSERT(distinctViolations(world).empty());
         checkRecovers(world, "last");
         RC_ASSERT(distinctViolations(world).empty());
@@ -125,10 +126,10 @@
     rc::prop("five replicas", [](std::uint64_t seed) {
         const auto draws = *schedule();
         replica_options options;
-        options.firstElectionTimeout = milliseconds(seed % 2 * 300); // in half of the cases
+        options.initialElectionTimeoutMax = milliseconds(seed % 2 * 300); // in half of the cases
         log_world world(5, seed, options);
         for (std::size_t at = 0; at < draws.size(); ++at)
-            disturb(world, draws[at], static_cast<int>(at), true);
+            injectFault(world, draws[at], static_cast<int>(at), true);
         checkRecovers(world, "last");
         RC_ASSERT(distinctViolations(world).empty());
     });
@@ -136,21 +137,21 @@
 
 TEST_CASE("replica: the checker notices when votes are not persisted", "[agreement][checker]")
 {
-    // The protection taken out: hard state does not reach the disk. Some schedule must show two leaders in a term
-    // or a changed command, or the checker is blind.
+    // With the hard state not written to disk, some schedule must lead to two leaders in a term or to a changed
+    // command. Otherwise the checker misses such violations.
     bool noticed = false;
     for (std::uint64_t seed = 1; seed <= 200 && !noticed; ++seed) {
         log_world world(3, seed);
         world.forgetVotes = true;
         std::mt19937_64 random(seed);
         for (int at = 0; at < 60; ++at)
-            disturb(world, static_cast<std::uint32_t>(random()), at, false);
+            injectFault(world, static_cast<std::uint32_t>(random()), at, false);
         noticed = !world.violations().empty();
     }
     CHECK(noticed);
 }
 
-TEST_CASE("replica: confirmed reads see every command that was committed before", "[agreement]")
+TEST_CASE("replica: confirmed reads include every command committed before the request", "[agreement]")
 {
     log_world world(3, 7);
     for (int round = 0; round < 200; ++round) {
@@ -166,7 +167,7 @@
     CHECK(world.readsAnswered() > 20);
 }
 
-TEST_CASE("replica: a leader cut off from its quorum steps down and confirms no read", "[agreement]")
+TEST_CASE("replica: a leader partitioned from its quorum steps down", "[agreement]")
 {
     log_world world(3, 11);
     const auto old = world.leader();
@@ -177,7 +178,7 @@
     CHECK(world.leader());
 }
 
-TEST_CASE("replica: a member cut off for long does not put out the leader when it comes back", "[agreement]")
+TEST_CASE("replica: a member that returns after a long partition does not depose the leader", "[agreement]")
 {
     log_world world(3, 13);
     const auto leader = *world.leader();
@@ -191,7 +192,7 @@
     CHECK(world.nodes()[leader].process->term() == term);
 }
 
-TEST_CASE("replica: a lost disk is replaced, and a second member may die right after the repair", "[agreement]")
+TEST_CASE("replica: a lost disk is replaced, and a second member may fail right after the replacement", "[agreement]")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         log_world world(3, seed);
@@ -199,7 +200,8 @@
         world.run(50);
         const std::size_t lost = seed % 3;
         world.loseDisk(lost);
-        // The repair is done when the blank disk votes; until then every committed command stays readable.
+        // The replacement is complete when the replica with the blank disk is a voter. Until then committed commands
+        // must remain available.
         bool repaired = false;
         for (int round = 0; round < 200 && !repaired; ++round) {
             world.run(10);
@@ -224,14 +226,15 @@
     }
 }
 
-TEST_CASE("replica: what was committed survives lost disks while all other members lose power", "[agreement]")
+TEST_CASE(
+    "replica: committed commands survive the loss of a minority of disks while all other members crash", "[agreement]")
 {
     const std::size_t members = GENERATE(3U, 5U);
-    const std::size_t mostLost = (members - 1) / 2;
+    const std::size_t maxLostDisks = (members - 1) / 2;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         CAPTURE(members, seed);
         log_world world(members, seed);
-        // Some members lag: a change stands on a bare quorum when it is acknowledged.
+        // With message loss some members lag, so the last command is on a bare quorum when it is acknowledged.
         world.setLoss(0.3);
         for (int at = 0; at < 5; ++at) {
             world.propose("early-" + std::to_string(at));
@@ -243,12 +246,13 @@
             world.run(1);
         REQUIRE(world.committed().size() > before);
         const auto acknowledged = world.committed();
-        // At that very moment: those that lose their disks, the leader among them in every other case.
+        // All members crash as soon as the command is committed. Some lose their disks; for every second seed the
+        // leader is one of them.
         const auto leader = world.leader();
         const std::size_t first = leader && seed % 2 == 0 ? *leader : seed % members;
         for (std::size_t at = 0; at < members; ++at)
             world.crash((first + at) % members, at % 2 == 0 ? crash_point::BeforePersist : crash_point::AfterPersist);
-        for (std::size_t at = 0; at < mostLost; ++at)
+        for (std::size_t at = 0; at < maxLostDisks; ++at)
             world.loseDisk((first + at) % members);
         world.heal();
         const auto holdsAll = [&] {
@@ -258,18 +262,18 @@
                 });
             });
         };
-        bool isBack = false;
-        for (int round = 0; round < 200 && !isBack; ++round) {
+        bool isRecovered = false;
+        for (int round = 0; round < 200 && !isRecovered; ++round) {
             world.run(20);
             world.propose("after-" + std::to_string(round));
-            isBack = holdsAll();
+            isRecovered = holdsAll();
         }
-        CHECK(isBack);
+        CHECK(isRecovered);
         CHECK(world.violations().empty());
     }
 }
 
-TEST_CASE("replica: a process hundreds of commands behind catches up by a snapshot", "[agreement]")
+TEST_CASE("replica: a member hundreds of commands behind catches up through a snapshot", "[agreement]")
 {
     log_world world(3, 17);
     const auto leader = *world.leader();
@@ -285,30 +289,31 @@
     world.restart(behind);
     world.run(300);
     CHECK(world.nodes()[behind].applied == world.nodes()[leader].applied);
-    CHECK(world.nodes()[behind].process->baseIndex() > 500);
+    CHECK(world.nodes()[behind].process->snapshotIndex() > 500);
     CHECK(world.violations().empty());
 }
 
-TEST_CASE("replica: members that start one after the other elect soon after a quorum is up", "[agreement]")
+TEST_CASE("replica: members that start one after another elect a leader soon after a quorum is up", "[agreement]")
 {
     constexpr int stepsPerSecond = 100;
     replica_options options;
-    options.firstElectionTimeout = milliseconds(250);
+    options.initialElectionTimeoutMax = milliseconds(250);
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         log_world world(3, seed, options);
         world.run(stepsPerSecond);
         for (std::size_t node = 0; node < 3; ++node)
             world.crash(node, crash_point::None);
         world.restart(0);
-        world.run(stepsPerSecond / 3); // its first attempts find nobody
+        world.run(stepsPerSecond / 3); // its first elections find no other member
         world.restart(1);
-        world.run(stepsPerSecond / 2); // two drawn timeouts of 250 ms at the longest; others are 700 ms at the least
+        // Two initial election timeouts of at most 250 ms each. The usual ones are at least 700 ms.
+        world.run(stepsPerSecond / 2);
         CHECK(world.leader());
         CHECK(world.violations().empty());
     }
 }
 
-TEST_CASE("replica: leadership is handed over without waiting for a timeout", "[agreement]")
+TEST_CASE("replica: leadership is transferred without waiting for an election timeout", "[agreement]")
 {
     log_world world(3, 19);
     const auto old = *world.leader();
@@ -319,7 +324,7 @@
     CHECK(*fresh != old);
 }
 
-TEST_CASE("replica: members change by one voter at a time, and a log is formed once", "[agreement]")
+TEST_CASE("replica: members change by one voter at a time, and a log is initialized only once", "[agreement]")
 {
     log_world world(3, 23);
     world.run(100);
@@ -327,16 +332,16 @@
     CHECK_FALSE(leader.initialize("again", steady_time {}));
     const auto result = leader.proposeMembers({ member { leader.self(), "a", true } });
     REQUIRE_FALSE(result);
-    CHECK(result.error().reason == "members change one voter at a time");
+    CHECK(result.error().reason == "a membership change may add or remove only one voter");
 }
 
-TEST_CASE("replica: a faulted replica answers nothing", "[agreement]")
+TEST_CASE("replica: a faulted replica sends no messages", "[agreement]")
 {
     log_world world(3, 29);
     const auto leader = *world.leader();
     const std::size_t other = (leader + 1) % 3;
     auto& faulted = *world.nodes()[other].process;
-    faulted.fault();
+    faulted.markFaulted();
     world.propose("x");
     world.run(100);
     CHECK(faulted.role() == replica_role::Faulted);
@@ -344,7 +349,7 @@
     CHECK(world.nodes()[leader].applied.back() == "x");
 }
 
-TEST_CASE("admission: a dead voter gives way only where as many losses are borne without it", "[agreement]")
+TEST_CASE("admission: a dead voter is removed only if that does not reduce fault tolerance", "[agreement]")
 {
     log_world world(4, 11);
     world.heal();
@@ -359,10 +364,10 @@
     const auto other = std::find_if(replica.members().begin(), replica.members().end(),
         [&](const member& one) { return one.id != replica.self(); });
     const std::vector<member_id> dead { other->id };
-    const auto left = withoutDead(replica, dead, {}, steady_time {});
+    const auto left = withoutDeadMember(replica, dead, {}, steady_time {});
     REQUIRE(left);
     CHECK(left->size() == 3);
-    CHECK_FALSE(withoutDead(replica, {}, {}, steady_time {}));
+    CHECK_FALSE(withoutDeadMember(replica, {}, {}, steady_time {}));
 
     log_world three(3, 11);
     three.heal();
@@ -370,21 +375,22 @@
         three.run(20);
     const auto first = three.leader();
     REQUIRE(first);
-    const auto& odd = *three.nodes()[*first].process;
-    const auto peer = std::find_if(
-        odd.members().begin(), odd.members().end(), [&](const member& one) { return one.id != odd.self(); });
-    const std::vector<member_id> gone { peer->id };
-    CHECK_FALSE(withoutDead(odd, gone, gone, steady_time {})); // three bear one loss, two bear none
+    const auto& replicaOfThree = *three.nodes()[*first].process;
+    const auto peer = std::find_if(replicaOfThree.members().begin(), replicaOfThree.members().end(),
+        [&](const member& one) { return one.id != replicaOfThree.self(); });
+    const std::vector<member_id> unreachable { peer->id };
+    // Three voters tolerate one failure, two tolerate none.
+    CHECK_FALSE(withoutDeadMember(replicaOfThree, unreachable, unreachable, steady_time {}));
 }
 
 namespace {
 
-constexpr member_id self = 1;
-constexpr member_id leading = 2;
-constexpr member_id third = 3;
+constexpr member_id selfId = 1;
+constexpr member_id leaderId = 2;
+constexpr member_id otherId = 3;
 
-/// A member of a log of three, with nothing in it but the members.
-replica memberOfThree(steady_time now)
+/// @return a voter of three whose log holds only the membership entry
+replica makeMemberOfThree(steady_time now)
 {
     persistent_state state;
     state.hard = { 1, 0 };
@@ -392,62 +398,62 @@
     first.index = 1;
     first.term = 1;
     first.kind = entry_kind::Members;
-    first.members = { { self, "a", true }, { leading, "b", true }, { third, "c", true } };
+    first.members = { { selfId, "a", true }, { leaderId, "b", true }, { otherId, "c", true } };
     state.entries = { first };
-    return { self, state, replica_options {}, 7, now };
+    return { selfId, state, replica_options {}, 7, now };
 }
 
-/// Whether it asked for votes since the last call.
-bool asksForVotes(replica& one)
+/// @return whether the replica requested votes since the last call
+bool requestsVotes(replica& one)
 {
-    const auto done = one.takeEffects();
-    return std::any_of(done.messages.begin(), done.messages.end(),
+    const auto effects = one.takeEffects();
+    return std::any_of(effects.messages.begin(), effects.messages.end(),
         [](const auto& message) { return std::holds_alternative<vote_request>(message.body); });
 }
 
 } // namespace
 
-TEST_CASE("replica: a long message of the leader that is on its way is no silence", "[agreement]")
+TEST_CASE("replica: parts of a long message from the leader postpone the election timeout", "[agreement]")
 {
-    const replica_options periods;
+    const replica_options options;
     const milliseconds step { 100 };
     steady_time now {};
-    replica follower = memberOfThree(now);
-    follower.receive({ leading, self, 1, append_request { 1, 1, 1, 1, {} } }, now);
-    REQUIRE(follower.leader() == leading);
-    // Three times the longest patience.
-    for (milliseconds passed { 0 }; passed < 3 * periods.electionTimeoutMax; passed += step) {
+    replica follower = makeMemberOfThree(now);
+    follower.receive({ leaderId, selfId, 1, append_request { 1, 1, 1, 1, {} } }, now);
+    REQUIRE(follower.leader() == leaderId);
+    // Three times the longest election timeout.
+    for (milliseconds passed { 0 }; passed < 3 * options.electionTimeoutMax; passed += step) {
         now += step;
-        follower.progressFrom(leading, now);
+        follower.recordContact(leaderId, now);
         follower.tick(now);
-        CHECK_FALSE(asksForVotes(follower));
+        CHECK_FALSE(requestsVotes(follower));
     }
-    // Pieces of others don't speak for the leader.
-    for (milliseconds passed { 0 }; passed < periods.electionTimeoutMax; passed += step) {
+    // Parts of messages from other members don't count as contact with the leader.
+    for (milliseconds passed { 0 }; passed < options.electionTimeoutMax; passed += step) {
         now += step;
-        follower.progressFrom(third, now);
+        follower.recordContact(otherId, now);
         follower.tick(now);
     }
-    CHECK(asksForVotes(follower));
+    CHECK(requestsVotes(follower));
 }
 
-TEST_CASE(
-    "replica: a leader whose long messages are being taken stays, one that is not heard steps down", "[agreement]")
+TEST_CASE("replica: a leader stays while parts of its long messages are acknowledged, and steps down without contact",
+    "[agreement]")
 {
-    const replica_options periods;
+    const replica_options options;
     const milliseconds step { 100 };
     steady_time now {};
-    replica one = memberOfThree(now);
-    one.receive({ leading, self, 1, election_request {} }, now);
-    one.receive({ third, self, 2, vote_reply { true, false } }, now);
+    replica one = makeMemberOfThree(now);
+    one.receive({ leaderId, selfId, 1, election_request {} }, now);
+    one.receive({ otherId, selfId, 2, vote_reply { true, false } }, now);
     REQUIRE(one.role() == replica_role::Leader);
-    for (milliseconds passed { 0 }; passed < 3 * periods.electionTimeoutMax; passed += step) {
+    for (milliseconds passed { 0 }; passed < 3 * options.electionTimeoutMax; passed += step) {
         now += step;
-        one.progressFrom(third, now);
+        one.recordContact(otherId, now);
         one.tick(now);
         CHECK(one.role() == replica_role::Leader);
     }
-    for (milliseconds passed { 0 }; passed <= periods.electionTimeoutMax; passed += step) {
+    for (milliseconds passed { 0 }; passed <= options.electionTimeoutMax; passed += step) {
         now += step;
         one.tick(now);
     }
--- a/src/buckthornrail/storage/folder_device.cpp
+++ b/src/buckthornrail/storage/folder_device.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Storage device over a folder of the file system.
+/// @brief Storage device for a folder of the file system.
 #include "buckthornrail/storage/storage_device.hpp"
 
 #include <array>
@@ -13,7 +13,7 @@
 namespace buckthornrail::storage {
 namespace {
 
-constexpr mode_t fileMode = 0600;
+constexpr mode_t fileMode = 0600; ///< owner only
 
 tl::unexpected<failure> systemFailure(const std::string& action, const std::string& path)
 {
@@ -21,7 +21,7 @@
     return tl::make_unexpected(failure { result_code::StorageFailed, action + " " + path + ": " + detail });
 }
 
-/// Owns a file descriptor.
+/// Owns a file descriptor and closes it.
 class descriptor {
 public:
     explicit descriptor(int fd)
@@ -103,18 +103,18 @@
     tl::expected<void, failure> replaceSynced(const std::string& name, const std::string& bytes) override
     {
         const std::string path = pathOf(name);
-        const std::string fresh = path + ".new";
+        const std::string temporaryPath = path + ".new";
         {
-            const descriptor file(::open(fresh.c_str(), O_WRONLY | O_TRUNC | O_CREAT | O_CLOEXEC, fileMode));
+            const descriptor file(::open(temporaryPath.c_str(), O_WRONLY | O_TRUNC | O_CREAT | O_CLOEXEC, fileMode));
             if (!file.isOpen())
-                return systemFailure("open", fresh);
+                return systemFailure("open", temporaryPath);
             if (!writeAll(file.get(), bytes))
-                return systemFailure("write", fresh);
+                return systemFailure("write", temporaryPath);
             if (::fsync(file.get()) != 0)
-                return systemFailure("sync", fresh);
+                return systemFailure("sync", temporaryPath);
         }
-        if (::rename(fresh.c_str(), path.c_str()) != 0)
-            return systemFailure("rename", fresh);
+        if (::rename(temporaryPath.c_str(), path.c_str()) != 0)
+            return systemFailure("rename", temporaryPath);
         return syncFolder();
     }
 
--- a/src/buckthornrail/storage/log_store.cpp
+++ b/src/buckthornrail/storage/log_store.cpp
@@ -1,7 +1,8 @@
 /// @file
-/// @brief Records of the replicated log on disk.
+/// @brief Files of the replicated log.
 ///
-/// A record: magic (4 bytes), length (4), xxHash64 of the payload (8), payload (CBOR).
+/// Layout of a record: magic (4 bytes), length of the payload (4), xxHash64 of the payload (8), payload (CBOR). Numbers
+/// are in the machine's byte order.
 #include "buckthornrail/storage/log_store.hpp"
 
 #include "buckthornrail/link/agreement_json.hpp"
@@ -18,7 +19,7 @@
 constexpr const char* snapshotFile = "snapshot";
 constexpr const char* logFile = "log";
 constexpr std::uint32_t recordMagic = 0x4252'4c31; // "BRL1"
-constexpr std::size_t headerSize = 16;
+constexpr std::size_t headerSize = 16; ///< in bytes
 
 std::string frameRecord(const json& payload)
 {
@@ -33,7 +34,7 @@
     return record + body;
 }
 
-/// @return the payload and the offset after it, or nothing when no whole record stands at the offset.
+/// @return the payload and the offset after it; nothing when there is no intact record at the offset
 std::optional<std::pair<json, std::size_t>> readRecord(const std::string& bytes, std::size_t offset)
 {
     if (bytes.size() < offset + headerSize)
@@ -56,7 +57,8 @@
     return std::pair { std::move(payload), start + length };
 }
 
-bool hasRecordAfter(const std::string& bytes, std::size_t offset)
+/// @return whether an intact record follows anywhere after the offset
+bool hasWholeRecordAfter(const std::string& bytes, std::size_t offset)
 {
     const std::string magic(reinterpret_cast<const char*>(&recordMagic), sizeof recordMagic);
     for (std::size_t at = bytes.find(magic, offset + 1); at != std::string::npos; at = bytes.find(magic, at + 1)) {
@@ -66,7 +68,7 @@
     return false;
 }
 
-tl::unexpected<failure> corrupt(const std::string& reason)
+tl::unexpected<failure> corruptionFailure(const std::string& reason)
 {
     return tl::make_unexpected(failure { result_code::StorageCorrupt, reason });
 }
@@ -79,7 +81,7 @@
     {
     }
 
-    /// @return false when the record's entries leave a gap.
+    /// @return false when there is a gap before the record's entries
     bool apply(const json& record)
     {
         if (record.contains("hard"))
@@ -93,23 +95,23 @@
         return true;
     }
 
-    /// @brief Drops entries that do not follow from the snapshot: a crash fell between the two files.
+    /// @brief Drops entries that don't continue the snapshot, as after a crash between the writes of the two files.
     void finish()
     {
-        if (m_diverges)
+        if (m_isDiverged)
             m_state.entries.clear();
     }
 
 private:
     bool append(agreement::log_entry entry)
     {
-        const auto& base = m_state.base;
-        if (entry.index <= base.index) {
-            m_state.entries.clear(); // an append replaces everything after it
-            m_diverges = entry.index == base.index && entry.term != base.term;
+        const auto& snapshot = m_state.lastSnapshot;
+        if (entry.index <= snapshot.index) {
+            m_state.entries.clear(); // an entry replaces all that follow it
+            m_isDiverged = entry.index == snapshot.index && entry.term != snapshot.term;
             return true;
         }
-        const std::size_t position = entry.index - base.index - 1;
+        const std::size_t position = entry.index - snapshot.index - 1;
         if (position > m_state.entries.size())
             return false;
         m_state.entries.resize(position);
@@ -118,12 +120,12 @@
     }
 
     agreement::persistent_state& m_state;
-    bool m_diverges = false;
+    bool m_isDiverged = false;
 };
 
 } // namespace
 
-tl::expected<agreement::member_id, failure> log_store::loadIdentity(agreement::member_id fresh)
+tl::expected<agreement::member_id, failure> log_store::loadIdentity(agreement::member_id newId)
 {
     auto bytes = m_device.read(identityFile);
     if (!bytes)
@@ -131,14 +133,14 @@
     if (!bytes->has_value()) {
         auto log = m_device.read(logFile);
         if (log && log->has_value())
-            return corrupt("the identity file is missing beside a log");
-        if (auto saved = m_device.replaceSynced(identityFile, frameRecord(json { { "member", fresh } })); !saved)
+            return corruptionFailure("the identity file is missing although a log exists");
+        if (auto saved = m_device.replaceSynced(identityFile, frameRecord(json { { "member", newId } })); !saved)
             return tl::make_unexpected(saved.error());
-        return fresh;
+        return newId;
     }
     const auto record = readRecord(**bytes, 0);
     if (!record || !record->first.contains("member"))
-        return corrupt("the identity file is damaged");
+        return corruptionFailure("the identity file is damaged");
     return record->first.at("member").get<agreement::member_id>();
 }
 
@@ -155,8 +157,8 @@
         if (snapshotBytes->has_value()) {
             const auto record = readRecord(**snapshotBytes, 0);
             if (!record)
-                return corrupt("the snapshot file is damaged");
-            state.base = record->first.get<agreement::snapshot>();
+                return corruptionFailure("the snapshot file is damaged");
+            state.lastSnapshot = record->first.get<agreement::snapshot>();
         }
         const std::string& log = logBytes->has_value() ? **logBytes : std::string();
         std::size_t offset = 0;
@@ -166,18 +168,18 @@
             if (!record)
                 break;
             if (!replay.apply(record->first))
-                return corrupt("the log has a gap at offset " + std::to_string(offset));
+                return corruptionFailure("the log has a gap at offset " + std::to_string(offset));
             offset = record->second;
         }
         replay.finish();
         if (offset < log.size()) {
-            if (hasRecordAfter(log, offset))
-                return corrupt("the log has a damaged record at offset " + std::to_string(offset));
+            if (hasWholeRecordAfter(log, offset))
+                return corruptionFailure("the log has a damaged record at offset " + std::to_string(offset));
             if (auto cut = m_device.replaceSynced(logFile, log.substr(0, offset)); !cut)
                 return tl::make_unexpected(cut.error());
         }
     } catch (const json::exception& error) {
-        return corrupt(std::string("a record has an unknown form: ") + error.what());
+        return corruptionFailure(std::string("a record cannot be decoded: ") + error.what());
     }
     m_hard = state.hard;
     return state;
@@ -201,12 +203,13 @@
 
 tl::expected<void, failure> log_store::probe() { return m_device.appendSynced(logFile, frameRecord(json::object())); }
 
-tl::expected<void, failure> log_store::saveSnapshot(const agreement::snapshot& base, const agreement::hard_state& hard,
-    const std::vector<agreement::log_entry>& entriesAfter)
+tl::expected<void, failure> log_store::saveSnapshot(const agreement::snapshot& snapshot,
+    const agreement::hard_state& hard, const std::vector<agreement::log_entry>& entriesAfter)
 {
     m_hard = hard;
-    // The snapshot goes first: an old log beside a newer snapshot is read right, the other way round is a gap.
-    if (auto saved = m_device.replaceSynced(snapshotFile, frameRecord(json(base))); !saved)
+    // The snapshot is written first: load() handles an old log with a newer snapshot, but with an old snapshot and a
+    // new log it would find a gap.
+    if (auto saved = m_device.replaceSynced(snapshotFile, frameRecord(json(snapshot))); !saved)
         return saved;
     return m_device.replaceSynced(logFile, frameRecord(json { { "hard", hard }, { "entries", entriesAfter } }));
 }
