--- a/include/buckthornrail/execution/chain_run.hpp
+++ b/include/buckthornrail/execution/chain_run.hpp
@@ -55,7 +55,7 @@
     std::uint32_t generation = 0;
 };
 /// Give the first step to stage 0.
-struct begin_steps {
+struct send_first_step {
     chain_stage stage;
     stage_step step;
 };
@@ -75,7 +75,7 @@
     ran_state ran = ran_state::No;
     std::string finishReason;
 };
-using chain_effect = std::variant<choose_chain, open_stage, revoke_stage, begin_steps, fence_stage, close_stage,
+using chain_effect = std::variant<choose_chain, open_stage, revoke_stage, send_first_step, fence_stage, close_stage,
     deliver_token, finish_chain>;
 
 /// @ingroup execution
@@ -109,9 +109,9 @@
     enum class phase { Idle, Choosing, Opening, Running, Fencing, Finished };
 
     void choose();
-    void abandonOpening(const instance_id& culprit, const failure& why);
+    void abandonOpening(const instance_id& failedInstance, const failure& why);
     void fenceAll(const failure& why, steady_time now);
-    void afterFence(steady_time now);
+    void finishFencing(steady_time now);
     void finish(failure result, const std::string& finishReason = {});
     [[nodiscard]] bool hasStage(const instance_id& instance) const;
 
@@ -120,12 +120,12 @@
     phase m_phase = phase::Idle;
     steady_time m_phaseDeadline {};
     chain_plan m_plan;
-    std::set<instance_id> m_waitingFor; ///< Opening: not yet opened; Fencing: not yet fenced
+    std::set<instance_id> m_pendingInstances; ///< Opening: not yet opened; Fencing: not yet fenced
     std::set<instance_id> m_excluded;
     std::uint32_t m_nextToken = 0; ///< within the generation
-    std::uint32_t m_tokensGiven = 0;
+    std::uint32_t m_tokensDelivered = 0;
     std::string m_text; ///< prompt and the tokens given
-    bool m_began = false; ///< a step was sent: targets may have run
+    bool m_hasSentStep = false; ///< a step was sent: targets may have run
     failure m_lastFailure;
     std::deque<chain_effect> m_effects;
 };
--- a/src/app/entry/entry_chains.cpp
+++ b/src/app/entry/entry_chains.cpp
@@ -64,8 +64,8 @@
     } else if (const auto* revoke = std::get_if<execution::revoke_stage>(&effect)) {
         m_links->send(revoke->stage.instance, revoke->stage.linkAddress,
             dispatch::attempt_revoke { { id, revoke->generation }, revoke->stage.incarnation, true });
-    } else if (const auto* begin = std::get_if<execution::begin_steps>(&effect)) {
-        m_links->send(begin->stage.instance, begin->stage.linkAddress, begin->step);
+    } else if (const auto* first = std::get_if<execution::send_first_step>(&effect)) {
+        m_links->send(first->stage.instance, first->stage.linkAddress, first->step);
     } else if (const auto* fence = std::get_if<execution::fence_stage>(&effect)) {
         telemetry::logEvent(event_code::GenerationFenced,
             { { "request", id }, { "below", std::to_string(fence->generation) },
--- a/src/buckthornrail/execution/chain_faults_test.cpp
+++ b/src/buckthornrail/execution/chain_faults_test.cpp
@@ -49,9 +49,9 @@
     chain_fault fault = chain_fault::None;
     std::size_t faultStep = 0;
     std::string victim;
-    bool admitsAll = false; ///< the protection taken out: the guards' verdict is not heeded
+    bool ignoresVerdicts = false; ///< the protection taken out: the guards' verdict is not heeded
 
-    caller_record ask(std::uint32_t tokens)
+    caller_record runRequest(std::uint32_t tokens)
     {
         chain_request request { "r1", "m", "v", layerCount, "prompt", tokens, m_now + std::chrono::seconds(60) };
         m_run = std::make_unique<chain_run>(request, chain_run_options {});
@@ -97,19 +97,19 @@
     };
 
     /// Sends a message; `to` is empty for the entry.
-    void transport(const std::string& from, const std::string& to, const std::function<void()>& deliver)
+    void send(const std::string& from, const std::string& to, const std::function<void()>& deliver)
     {
         const std::size_t number = m_messages++;
-        const chain_fault now = number == faultStep ? fault : chain_fault::None;
-        if (now >= chain_fault::KillStage)
-            strike(now);
+        const chain_fault active = number == faultStep ? fault : chain_fault::None;
+        if (active >= chain_fault::KillStage)
+            injectFault(active);
         const auto usable = [this](const std::string& name) { return name.empty() || !m_nodes.at(name).dead; };
         const auto isCut = [this](const std::string& name, const std::string& other) {
             return !name.empty() && other.empty() && m_nodes.at(name).cut;
         };
-        if (now == chain_fault::Lose || !usable(from) || isCut(from, to) || isCut(to, from))
+        if (active == chain_fault::Lose || !usable(from) || isCut(from, to) || isCut(to, from))
             return;
-        const auto guarded = [this, to, deliver] {
+        const auto arrive = [this, to, deliver] {
             if (to.empty()) {
                 deliver();
                 return;
@@ -123,12 +123,12 @@
             }
             deliver();
         };
-        m_events.emplace(m_now + milliseconds(now == chain_fault::Delay ? 6000 : m_random() % 10 + 1), guarded);
-        if (now == chain_fault::Repeat)
-            m_events.emplace(m_now + milliseconds(m_random() % 500), guarded);
+        m_events.emplace(m_now + milliseconds(active == chain_fault::Delay ? 6000 : m_random() % 10 + 1), arrive);
+        if (active == chain_fault::Repeat)
+            m_events.emplace(m_now + milliseconds(m_random() % 500), arrive);
     }
 
-    void strike(chain_fault kind)
+    void injectFault(chain_fault kind)
     {
         auto& one = m_nodes.at(victim);
         one.dead = kind == chain_fault::KillStage;
@@ -151,10 +151,10 @@
 
     void carryOut(const chain_effect& effect)
     {
-        if (const auto* wish = std::get_if<choose_chain>(&effect)) {
+        if (const auto* choose = std::get_if<choose_chain>(&effect)) {
             std::vector<stage_candidate> candidates;
             for (const auto& [name, one] : m_nodes) {
-                if (!wish->excluded.contains(name))
+                if (!choose->excluded.contains(name))
                     candidates.push_back({ one.stage, static_cast<double>(m_random() % 100) });
             }
             auto chain = buildChain(candidates, layerCount);
@@ -164,15 +164,15 @@
                 m_run->noChain(chain.error());
         } else if (const auto* open = std::get_if<open_stage>(&effect)) {
             const std::string name = open->plan.stages[open->stage].instance;
-            transport("", name, [this, name, order = *open] { openAt(name, order); });
-        } else if (const auto* begin = std::get_if<begin_steps>(&effect)) {
-            transport("", begin->stage.instance,
-                [this, name = begin->stage.instance, step = begin->step] { stepAt(name, step); });
+            send("", name, [this, name, order = *open] { openStage(name, order); });
+        } else if (const auto* first = std::get_if<send_first_step>(&effect)) {
+            send("", first->stage.instance,
+                [this, name = first->stage.instance, step = first->step] { runStep(name, step); });
         } else if (const auto* fence = std::get_if<fence_stage>(&effect)) {
             const std::string name = fence->stage.instance;
-            transport("", name, [this, name, generation = fence->generation] {
+            send("", name, [this, name, generation = fence->generation] {
                 m_nodes.at(name).guard.fence("r1", generation, m_now + std::chrono::hours(1));
-                transport(name, "", [this, name, generation] {
+                send(name, "", [this, name, generation] {
                     m_run->stageFenced(name, generation, m_now);
                     drive();
                 });
@@ -186,13 +186,13 @@
         }
     }
 
-    void openAt(const std::string& name, const open_stage& order)
+    void openStage(const std::string& name, const open_stage& order)
     {
         auto& one = m_nodes.at(name);
         const auto opened = one.guard.open("r1", order.plan, order.stage, one.stage, m_now + std::chrono::hours(1));
         one.maxTokens = order.maxTokens;
         const auto generation = order.plan.generation;
-        transport(name, "", [this, name, generation, opened] {
+        send(name, "", [this, name, generation, opened] {
             if (opened)
                 m_run->stageOpened(name, generation, m_now);
             else
@@ -201,15 +201,15 @@
         });
     }
 
-    void stepAt(const std::string& name, const stage_step& step)
+    void runStep(const std::string& name, const stage_step& step)
     {
         auto& one = m_nodes.at(name);
         const auto verdict = one.guard.admit(step);
-        if (verdict != step_verdict::Run && !(admitsAll && one.guard.planOf("r1") != nullptr))
+        if (verdict != step_verdict::Run && !(ignoresVerdicts && one.guard.planOf("r1") != nullptr))
             return;
         const auto plan = *one.guard.planOf("r1");
         if (one.failsNext) {
-            transport(name, "", [this, step] {
+            send(name, "", [this, step] {
                 m_run->stageFailed(step.generation, step.stage, { result_code::TargetFailed, "" }, m_now);
                 drive();
             });
@@ -230,23 +230,23 @@
             output = one.text;
         }
         if (step.stage + 1 < plan.stages.size()) {
-            pass(name, plan.stages[step.stage + 1].instance,
+            sendStep(name, plan.stages[step.stage + 1].instance,
                 { "r1", step.generation, step.token, step.stage + 1, output });
             return;
         }
         const std::string token = nextToken(output);
         const bool last = step.token + 1 == one.maxTokens;
-        transport(name, "", [this, step, token, last] {
+        send(name, "", [this, step, token, last] {
             m_run->token({ step.generation, step.token, token, last, last ? "length" : "" }, m_now);
             drive();
         });
         if (!last)
-            pass(name, plan.stages.front().instance, { "r1", step.generation, step.token + 1, 0, token });
+            sendStep(name, plan.stages.front().instance, { "r1", step.generation, step.token + 1, 0, token });
     }
 
-    void pass(const std::string& from, const std::string& to, const stage_step& step)
+    void sendStep(const std::string& from, const std::string& to, const stage_step& step)
     {
-        transport(from, to, [this, to, step] { stepAt(to, step); });
+        send(from, to, [this, to, step] { runStep(to, step); });
     }
 
     std::mt19937_64 m_random;
@@ -273,18 +273,18 @@
 TEST_CASE("chains: fault matrix, every fault at every message, at every stage", "[chain][faults]")
 {
     const std::vector<std::uint32_t> split { 2, 5, 6 };
-    chain_world calm(split, 1);
-    REQUIRE(violationsOf(calm, calm.ask(4)).empty());
+    chain_world faultless(split, 1);
+    REQUIRE(violationsOf(faultless, faultless.runRequest(4)).empty());
     std::size_t cases = 0;
     std::size_t completed = 0;
     for (const auto fault : allFaults) {
-        for (const auto& victim : calm.instances()) {
-            for (std::size_t step = 0; step < calm.messages() + 4; ++step) {
+        for (const auto& victim : faultless.instances()) {
+            for (std::size_t step = 0; step < faultless.messages() + 4; ++step) {
                 chain_world world(split, step + 1);
                 world.fault = fault;
                 world.faultStep = step;
                 world.victim = victim;
-                const auto caller = world.ask(4);
+                const auto caller = world.runRequest(4);
                 INFO("fault " << static_cast<int>(fault) << " at " << step << " on " << victim);
                 REQUIRE(violationsOf(world, caller).empty());
                 REQUIRE(caller.answered);
@@ -311,7 +311,7 @@
         world.fault = allFaults[*rc::gen::inRange<std::size_t>(0, allFaults.size())];
         world.faultStep = *rc::gen::inRange<std::size_t>(0, 60);
         world.victim = names[*rc::gen::inRange<std::size_t>(0, names.size())];
-        const auto caller = world.ask(*rc::gen::inRange<std::uint32_t>(1, 6));
+        const auto caller = world.runRequest(*rc::gen::inRange<std::uint32_t>(1, 6));
         RC_ASSERT(violationsOf(world, caller).empty());
         RC_ASSERT(caller.answered);
     });
@@ -322,10 +322,10 @@
     bool noticed = false;
     for (std::size_t step = 0; step < 40 && !noticed; ++step) {
         chain_world world({ 2, 5, 6 }, step + 1);
-        world.admitsAll = true;
+        world.ignoresVerdicts = true;
         world.fault = chain_fault::Repeat;
         world.faultStep = step;
-        noticed = !violationsOf(world, world.ask(4)).empty();
+        noticed = !violationsOf(world, world.runRequest(4)).empty();
     }
     CHECK(noticed);
 }
--- a/src/buckthornrail/execution/chain_run.cpp
+++ b/src/buckthornrail/execution/chain_run.cpp
@@ -37,12 +37,12 @@
         return;
     }
     m_nextToken = 0;
-    m_waitingFor.clear();
+    m_pendingInstances.clear();
     m_phase = phase::Opening;
     m_phaseDeadline = now + m_options.openTimeout;
     for (std::uint32_t at = 0; at < m_plan.stages.size(); ++at) {
-        m_waitingFor.insert(m_plan.stages[at].instance);
-        m_effects.emplace_back(open_stage { m_plan, at, m_request.maxTokens - m_tokensGiven });
+        m_pendingInstances.insert(m_plan.stages[at].instance);
+        m_effects.emplace_back(open_stage { m_plan, at, m_request.maxTokens - m_tokensDelivered });
     }
 }
 
@@ -56,13 +56,14 @@
 {
     if (m_phase != phase::Opening || generation != m_plan.generation)
         return;
-    m_waitingFor.erase(instance);
-    if (!m_waitingFor.empty())
+    m_pendingInstances.erase(instance);
+    if (!m_pendingInstances.empty())
         return;
     m_phase = phase::Running;
     m_phaseDeadline = now + m_options.progressTimeout;
-    m_began = true;
-    m_effects.emplace_back(begin_steps { m_plan.stages.front(), { m_request.id, m_plan.generation, 0, 0, m_text } });
+    m_hasSentStep = true;
+    m_effects.emplace_back(
+        send_first_step { m_plan.stages.front(), { m_request.id, m_plan.generation, 0, 0, m_text } });
 }
 
 void chain_run::stageRefused(const instance_id& instance, std::uint32_t generation, const failure& why, steady_time now)
@@ -79,9 +80,9 @@
 {
     if (m_phase != phase::Fencing || generation != m_plan.generation + 1)
         return;
-    m_waitingFor.erase(instance);
-    if (m_waitingFor.empty())
-        afterFence(now);
+    m_pendingInstances.erase(instance);
+    if (m_pendingInstances.empty())
+        finishFencing(now);
 }
 
 void chain_run::stageFailed(std::uint32_t generation, std::uint32_t at, const failure& why, steady_time now)
@@ -105,8 +106,8 @@
         m_excluded.insert(instance);
         fenceAll(why, now);
     }
-    if (m_phase == phase::Fencing && m_waitingFor.erase(instance) > 0 && m_waitingFor.empty())
-        afterFence(now);
+    if (m_phase == phase::Fencing && m_pendingInstances.erase(instance) > 0 && m_pendingInstances.empty())
+        finishFencing(now);
 }
 
 void chain_run::token(const chain_token& token, steady_time now)
@@ -116,11 +117,11 @@
     if (!isNext)
         return; // of a fenced generation, or repeated
     ++m_nextToken;
-    ++m_tokensGiven;
+    ++m_tokensDelivered;
     m_text += token.text;
     m_phaseDeadline = now + m_options.progressTimeout;
     m_effects.emplace_back(deliver_token { token.text });
-    if (token.last || m_tokensGiven >= m_request.maxTokens)
+    if (token.last || m_tokensDelivered >= m_request.maxTokens)
         finish({ result_code::Ok, "" }, token.finishReason);
 }
 
@@ -142,8 +143,8 @@
     if (now < m_phaseDeadline)
         return;
     if (m_phase == phase::Opening) {
-        const instance_id silent = *m_waitingFor.begin();
-        abandonOpening(silent, { result_code::TargetStalled, "stage " + silent + " did not open" });
+        const instance_id unresponsive = *m_pendingInstances.begin();
+        abandonOpening(unresponsive, { result_code::TargetStalled, "stage " + unresponsive + " did not open" });
         return;
     }
     if (m_phase == phase::Running) {
@@ -152,8 +153,8 @@
     }
     if (m_phase == phase::Fencing) {
         // Who does not answer the fence is not asked again. What it may still send is of an old generation.
-        m_excluded.insert(m_waitingFor.begin(), m_waitingFor.end());
-        afterFence(now);
+        m_excluded.insert(m_pendingInstances.begin(), m_pendingInstances.end());
+        finishFencing(now);
     }
 }
 
@@ -175,10 +176,10 @@
     m_effects.emplace_back(choose_chain { m_excluded });
 }
 
-void chain_run::abandonOpening(const instance_id& culprit, const failure& why)
+void chain_run::abandonOpening(const instance_id& failedInstance, const failure& why)
 {
     m_lastFailure = why;
-    m_excluded.insert(culprit);
+    m_excluded.insert(failedInstance);
     for (const auto& stage : m_plan.stages)
         m_effects.emplace_back(revoke_stage { stage, m_plan.generation });
     if (m_plan.generation >= m_options.maxGenerations) {
@@ -197,14 +198,14 @@
     }
     m_phase = phase::Fencing;
     m_phaseDeadline = now + m_options.fenceTimeout;
-    m_waitingFor.clear();
+    m_pendingInstances.clear();
     for (const auto& stage : m_plan.stages) {
-        m_waitingFor.insert(stage.instance);
+        m_pendingInstances.insert(stage.instance);
         m_effects.emplace_back(fence_stage { stage, m_plan.generation + 1 });
     }
 }
 
-void chain_run::afterFence(steady_time now)
+void chain_run::finishFencing(steady_time now)
 {
     (void)now;
     choose();
@@ -215,7 +216,8 @@
     m_phase = phase::Finished;
     for (const auto& stage : m_plan.stages)
         m_effects.emplace_back(close_stage { stage });
-    m_effects.emplace_back(finish_chain { std::move(result), m_began ? ran_state::Yes : ran_state::No, finishReason });
+    m_effects.emplace_back(
+        finish_chain { std::move(result), m_hasSentStep ? ran_state::Yes : ran_state::No, finishReason });
 }
 
 bool chain_run::hasStage(const instance_id& instance) const
