--- a/src/buckthornrail/membership/membership_table.cpp
+++ b/src/buckthornrail/membership/membership_table.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t maxGoneRecords = 512;
 
-bool isGone(const instance_record& record)
+bool isLeftOrLost(const instance_record& record)
 {
     return record.state == instance_state::Left || record.state == instance_state::Lost;
 }
@@ -22,7 +22,8 @@
 {
     const auto found = m_records.find(change.record.id);
     if (change.lossOnly) {
-        if (found == m_records.end() || found->second.incarnation != change.record.incarnation || isGone(found->second))
+        if (found == m_records.end() || found->second.incarnation != change.record.incarnation
+            || isLeftOrLost(found->second))
             return false;
         found->second.state = instance_state::Lost;
         found->second.revision = ++m_revision;
@@ -32,10 +33,10 @@
     instance_record record = change.record;
     if (found != m_records.end()) {
         const auto& known = found->second;
-        const bool sameLife = known.incarnation == record.incarnation;
-        if (sameLife && known.state == instance_state::Left)
+        const bool isSameIncarnation = known.incarnation == record.incarnation;
+        if (isSameIncarnation && known.state == instance_state::Left)
             return false;
-        if (sameLife && known.state == instance_state::Draining && record.state == instance_state::Ready)
+        if (isSameIncarnation && known.state == instance_state::Draining && record.state == instance_state::Ready)
             return false;
         record.drainRequested = known.drainRequested;
         record.revision = known.revision;
@@ -87,7 +88,7 @@
 {
     std::vector<const instance_record*> gone;
     for (const auto& [id, record] : m_records) {
-        if (isGone(record) && !record.drainRequested)
+        if (isLeftOrLost(record) && !record.drainRequested)
             gone.push_back(&record);
     }
     if (gone.size() <= maxGoneRecords)
--- a/src/buckthornrail/membership/membership_table_test.cpp
+++ b/src/buckthornrail/membership/membership_table_test.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-instance_record recordOf(const instance_id& id, incarnation_number life, instance_state state)
+instance_record recordOf(const instance_id& id, incarnation_number incarnation, instance_state state)
 {
     instance_record record;
     record.id = id;
     record.role = instance_role::Sidecar;
-    record.incarnation = life;
+    record.incarnation = incarnation;
     record.state = state;
     return record;
 }
