--- a/include/buckthornrail/document/change.hpp
+++ b/include/buckthornrail/document/change.hpp
@@ -33,11 +33,11 @@
 std::vector<change_slice> slicesOf(const outline& whole);
 
 /// @brief Remembers hashes of a version's entries, to tell what the next one changes. Texts are the caller's to keep.
-class marks {
+class change_tracker {
 public:
     [[nodiscard]] std::uint64_t version() const { return m_version; }
     /// @brief Takes the next version over. @return what it changes, in slices
-    std::vector<change_slice> follow(const outline& next);
+    std::vector<change_slice> advanceTo(const outline& next);
 
 private:
     std::uint64_t m_version = 0;
--- a/src/app/registry/document_feed.cpp
+++ b/src/app/registry/document_feed.cpp
@@ -46,7 +46,7 @@
 
 void document_feed::update(const versioned_text& committed)
 {
-    if (committed.version == m_marks.version())
+    if (committed.version == m_changeTracker.version())
         return;
     const auto outline = m_dialect.splitDocument(committed.text);
     if (!outline) {
@@ -56,8 +56,8 @@
         return;
     }
     readRest(outline->rest);
-    const std::uint64_t from = m_marks.version();
-    auto messages = encodeAll(m_marks.follow(*outline));
+    const std::uint64_t from = m_changeTracker.version();
+    auto messages = encodeAll(m_changeTracker.advanceTo(*outline));
     if (from == 0) {
         m_fullDocument = std::move(messages);
         return;
@@ -85,7 +85,7 @@
 std::vector<const std::string*> document_feed::messagesFrom(std::uint64_t held, const versioned_text& newest)
 {
     std::vector<const std::string*> messages;
-    if (held >= m_marks.version())
+    if (held >= m_changeTracker.version())
         return messages;
     auto next = std::find_if(
         m_changes.begin(), m_changes.end(), [held](const version_change& one) { return one.from == held; });
--- a/src/app/registry/document_feed.hpp
+++ b/src/app/registry/document_feed.hpp
@@ -28,7 +28,7 @@
     /// @param newest the text last passed to update()
     /// @return pointers that stay valid until the next call of update()
     [[nodiscard]] std::vector<const std::string*> messagesFrom(std::uint64_t held, const versioned_text& newest);
-    [[nodiscard]] std::uint64_t version() const { return m_marks.version(); }
+    [[nodiscard]] std::uint64_t version() const { return m_changeTracker.version(); }
     /// @brief Services of the newest version.
     [[nodiscard]] const std::vector<gateway::service>& services() const { return m_rest.services; }
 
@@ -42,7 +42,7 @@
     void readRest(const std::string& rest);
 
     const gateway::control_dialect& m_dialect;
-    document::marks m_marks;
+    document::change_tracker m_changeTracker;
     std::deque<version_change> m_changes; ///< consecutive; the last one leads to the newest version
     std::vector<std::string> m_fullDocument; ///< the newest version; empty: not requested yet
     std::string m_restText;
--- a/src/buckthornrail/document/change.cpp
+++ b/src/buckthornrail/document/change.cpp
@@ -10,20 +10,20 @@
 namespace {
 
 /// Text that a slice adds at most, unless one entry is longer: a tenth of a core reads as much within 20 ms.
-constexpr std::size_t mostAddedBytes = 24U << 10U;
+constexpr std::size_t maxAddedBytes = 24U << 10U;
 /// Hashes that a slice removes at most; each is a look-up.
-constexpr std::size_t mostRemoved = 2000;
+constexpr std::size_t maxRemovedHashes = 2000;
 
 /// @brief Hashes of entries, sorted, each once.
-std::vector<entry_hash> marksOf(const std::vector<std::string_view>& entries)
+std::vector<entry_hash> hashesOf(const std::vector<std::string_view>& entries)
 {
-    std::vector<entry_hash> marks;
-    marks.reserve(entries.size());
+    std::vector<entry_hash> hashes;
+    hashes.reserve(entries.size());
     for (const auto entry : entries)
-        marks.push_back(hashOf(entry));
-    std::sort(marks.begin(), marks.end());
-    marks.erase(std::unique(marks.begin(), marks.end()), marks.end());
-    return marks;
+        hashes.push_back(hashOf(entry));
+    std::sort(hashes.begin(), hashes.end());
+    hashes.erase(std::unique(hashes.begin(), hashes.end()), hashes.end());
+    return hashes;
 }
 
 entry_changes changesBetween(const std::vector<entry_hash>& before, const std::vector<entry_hash>& after,
@@ -31,17 +31,17 @@
 {
     entry_changes changes;
     std::set_difference(before.begin(), before.end(), after.begin(), after.end(), std::back_inserter(changes.removed));
-    std::vector<entry_hash> fresh;
-    std::set_difference(after.begin(), after.end(), before.begin(), before.end(), std::back_inserter(fresh));
-    if (fresh.empty())
+    std::vector<entry_hash> addedHashes;
+    std::set_difference(after.begin(), after.end(), before.begin(), before.end(), std::back_inserter(addedHashes));
+    if (addedHashes.empty())
         return changes;
-    std::vector<bool> isAdded(fresh.size(), false); // the same text twice is one entry
+    std::vector<bool> isAdded(addedHashes.size(), false); // the same text twice is one entry
     for (const auto entry : entries) {
-        const entry_hash mark = hashOf(entry);
-        const auto found = std::lower_bound(fresh.begin(), fresh.end(), mark);
-        if (found == fresh.end() || *found != mark)
+        const entry_hash hash = hashOf(entry);
+        const auto found = std::lower_bound(addedHashes.begin(), addedHashes.end(), hash);
+        if (found == addedHashes.end() || *found != hash)
             continue;
-        const auto at = static_cast<std::size_t>(found - fresh.begin());
+        const auto at = static_cast<std::size_t>(found - addedHashes.begin());
         if (isAdded[at])
             continue;
         isAdded[at] = true;
@@ -54,10 +54,10 @@
     const std::vector<entry_hash>& routes, const std::vector<entry_hash>& workspaces, entry_hash rest)
 {
     content_digest digest;
-    for (const auto mark : routes)
-        digest.add(mark);
-    for (const auto mark : workspaces)
-        digest.add(mark);
+    for (const auto hash : routes)
+        digest.add(hash);
+    for (const auto hash : workspaces)
+        digest.add(hash);
     digest.add(rest);
     return digest.sum();
 }
@@ -70,17 +70,17 @@
     {
     }
 
-    void put(const entry_changes& changes, entry_changes change::*kind)
+    void append(const entry_changes& changes, entry_changes change::*kind)
     {
         for (const auto removed : changes.removed) {
-            if (m_removed == mostRemoved)
-                begin();
+            if (m_removed == maxRemovedHashes)
+                startSlice();
             ++m_removed;
             (m_slices.back().part.*kind).removed.push_back(removed);
         }
         for (const auto& added : changes.added) {
-            if (m_addedBytes > 0 && m_addedBytes + added.size() > mostAddedBytes)
-                begin();
+            if (m_addedBytes > 0 && m_addedBytes + added.size() > maxAddedBytes)
+                startSlice();
             m_addedBytes += added.size();
             (m_slices.back().part.*kind).added.push_back(added);
         }
@@ -97,7 +97,7 @@
     }
 
 private:
-    void begin()
+    void startSlice()
     {
         change_slice next;
         next.from = m_slices.front().from;
@@ -117,16 +117,16 @@
 /// @param from version that it starts from; 0: it makes the whole document
 /// @param digest of the document at `to`
 /// @return at least one slice
-std::vector<change_slice> cutIntoSlices(std::uint64_t from, std::uint64_t to, std::uint64_t digest, const change& made)
+std::vector<change_slice> cutIntoSlices(std::uint64_t from, std::uint64_t to, std::uint64_t digest, const change& whole)
 {
     change_slice head;
     head.from = from;
     head.to = to;
     head.digest = digest;
-    head.part.rest = made.rest;
+    head.part.rest = whole.rest;
     slicer slices(std::move(head));
-    slices.put(made.routes, &change::routes);
-    slices.put(made.workspaces, &change::workspaces);
+    slices.append(whole.routes, &change::routes);
+    slices.append(whole.workspaces, &change::workspaces);
     return slices.take();
 }
 
@@ -134,24 +134,24 @@
 
 entry_hash hashOf(std::string_view text) { return XXH3_64bits(text.data(), text.size()); }
 
-std::vector<change_slice> slicesOf(const outline& whole) { return marks().follow(whole); }
+std::vector<change_slice> slicesOf(const outline& whole) { return change_tracker().advanceTo(whole); }
 
-std::vector<change_slice> marks::follow(const outline& next)
+std::vector<change_slice> change_tracker::advanceTo(const outline& next)
 {
-    const auto routes = marksOf(next.routes);
-    const auto workspaces = marksOf(next.workspaces);
+    const auto routes = hashesOf(next.routes);
+    const auto workspaces = hashesOf(next.workspaces);
     const entry_hash rest = hashOf(next.rest);
-    change made;
-    made.routes = changesBetween(m_routes, routes, next.routes);
-    made.workspaces = changesBetween(m_workspaces, workspaces, next.workspaces);
+    change result;
+    result.routes = changesBetween(m_routes, routes, next.routes);
+    result.workspaces = changesBetween(m_workspaces, workspaces, next.workspaces);
     if (rest != m_rest)
-        made.rest = next.rest;
+        result.rest = next.rest;
     const std::uint64_t from = m_version;
     m_version = next.version;
     m_routes = routes;
     m_workspaces = workspaces;
     m_rest = rest;
-    return cutIntoSlices(from, m_version, digestOf(m_routes, m_workspaces, m_rest), made);
+    return cutIntoSlices(from, m_version, digestOf(m_routes, m_workspaces, m_rest), result);
 }
 
 } // namespace buckthornrail::document
--- a/src/buckthornrail/document/change_test.cpp
+++ b/src/buckthornrail/document/change_test.cpp
@@ -21,12 +21,12 @@
 
 outline outlineOf(std::uint64_t number, const version& one)
 {
-    outline made;
-    made.version = number;
-    made.routes.assign(one.routes.begin(), one.routes.end());
-    made.workspaces.assign(one.workspaces.begin(), one.workspaces.end());
-    made.rest = one.rest;
-    return made;
+    outline result;
+    result.version = number;
+    result.routes.assign(one.routes.begin(), one.routes.end());
+    result.workspaces.assign(one.workspaces.begin(), one.workspaces.end());
+    result.rest = one.rest;
+    return result;
 }
 
 /// What a receiver holds, by hash.
@@ -80,12 +80,12 @@
     rc::prop("any versions", [] {
         const auto entries = rc::gen::container<std::vector<std::string>>(
             rc::gen::map(rc::gen::inRange(0, 40), [](int name) { return "entry-" + std::to_string(name); }));
-        marks sender;
+        change_tracker sender;
         receiver held;
         const auto versions = *rc::gen::inRange(1, 8);
         for (int number = 1; number <= versions; ++number) {
             const version next { *entries, *entries, "{" + std::to_string(*rc::gen::inRange(0, 3)) + "}" };
-            const auto slices = sender.follow(outlineOf(static_cast<std::uint64_t>(number), next));
+            const auto slices = sender.advanceTo(outlineOf(static_cast<std::uint64_t>(number), next));
             held.take(slices);
             RC_ASSERT(textsOf(held.routes) == std::set<std::string>(next.routes.begin(), next.routes.end()));
             RC_ASSERT(
@@ -101,11 +101,11 @@
     version before;
     for (int at = 0; at < 10'000; ++at)
         before.routes.push_back("route " + std::to_string(at));
-    marks sender;
-    sender.follow(outlineOf(1, before));
+    change_tracker sender;
+    sender.advanceTo(outlineOf(1, before));
     version after = before;
     after.routes[4711] = "route 4711, changed";
-    const auto slices = sender.follow(outlineOf(2, after));
+    const auto slices = sender.advanceTo(outlineOf(2, after));
     REQUIRE(slices.size() == 1);
     CHECK(slices.front().from == 1);
     CHECK(slices.front().to == 2);
