--- a/include/buckthornrail/execution/chain.hpp
+++ b/include/buckthornrail/execution/chain.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Chains of stages that cover a model split by layer ranges.
+/// @brief Chains of stages that together run all layers of a model.
 #pragma once
 
 #include "buckthornrail/core/identifiers.hpp"
@@ -12,7 +12,7 @@
 
 namespace buckthornrail::execution {
 
-/// One stage: a target that runs layers [firstLayer, endLayer).
+/// A stage of a chain: a target that runs layers [firstLayer, endLayer).
 struct chain_stage {
     instance_id instance;
     std::string linkAddress;
@@ -23,7 +23,7 @@
     bool operator==(const chain_stage&) const = default;
 };
 
-/// A chain for one request. A higher generation replaces a lower one.
+/// The chain of one request. A plan of a higher generation replaces those of lower ones.
 struct chain_plan {
     std::uint32_t generation = 0;
     std::string model;
@@ -32,18 +32,18 @@
     std::vector<chain_stage> stages;
 };
 
-/// @brief Checks that the stages cover layers 0 to layerCount with neither gap nor overlap, all of one version.
-/// @return BadChain with the place of the fault.
+/// @brief Checks that the stages cover layers [0, layerCount) without gaps or overlaps, all with the plan's version.
+/// @return BadChain with the first stage or layer that is wrong
 tl::expected<void, failure> checkChain(const chain_plan& plan);
 
-/// A target that could be a stage, with its cost (any unit; lower is better).
+/// A target that can run a stage.
 struct stage_candidate {
     chain_stage stage;
-    double cost = 0;
+    double cost = 0; ///< of using the stage, in any unit; lower is better
 };
 
-/// @brief Cheapest chain from 0 to layerCount over the candidates, each used once.
-/// @return NoTarget when the candidates leave a gap.
+/// @brief Finds the chain over layers [0, layerCount) with the lowest total cost. Uses each candidate at most once.
+/// @return the stages in order; NoTarget when no chain of candidates covers all layers
 tl::expected<std::vector<chain_stage>, failure> buildChain(
     std::span<const stage_candidate> candidates, std::uint32_t layerCount);
 
--- a/src/buckthornrail/execution/chain.cpp
+++ b/src/buckthornrail/execution/chain.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Building and checking of chains.
+/// @brief Validation of chains, and search for the cheapest one.
 #include "buckthornrail/execution/chain.hpp"
 
 #include <algorithm>
@@ -14,11 +14,11 @@
     return tl::make_unexpected(failure { result_code::BadChain, reason });
 }
 
-/// Cheapest way found to cover the layers up to a boundary.
+/// Cheapest chain found so far over the layers from 0 to a boundary.
 struct partial_chain {
     double cost = 0;
-    std::uint32_t previousEnd = 0;
-    const stage_candidate* last = nullptr;
+    std::uint32_t previousEnd = 0; ///< where its last stage begins
+    const stage_candidate* last = nullptr; ///< its last stage; null: the chain without stages
 };
 
 } // namespace
@@ -26,19 +26,19 @@
 tl::expected<void, failure> checkChain(const chain_plan& plan)
 {
     if (plan.stages.empty())
-        return badChain("the chain has no stage");
+        return badChain("the chain has no stages");
     std::uint32_t covered = 0;
     for (const auto& stage : plan.stages) {
         const std::string name = "stage " + stage.instance;
         if (stage.version != plan.version)
             return badChain(name + " has version " + stage.version + ", not " + plan.version);
         if (stage.endLayer <= stage.firstLayer)
-            return badChain(name + " holds no layer");
+            return badChain(name + " has no layers");
         if (stage.firstLayer > covered)
             return badChain("layers " + std::to_string(covered) + " to " + std::to_string(stage.firstLayer)
                 + " are missing before " + name);
         if (stage.firstLayer < covered)
-            return badChain(name + " repeats layer " + std::to_string(stage.firstLayer));
+            return badChain(name + " overlaps an earlier stage at layer " + std::to_string(stage.firstLayer));
         covered = stage.endLayer;
     }
     if (covered != plan.layerCount)
@@ -50,7 +50,8 @@
 tl::expected<std::vector<chain_stage>, failure> buildChain(
     std::span<const stage_candidate> candidates, std::uint32_t layerCount)
 {
-    // Ranges only go forward, so candidates in order of their first layer settle each boundary before it is used.
+    // Sorted by first layer, each candidate comes after all those that end where it begins, so the cheapest chain up to
+    // that boundary is final.
     std::vector<const stage_candidate*> ordered;
     for (const auto& candidate : candidates) {
         if (candidate.stage.endLayer > candidate.stage.firstLayer && candidate.stage.endLayer <= layerCount)
@@ -74,7 +75,7 @@
     std::vector<chain_stage> chain;
     auto at = best.find(layerCount);
     if (at == best.end() || layerCount == 0)
-        return tl::make_unexpected(failure { result_code::NoTarget, "the ready targets don't cover every layer" });
+        return tl::make_unexpected(failure { result_code::NoTarget, "the ready targets don't cover all layers" });
     while (at->second.last != nullptr) {
         chain.push_back(at->second.last->stage);
         at = best.find(at->second.previousEnd);
--- a/src/buckthornrail/execution/chain_faults_test.cpp
+++ b/src/buckthornrail/execution/chain_faults_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Split models under faults: every layer once a token and in order, whatever dies, at every step.
+/// @brief Tests of split models under faults: each layer runs at most once per token and generation, in order.
 #include "buckthornrail/execution/chain_run.hpp"
 #include "support/promises.hpp"
 #include "support/token_model.hpp"
@@ -22,13 +22,13 @@
 
 constexpr std::uint32_t layerCount = 6;
 
-/// What happens to message number `step`.
+/// Fault that is injected when message number `faultStep` is sent.
 enum class chain_fault { None, Lose, Repeat, Delay, KillStage, FreezeStage, StepFails, CutFromEntry };
 
 constexpr std::array allFaults { chain_fault::Lose, chain_fault::Repeat, chain_fault::Delay, chain_fault::KillStage,
     chain_fault::FreezeStage, chain_fault::StepFails, chain_fault::CutFromEntry };
 
-/// One entry, and two sidecars for each of several layer ranges.
+/// Simulates an entry and two sidecars for each of several layer ranges, in virtual time.
 class chain_world {
 public:
     chain_world(const std::vector<std::uint32_t>& ends, std::uint64_t seed)
@@ -49,8 +49,9 @@
     chain_fault fault = chain_fault::None;
     std::size_t faultStep = 0;
     std::string victim;
-    bool ignoresVerdicts = false; ///< the protection taken out: the guards' verdict is not heeded
+    bool ignoresVerdicts = false; ///< steps run even if the guard rejects them; shows that the checker fails then
 
+    /// @brief Runs a request to its end, or until 10 s after its deadline.
     caller_record runRequest(std::uint32_t tokens)
     {
         chain_request request { "r1", "m", "v", layerCount, "prompt", tokens, m_now + std::chrono::seconds(60) };
@@ -92,11 +93,11 @@
         bool frozen = false;
         bool cut = false;
         bool failsNext = false;
-        std::string text; ///< stage 0: what it has seen in this generation
+        std::string text; ///< stage 0: its input so far in this generation
         std::uint32_t maxTokens = 0;
     };
 
-    /// Sends a message; `to` is empty for the entry.
+    /// Sends a message; `from` and `to` are empty for the entry.
     void send(const std::string& from, const std::string& to, const std::function<void()>& deliver)
     {
         const std::size_t number = m_messages++;
@@ -118,7 +119,7 @@
             if (receiver.dead)
                 return;
             if (receiver.frozen) {
-                m_events.emplace(m_now + std::chrono::seconds(8), deliver); // wakes up late
+                m_events.emplace(m_now + std::chrono::seconds(8), deliver); // resumes after the entry's timeouts
                 return;
             }
             deliver();
@@ -270,7 +271,7 @@
 
 } // namespace
 
-TEST_CASE("chains: fault matrix, every fault at every message, at every stage", "[chain][faults]")
+TEST_CASE("chains: fault matrix, each fault at each message and each sidecar", "[chain][faults]")
 {
     const std::vector<std::uint32_t> split { 2, 5, 6 };
     chain_world faultless(split, 1);
@@ -294,10 +295,10 @@
             }
         }
     }
-    std::cout << "chain fault matrix: " << cases << " cases, " << completed << " answered whole\n";
+    std::cout << "chain fault matrix: " << cases << " cases, " << completed << " with a complete answer\n";
 }
 
-TEST_CASE("chains: any split of the layers, any fault at any step", "[chain][property]")
+TEST_CASE("chains: any split of the layers with any fault at any message", "[chain][property]")
 {
     rc::prop("split", [](std::uint64_t seed) {
         std::vector<std::uint32_t> ends;
@@ -317,7 +318,7 @@
     });
 }
 
-TEST_CASE("chains: the layer checker notices when the guards are not heeded", "[chain][checker]")
+TEST_CASE("chains: the layer checker detects steps that run although a guard rejects them", "[chain][checker]")
 {
     bool noticed = false;
     for (std::size_t step = 0; step < 40 && !noticed; ++step) {
@@ -330,7 +331,7 @@
     CHECK(noticed);
 }
 
-TEST_CASE("chains: gaps, overlaps and wrong versions are refused when built and by each sidecar", "[chain]")
+TEST_CASE("chains: gaps, overlaps and wrong versions are rejected, by each sidecar too", "[chain]")
 {
     const auto stage = [](std::uint32_t first, std::uint32_t end, const std::string& version = "v") {
         return chain_stage { "s" + std::to_string(first), "", 1, version, first, end };
@@ -341,10 +342,10 @@
     };
     CHECK(reasonOf({ stage(0, 3), stage(3, 6) }).empty());
     CHECK(reasonOf({ stage(0, 3), stage(4, 6) }) == "layers 3 to 4 are missing before stage s4");
-    CHECK(reasonOf({ stage(0, 3), stage(2, 6) }) == "stage s2 repeats layer 2");
+    CHECK(reasonOf({ stage(0, 3), stage(2, 6) }) == "stage s2 overlaps an earlier stage at layer 2");
     CHECK(reasonOf({ stage(0, 3) }) == "the chain ends at layer 3 of 6");
     CHECK(reasonOf({ stage(0, 3), stage(3, 6, "w") }) == "stage s3 has version w, not v");
-    CHECK(reasonOf({}) == "the chain has no stage");
+    CHECK(reasonOf({}) == "the chain has no stages");
     stage_guard guard;
     const chain_plan gap { 1, "m", "v", 6, { stage(0, 3), stage(4, 6) } };
     CHECK(guard.open("r", gap, 0, stage(0, 3), {}).error().code == result_code::BadChain);
@@ -355,7 +356,7 @@
     CHECK(buildChain(std::vector<stage_candidate> { { stage(0, 3), 1 } }, 6).error().code == result_code::NoTarget);
 }
 
-TEST_CASE("chains: the cheapest cover is built, each layer once", "[chain][property]")
+TEST_CASE("chains: a chain that is built covers each layer once", "[chain][property]")
 {
     rc::prop("cover", [] {
         std::vector<stage_candidate> candidates;
--- a/src/buckthornrail/execution/chain_run.cpp
+++ b/src/buckthornrail/execution/chain_run.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Generations of a chain.
+/// @brief Transitions between the phases of a request, and its generations.
 #include "buckthornrail/execution/chain_run.hpp"
 
 #include <algorithm>
@@ -115,7 +115,7 @@
     const bool isNext
         = m_phase == phase::Running && token.generation == m_plan.generation && token.token == m_nextToken;
     if (!isNext)
-        return; // of a fenced generation, or repeated
+        return; // of a fenced generation, or a duplicate
     ++m_nextToken;
     ++m_tokensDelivered;
     m_text += token.text;
@@ -152,7 +152,8 @@
         return;
     }
     if (m_phase == phase::Fencing) {
-        // Who does not answer the fence is not asked again. What it may still send is of an old generation.
+        // Instances that did not confirm the fence are excluded. Steps and tokens that they may still send are dropped
+        // by their generation.
         m_excluded.insert(m_pendingInstances.begin(), m_pendingInstances.end());
         finishFencing(now);
     }
--- a/src/buckthornrail/execution/stage_guard.cpp
+++ b/src/buckthornrail/execution/stage_guard.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Once, in order, newest generation only.
+/// @brief Admission of steps by generation and order.
 #include "buckthornrail/execution/stage_guard.hpp"
 
 #include "buckthornrail/core/enum_names.hpp"
@@ -27,13 +27,14 @@
     if (auto valid = checkChain(plan); !valid)
         return valid;
     if (stage >= plan.stages.size() || plan.stages[stage] != self)
-        return tl::make_unexpected(failure { result_code::BadChain, "the chain names another target for this stage" });
+        return tl::make_unexpected(
+            failure { result_code::BadChain, "the chain names a different target or layer range for this stage" });
     auto& state = m_requests[request];
     state.deadline = std::max(state.deadline, deadline);
     const bool reopens = plan.generation == state.generation && plan.generation != 0;
     if (plan.generation < state.generation || reopens)
         return tl::make_unexpected(failure {
-            result_code::FencedGeneration, "generation " + std::to_string(state.generation) + " has been seen" });
+            result_code::FencedGeneration, "generation " + std::to_string(state.generation) + " is already known" });
     state.generation = plan.generation;
     state.plan = plan;
     state.stage = stage;
@@ -47,7 +48,7 @@
     state.deadline = std::max(state.deadline, deadline);
     if (generation <= state.generation)
         return;
-    // The fenced generation itself may still be opened, once: remember one below it as seen.
+    // `generation` itself may still be opened once, so the highest known one is the one before it.
     state.generation = generation - 1;
     state.plan.reset();
 }
