--- a/include/buckthornrail/document/outline.hpp
+++ b/include/buckthornrail/document/outline.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A document's text as entries that change one by one.
+/// @brief A document's text, split into entries whose changes are sent one by one.
 #pragma once
 
 #include <cstdint>
@@ -10,23 +10,23 @@
 
 namespace buckthornrail::document {
 
-/// Tells entries apart by their text: versions share an entry if it has the same bytes in both.
+/// Identifies an entry by its text: two versions share an entry if its bytes are the same in both.
 using entry_hash = std::uint64_t;
 
-/// @brief XXH3 of a text.
+/// @brief The 64-bit XXH3 hash of a text.
 entry_hash hashOf(std::string_view text);
 
-/// A document cut into its entries. The views are into the text that was cut, or into `owned`.
+/// A document split into its entries. The views point into the text that was split, or into `owned`.
 struct outline {
     std::uint64_t version = 0;
     std::vector<std::string_view> routes;
     std::vector<std::string_view> workspaces;
-    std::string rest; ///< a document of its own, of version 0, without routes and workspaces
-    std::shared_ptr<const std::string> owned; ///< empty: the text that was cut
+    std::string rest; ///< a valid document with version 0 and without routes and workspaces
+    std::shared_ptr<const std::string> owned; ///< normalized copy of the text; null: the views point into the original
 };
 
-/// @brief Sum over a document's entries and its rest, in any order: a receiver checks a change by it without reading
-/// what the change leaves alone.
+/// @brief Order-independent digest of a document: the sum of the hashes of its entries and its rest. With it a receiver
+/// verifies a change without reading the unchanged entries.
 class content_digest {
 public:
     void add(entry_hash entry) { m_sum += entry; }
--- a/src/buckthornrail/compression/text_patch.cpp
+++ b/src/buckthornrail/compression/text_patch.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Patches as zstd frames whose dictionary is the earlier text.
+/// @brief A patch is a zstd frame with the base as its prefix dictionary.
 #include "buckthornrail/compression/text_patch.hpp"
 
 #include <algorithm>
@@ -11,9 +11,10 @@
 namespace buckthornrail::compression {
 namespace {
 
-/// Level 3 and 5 make patches of such documents no shorter (75 KB for 66 KB) and take two and six times the memory.
+/// Levels 3 and 5 take two and six times the memory, and patches of documents with thousands of routes aren't smaller
+/// (75 KB instead of 66 KB).
 constexpr int compressionLevel = 1;
-/// Least that the library takes, as a power of two.
+/// Base-2 logarithm of the smallest window that zstd supports.
 constexpr int minWindowLog = 10;
 
 struct compressor_deleter {
@@ -24,7 +25,7 @@
     void operator()(ZSTD_DCtx* context) const { ZSTD_freeDCtx(context); }
 };
 
-/// The window must reach from the end of the text to the beginning of the earlier one.
+/// @brief Base-2 logarithm of a window that reaches from the end of the text back to the beginning of the base.
 int windowLogFor(std::size_t bytes) { return std::max(minWindowLog, static_cast<int>(std::bit_width(bytes))); }
 
 auto malformed(const std::string& reason)
@@ -41,14 +42,14 @@
         throw std::bad_alloc();
     ZSTD_CCtx_setParameter(context.get(), ZSTD_c_compressionLevel, compressionLevel);
     ZSTD_CCtx_setParameter(context.get(), ZSTD_c_windowLog, windowLogFor(base.size() + text.size()));
-    // Tells a text that was made from another earlier one than the receiver's.
+    // The checksum detects a patch that is applied to another base.
     ZSTD_CCtx_setParameter(context.get(), ZSTD_c_checksumFlag, 1);
     if (!base.empty())
         ZSTD_CCtx_refPrefix(context.get(), base.data(), base.size());
     std::string patch(ZSTD_compressBound(text.size()), '\0');
     const std::size_t size = ZSTD_compress2(context.get(), patch.data(), patch.size(), text.data(), text.size());
     if (ZSTD_isError(size) != 0)
-        throw std::bad_alloc(); // the only failure left with room for the longest result
+        throw std::bad_alloc(); // the buffer has room for any result, so only memory can run out
     patch.resize(size);
     patch.shrink_to_fit();
     return patch;
@@ -58,9 +59,9 @@
 {
     const auto size = ZSTD_getFrameContentSize(patch.data(), patch.size());
     if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN)
-        return malformed("no frame of known size");
+        return malformed("not a zstd frame with a known content size");
     if (size > maxBytes)
-        return malformed("its text has " + std::to_string(size) + " bytes, over " + std::to_string(maxBytes));
+        return malformed("the text has " + std::to_string(size) + " bytes, the limit is " + std::to_string(maxBytes));
     const std::unique_ptr<ZSTD_DCtx, decompressor_deleter> context(ZSTD_createDCtx());
     if (!context)
         throw std::bad_alloc();
@@ -72,7 +73,7 @@
     if (ZSTD_isError(written) != 0)
         return malformed(ZSTD_getErrorName(written));
     if (written != size)
-        return malformed("it ends early");
+        return malformed("the text is shorter than the frame states");
     return text;
 }
 
--- a/src/buckthornrail/compression/text_patch_test.cpp
+++ b/src/buckthornrail/compression/text_patch_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Patches: any text from any other, and nothing from bytes that aren't one.
+/// @brief Tests of patches between any two texts, and of damaged patches.
 #include "buckthornrail/compression/text_patch.hpp"
 
 #include <catch2/catch.hpp>
@@ -31,7 +31,7 @@
     });
 }
 
-TEST_CASE("text patch: is as long as what is new, wherever it stands", "[compression]")
+TEST_CASE("text patch: its size depends on the added text only, wherever that is inserted", "[compression]")
 {
     const std::string before = document(17, 3000);
     const std::string more = document(20, 3001);
@@ -42,7 +42,8 @@
     CHECK(makePatch({}, before).size() < before.size() / 2);
 }
 
-TEST_CASE("text patch: what isn't one, or follows from another text, is told", "[compression]")
+TEST_CASE(
+    "text patch: invalid and damaged patches, and those with another base, never give a wrong text", "[compression]")
 {
     const std::string before = document(17, 300);
     const std::string patch = makePatch(before, document(18, 301));
@@ -52,7 +53,7 @@
     CHECK_FALSE(applyPatch(before, "", maxBytes));
     CHECK_FALSE(applyPatch(before, "no patch", maxBytes));
     CHECK_FALSE(applyPatch({}, makePatch({}, std::string(maxBytes + 1, 'a')), maxBytes));
-    rc::prop("another earlier text", [&before, &patch] {
+    rc::prop("another base", [&before, &patch] {
         std::string other = before;
         other[*rc::gen::inRange<std::size_t>(0, other.size())] = '#';
         const auto restored = applyPatch(other, patch, maxBytes);
--- a/src/buckthornrail/document/change.cpp
+++ b/src/buckthornrail/document/change.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Comparing versions by their entries.
+/// @brief Comparison of versions by the hashes of their entries.
 #include "buckthornrail/document/change.hpp"
 
 #include <algorithm>
@@ -9,12 +9,13 @@
 namespace buckthornrail::document {
 namespace {
 
-/// Text that a slice adds at most, unless one entry is longer: a tenth of a core reads as much within 20 ms.
+/// Bytes of added text per slice; a single longer entry still forms a slice. A receiver with a tenth of a core decodes
+/// this much within 20 ms.
 constexpr std::size_t maxAddedBytes = 24U << 10U;
-/// Hashes that a slice removes at most; each is a look-up.
+/// Hashes of removed entries per slice; the receiver looks up each of them.
 constexpr std::size_t maxRemovedHashes = 2000;
 
-/// @brief Hashes of entries, sorted, each once.
+/// @brief Hashes of entries, sorted and without duplicates.
 std::vector<entry_hash> hashesOf(const std::vector<std::string_view>& entries)
 {
     std::vector<entry_hash> hashes;
@@ -35,7 +36,7 @@
     std::set_difference(after.begin(), after.end(), before.begin(), before.end(), std::back_inserter(addedHashes));
     if (addedHashes.empty())
         return changes;
-    std::vector<bool> isAdded(addedHashes.size(), false); // the same text twice is one entry
+    std::vector<bool> isAdded(addedHashes.size(), false); // entries with the same text count as one
     for (const auto entry : entries) {
         const entry_hash hash = hashOf(entry);
         const auto found = std::lower_bound(addedHashes.begin(), addedHashes.end(), hash);
@@ -62,7 +63,7 @@
     return digest.sum();
 }
 
-/// Fills slices one after another.
+/// Distributes a change over slices within the limits above.
 class slicer {
 public:
     explicit slicer(change_slice head)
@@ -110,12 +111,13 @@
 
     std::vector<change_slice> m_slices;
     std::size_t m_removed = 0; ///< in the last slice
-    std::size_t m_addedBytes = 0;
+    std::size_t m_addedBytes = 0; ///< in the last slice
 };
 
-/// @brief Cuts a change into slices of bounded work for the receiver.
-/// @param from version that it starts from; 0: it makes the whole document
-/// @param digest of the document at `to`
+/// @brief Splits a change into slices that each take the receiver a limited time.
+/// @param from base version; 0: none
+/// @param to version that the change leads to
+/// @param digest content_digest of the document at version `to`
 /// @return at least one slice
 std::vector<change_slice> cutIntoSlices(std::uint64_t from, std::uint64_t to, std::uint64_t digest, const change& whole)
 {
--- a/src/buckthornrail/document/change_test.cpp
+++ b/src/buckthornrail/document/change_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Changes between versions, and their slices.
+/// @brief Tests of the changes between versions and of their slices.
 #include "buckthornrail/document/change.hpp"
 
 #include <catch2/catch.hpp>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A version: texts of its entries.
+/// Texts of a version's entries.
 struct version {
     std::vector<std::string> routes;
     std::vector<std::string> workspaces;
@@ -29,7 +29,7 @@
     return result;
 }
 
-/// What a receiver holds, by hash.
+/// Applies slices to entries held by hash.
 struct receiver {
     std::map<entry_hash, std::string> routes;
     std::map<entry_hash, std::string> workspaces;
@@ -75,7 +75,7 @@
 
 } // namespace
 
-TEST_CASE("document change: a receiver that takes each version's slices holds that version", "[document]")
+TEST_CASE("document change: a receiver that applies all slices of a version holds that version", "[document]")
 {
     rc::prop("any versions", [] {
         const auto entries = rc::gen::container<std::vector<std::string>>(
@@ -96,7 +96,7 @@
     });
 }
 
-TEST_CASE("document change: one entry among ten thousand is one slice with one entry", "[document]")
+TEST_CASE("document change: a change of one entry out of ten thousand is one slice", "[document]")
 {
     version before;
     for (int at = 0; at < 10'000; ++at)
@@ -114,7 +114,7 @@
     CHECK(slices.front().part.rest.empty());
 }
 
-TEST_CASE("document change: slices are bounded, whole entries, and numbered", "[document]")
+TEST_CASE("document change: slices are limited in size, numbered, and hold whole entries", "[document]")
 {
     constexpr std::size_t entryBytes = 200;
     constexpr std::size_t bound = 24U << 10U;
@@ -124,7 +124,7 @@
         entry.resize(entryBytes, '.');
         whole.routes.push_back(entry);
     }
-    whole.workspaces = { std::string(bound * 2, 'w'), "small" }; // one that is longer than a slice stands alone
+    whole.workspaces = { std::string(bound * 2, 'w'), "small" }; // an entry above the limit has its own slice
     const auto slices = slicesOf(outlineOf(7, whole));
     std::size_t entries = 0;
     for (std::size_t at = 0; at < slices.size(); ++at) {
--- a/src/buckthornrail/membership/membership_table.cpp
+++ b/src/buckthornrail/membership/membership_table.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Transitions of instances.
+/// @brief Replicated table of instances: transitions, deltas and pruning.
 #include "buckthornrail/membership/membership_table.hpp"
 
 #include "buckthornrail/core/revision_delta.hpp"
@@ -9,6 +9,7 @@
 namespace buckthornrail::membership {
 namespace {
 
+/// Left and lost records are kept up to this number, except those with a drain request.
 constexpr std::size_t maxGoneRecords = 512;
 
 bool isLeftOrLost(const instance_record& record)
@@ -53,7 +54,7 @@
 {
     const auto found = m_records.find(id);
     if (found == m_records.end())
-        return tl::make_unexpected(failure { result_code::NotFound, "no instance is called " + id });
+        return tl::make_unexpected(failure { result_code::NotFound, "unknown instance " + id });
     if (found->second.drainRequested == drain)
         return {};
     found->second.drainRequested = drain;
--- a/src/buckthornrail/membership/membership_table_test.cpp
+++ b/src/buckthornrail/membership/membership_table_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Transitions and their copies.
+/// @brief Tests of the table under stale and duplicate transitions, and of copies kept current by deltas.
 #include "buckthornrail/membership/membership_table.hpp"
 
 #include <catch2/catch.hpp>
@@ -22,24 +22,24 @@
 
 } // namespace
 
-TEST_CASE("membership: a late or repeated transition changes nothing", "[membership]")
+TEST_CASE("membership: stale and duplicate transitions have no effect", "[membership]")
 {
     membership_table table;
     CHECK(table.apply({ recordOf("a", 1, instance_state::Ready), false }));
     CHECK_FALSE(table.apply({ recordOf("a", 1, instance_state::Ready), false }));
     CHECK(table.apply({ recordOf("a", 1, instance_state::Draining), false }));
-    CHECK_FALSE(table.apply({ recordOf("a", 1, instance_state::Ready), false })); // a late one
+    CHECK_FALSE(table.apply({ recordOf("a", 1, instance_state::Ready), false })); // stale
     CHECK(table.apply({ recordOf("a", 1, instance_state::Left), false }));
     CHECK_FALSE(table.apply({ recordOf("a", 1, instance_state::Ready), false }));
     CHECK_FALSE(table.apply({ recordOf("a", 1, instance_state::Lost), true }));
     CHECK(table.apply({ recordOf("a", 2, instance_state::Joined), false }));
-    CHECK_FALSE(table.apply({ recordOf("a", 1, instance_state::Lost), true })); // of the earlier life
+    CHECK_FALSE(table.apply({ recordOf("a", 1, instance_state::Lost), true })); // of the previous incarnation
     CHECK(table.find("a")->state == instance_state::Joined);
     CHECK(table.apply({ recordOf("a", 2, instance_state::Lost), true }));
-    CHECK(table.apply({ recordOf("a", 2, instance_state::Ready), false })); // it was only frozen
+    CHECK(table.apply({ recordOf("a", 2, instance_state::Ready), false })); // it was only suspended
 }
 
-TEST_CASE("membership: a wish to drain outlives the instance's own announcements", "[membership]")
+TEST_CASE("membership: a drain request is kept when the instance announces itself again", "[membership]")
 {
     membership_table table;
     CHECK(table.requestDrain("a", true).error().code == result_code::NotFound);
@@ -49,9 +49,9 @@
     CHECK(table.find("a")->drainRequested);
 }
 
-TEST_CASE("membership: any copy that misses deltas ends at the table", "[membership][property]")
+TEST_CASE("membership: a view updated by deltas equals the table", "[membership][property]")
 {
-    rc::prop("copies", [] {
+    rc::prop("any transitions, with deltas skipped", [] {
         membership_table table;
         membership_view view;
         const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 5 * 700 * 4));
@@ -68,7 +68,7 @@
     });
 }
 
-TEST_CASE("membership: old records of gone instances are dropped, and copies learn of it", "[membership]")
+TEST_CASE("membership: old records of left instances are pruned, in views too", "[membership]")
 {
     membership_table table;
     membership_view view;
