--- a/src/buckthornrail/document/change_test.cpp
+++ b/src/buckthornrail/document/change_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Changes between versions, and their slices.
+/// @brief Tests of the changes between versions and of their slices.
 #include "buckthornrail/document/change.hpp"
 
 #include <catch2/catch.hpp>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A version: texts of its entries.
+/// Texts of a version's entries.
 struct version {
     std::vector<std::string> routes;
     std::vector<std::string> workspaces;
@@ -21,15 +21,15 @@
 
 outline outlineOf(std::uint64_t number, const version& one)
 {
-    outline made;
-    made.version = number;
-    made.routes.assign(one.routes.begin(), one.routes.end());
-    made.workspaces.assign(one.workspaces.begin(), one.workspaces.end());
-    made.rest = one.rest;
-    return made;
+    outline result;
+    result.version = number;
+    result.routes.assign(one.routes.begin(), one.routes.end());
+    result.workspaces.assign(one.workspaces.begin(), one.workspaces.end());
+    result.rest = one.rest;
+    return result;
 }
 
-/// What a receiver holds, by hash.
+/// Applies slices to entries held by hash.
 struct receiver {
     std::map<entry_hash, std::string> routes;
     std::map<entry_hash, std::string> workspaces;
@@ -75,17 +75,17 @@
 
 } // namespace
 
-TEST_CASE("document change: a receiver that takes each version's slices holds that version", "[document]")
+TEST_CASE("document change: a receiver that applies all slices of a version holds that version", "[document]")
 {
     rc::prop("any versions", [] {
         const auto entries = rc::gen::container<std::vector<std::string>>(
             rc::gen::map(rc::gen::inRange(0, 40), [](int name) { return "entry-" + std::to_string(name); }));
-        marks sender;
+        change_tracker sender;
         receiver held;
         const auto versions = *rc::gen::inRange(1, 8);
         for (int number = 1; number <= versions; ++number) {
             const version next { *entries, *entries, "{" + std::to_string(*rc::gen::inRange(0, 3)) + "}" };
-            const auto slices = sender.follow(outlineOf(static_cast<std::uint64_t>(number), next));
+            const auto slices = sender.advanceTo(outlineOf(static_cast<std::uint64_t>(number), next));
             held.take(slices);
             RC_ASSERT(textsOf(held.routes) == std::set<std::string>(next.routes.begin(), next.routes.end()));
             RC_ASSERT(
@@ -96,16 +96,16 @@
     });
 }
 
-TEST_CASE("document change: one entry among ten thousand is one slice with one entry", "[document]")
+TEST_CASE("document change: a change of one entry out of ten thousand is one slice", "[document]")
 {
     version before;
     for (int at = 0; at < 10'000; ++at)
         before.routes.push_back("route " + std::to_string(at));
-    marks sender;
-    sender.follow(outlineOf(1, before));
+    change_tracker sender;
+    sender.advanceTo(outlineOf(1, before));
     version after = before;
     after.routes[4711] = "route 4711, changed";
-    const auto slices = sender.follow(outlineOf(2, after));
+    const auto slices = sender.advanceTo(outlineOf(2, after));
     REQUIRE(slices.size() == 1);
     CHECK(slices.front().from == 1);
     CHECK(slices.front().to == 2);
@@ -114,7 +114,7 @@
     CHECK(slices.front().part.rest.empty());
 }
 
-TEST_CASE("document change: slices are bounded, whole entries, and numbered", "[document]")
+TEST_CASE("document change: slices are limited in size, numbered, and hold whole entries", "[document]")
 {
     constexpr std::size_t entryBytes = 200;
     constexpr std::size_t bound = 24U << 10U;
@@ -124,7 +124,7 @@
         entry.resize(entryBytes, '.');
         whole.routes.push_back(entry);
     }
-    whole.workspaces = { std::string(bound * 2, 'w'), "small" }; // one that is longer than a slice stands alone
+    whole.workspaces = { std::string(bound * 2, 'w'), "small" }; // an entry above the limit has its own slice
     const auto slices = slicesOf(outlineOf(7, whole));
     std::size_t entries = 0;
     for (std::size_t at = 0; at < slices.size(); ++at) {
--- a/src/buckthornrail/execution/chain_faults_test.cpp
+++ b/src/buckthornrail/execution/chain_faults_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Split models under faults: every layer once a token and in order, whatever dies, at every step.
+/// @brief Tests of split models under faults: each layer runs at most once per token and generation, in order.
 #include "buckthornrail/execution/chain_run.hpp"
 #include "support/promises.hpp"
 #include "support/token_model.hpp"
@@ -22,13 +22,13 @@
 
 constexpr std::uint32_t layerCount = 6;
 
-/// What happens to message number `step`.
+/// Fault that is injected when message number `faultStep` is sent.
 enum class chain_fault { None, Lose, Repeat, Delay, KillStage, FreezeStage, StepFails, CutFromEntry };
 
 constexpr std::array allFaults { chain_fault::Lose, chain_fault::Repeat, chain_fault::Delay, chain_fault::KillStage,
     chain_fault::FreezeStage, chain_fault::StepFails, chain_fault::CutFromEntry };
 
-/// One entry, and two sidecars for each of several layer ranges.
+/// Simulates an entry and two sidecars for each of several layer ranges, in virtual time.
 class chain_world {
 public:
     chain_world(const std::vector<std::uint32_t>& ends, std::uint64_t seed)
@@ -49,9 +49,10 @@
     chain_fault fault = chain_fault::None;
     std::size_t faultStep = 0;
     std::string victim;
-    bool admitsAll = false; ///< the protection taken out: the guards' verdict is not heeded
+    bool ignoresVerdicts = false; ///< steps run even if the guard rejects them; shows that the checker fails then
 
-    caller_record ask(std::uint32_t tokens)
+    /// @brief Runs a request to its end, or until 10 s after its deadline.
+    caller_record runRequest(std::uint32_t tokens)
     {
         chain_request request { "r1", "m", "v", layerCount, "prompt", tokens, m_now + std::chrono::seconds(60) };
         m_run = std::make_unique<chain_run>(request, chain_run_options {});
@@ -92,24 +93,24 @@
         bool frozen = false;
         bool cut = false;
         bool failsNext = false;
-        std::string text; ///< stage 0: what it has seen in this generation
+        std::string text; ///< stage 0: its input so far in this generation
         std::uint32_t maxTokens = 0;
     };
 
-    /// Sends a message; `to` is empty for the entry.
-    void transport(const std::string& from, const std::string& to, const std::function<void()>& deliver)
+    /// Sends a message; `from` and `to` are empty for the entry.
+    void send(const std::string& from, const std::string& to, const std::function<void()>& deliver)
     {
         const std::size_t number = m_messages++;
-        const chain_fault now = number == faultStep ? fault : chain_fault::None;
-        if (now >= chain_fault::KillStage)
-            strike(now);
+        const chain_fault active = number == faultStep ? fault : chain_fault::None;
+        if (active >= chain_fault::KillStage)
+            injectFault(active);
         const auto usable = [this](const std::string& name) { return name.empty() || !m_nodes.at(name).dead; };
         const auto isCut = [this](const std::string& name, const std::string& other) {
             return !name.empty() && other.empty() && m_nodes.at(name).cut;
         };
-        if (now == chain_fault::Lose || !usable(from) || isCut(from, to) || isCut(to, from))
+        if (active == chain_fault::Lose || !usable(from) || isCut(from, to) || isCut(to, from))
             return;
-        const auto guarded = [this, to, deliver] {
+        const auto arrive = [this, to, deliver] {
             if (to.empty()) {
                 deliver();
                 return;
@@ -118,17 +119,17 @@
             if (receiver.dead)
                 return;
             if (receiver.frozen) {
-                m_events.emplace(m_now + std::chrono::seconds(8), deliver); // wakes up late
+                m_events.emplace(m_now + std::chrono::seconds(8), deliver); // resumes after the entry's timeouts
                 return;
             }
             deliver();
         };
-        m_events.emplace(m_now + milliseconds(now == chain_fault::Delay ? 6000 : m_random() % 10 + 1), guarded);
-        if (now == chain_fault::Repeat)
-            m_events.emplace(m_now + milliseconds(m_random() % 500), guarded);
+        m_events.emplace(m_now + milliseconds(active == chain_fault::Delay ? 6000 : m_random() % 10 + 1), arrive);
+        if (active == chain_fault::Repeat)
+            m_events.emplace(m_now + milliseconds(m_random() % 500), arrive);
     }
 
-    void strike(chain_fault kind)
+    void injectFault(chain_fault kind)
     {
         auto& one = m_nodes.at(victim);
         one.dead = kind == chain_fault::KillStage;
@@ -151,10 +152,10 @@
 
     void carryOut(const chain_effect& effect)
     {
-        if (const auto* wish = std::get_if<choose_chain>(&effect)) {
+        if (const auto* choose = std::get_if<choose_chain>(&effect)) {
             std::vector<stage_candidate> candidates;
             for (const auto& [name, one] : m_nodes) {
-                if (!wish->excluded.contains(name))
+                if (!choose->excluded.contains(name))
                     candidates.push_back({ one.stage, static_cast<double>(m_random() % 100) });
             }
             auto chain = buildChain(candidates, layerCount);
@@ -164,15 +165,15 @@
                 m_run->noChain(chain.error());
         } else if (const auto* open = std::get_if<open_stage>(&effect)) {
             const std::string name = open->plan.stages[open->stage].instance;
-            transport("", name, [this, name, order = *open] { openAt(name, order); });
-        } else if (const auto* begin = std::get_if<begin_steps>(&effect)) {
-            transport("", begin->stage.instance,
-                [this, name = begin->stage.instance, step = begin->step] { stepAt(name, step); });
+            send("", name, [this, name, order = *open] { openStage(name, order); });
+        } else if (const auto* first = std::get_if<send_first_step>(&effect)) {
+            send("", first->stage.instance,
+                [this, name = first->stage.instance, step = first->step] { runStep(name, step); });
         } else if (const auto* fence = std::get_if<fence_stage>(&effect)) {
             const std::string name = fence->stage.instance;
-            transport("", name, [this, name, generation = fence->generation] {
+            send("", name, [this, name, generation = fence->generation] {
                 m_nodes.at(name).guard.fence("r1", generation, m_now + std::chrono::hours(1));
-                transport(name, "", [this, name, generation] {
+                send(name, "", [this, name, generation] {
                     m_run->stageFenced(name, generation, m_now);
                     drive();
                 });
@@ -186,13 +187,13 @@
         }
     }
 
-    void openAt(const std::string& name, const open_stage& order)
+    void openStage(const std::string& name, const open_stage& order)
     {
         auto& one = m_nodes.at(name);
         const auto opened = one.guard.open("r1", order.plan, order.stage, one.stage, m_now + std::chrono::hours(1));
         one.maxTokens = order.maxTokens;
         const auto generation = order.plan.generation;
-        transport(name, "", [this, name, generation, opened] {
+        send(name, "", [this, name, generation, opened] {
             if (opened)
                 m_run->stageOpened(name, generation, m_now);
             else
@@ -201,15 +202,15 @@
         });
     }
 
-    void stepAt(const std::string& name, const stage_step& step)
+    void runStep(const std::string& name, const stage_step& step)
     {
         auto& one = m_nodes.at(name);
         const auto verdict = one.guard.admit(step);
-        if (verdict != step_verdict::Run && !(admitsAll && one.guard.planOf("r1") != nullptr))
+        if (verdict != step_verdict::Run && !(ignoresVerdicts && one.guard.planOf("r1") != nullptr))
             return;
         const auto plan = *one.guard.planOf("r1");
         if (one.failsNext) {
-            transport(name, "", [this, step] {
+            send(name, "", [this, step] {
                 m_run->stageFailed(step.generation, step.stage, { result_code::TargetFailed, "" }, m_now);
                 drive();
             });
@@ -230,23 +231,23 @@
             output = one.text;
         }
         if (step.stage + 1 < plan.stages.size()) {
-            pass(name, plan.stages[step.stage + 1].instance,
+            sendStep(name, plan.stages[step.stage + 1].instance,
                 { "r1", step.generation, step.token, step.stage + 1, output });
             return;
         }
         const std::string token = nextToken(output);
         const bool last = step.token + 1 == one.maxTokens;
-        transport(name, "", [this, step, token, last] {
+        send(name, "", [this, step, token, last] {
             m_run->token({ step.generation, step.token, token, last, last ? "length" : "" }, m_now);
             drive();
         });
         if (!last)
-            pass(name, plan.stages.front().instance, { "r1", step.generation, step.token + 1, 0, token });
+            sendStep(name, plan.stages.front().instance, { "r1", step.generation, step.token + 1, 0, token });
     }
 
-    void pass(const std::string& from, const std::string& to, const stage_step& step)
+    void sendStep(const std::string& from, const std::string& to, const stage_step& step)
     {
-        transport(from, to, [this, to, step] { stepAt(to, step); });
+        send(from, to, [this, to, step] { runStep(to, step); });
     }
 
     std::mt19937_64 m_random;
@@ -270,21 +271,21 @@
 
 } // namespace
 
-TEST_CASE("chains: fault matrix, every fault at every message, at every stage", "[chain][faults]")
+TEST_CASE("chains: fault matrix, each fault at each message and each sidecar", "[chain][faults]")
 {
     const std::vector<std::uint32_t> split { 2, 5, 6 };
-    chain_world calm(split, 1);
-    REQUIRE(violationsOf(calm, calm.ask(4)).empty());
+    chain_world faultless(split, 1);
+    REQUIRE(violationsOf(faultless, faultless.runRequest(4)).empty());
     std::size_t cases = 0;
     std::size_t completed = 0;
     for (const auto fault : allFaults) {
-        for (const auto& victim : calm.instances()) {
-            for (std::size_t step = 0; step < calm.messages() + 4; ++step) {
+        for (const auto& victim : faultless.instances()) {
+            for (std::size_t step = 0; step < faultless.messages() + 4; ++step) {
                 chain_world world(split, step + 1);
                 world.fault = fault;
                 world.faultStep = step;
                 world.victim = victim;
-                const auto caller = world.ask(4);
+                const auto caller = world.runRequest(4);
                 INFO("fault " << static_cast<int>(fault) << " at " << step << " on " << victim);
                 REQUIRE(violationsOf(world, caller).empty());
                 REQUIRE(caller.answered);
@@ -294,10 +295,10 @@
             }
         }
     }
-    std::cout << "chain fault matrix: " << cases << " cases, " << completed << " answered whole\n";
+    std::cout << "chain fault matrix: " << cases << " cases, " << completed << " with a complete answer\n";
 }
 
-TEST_CASE("chains: any split of the layers, any fault at any step", "[chain][property]")
+TEST_CASE("chains: any split of the layers with any fault at any message", "[chain][property]")
 {
     rc::prop("split", [](std::uint64_t seed) {
         std::vector<std::uint32_t> ends;
@@ -311,26 +312,26 @@
         world.fault = allFaults[*rc::gen::inRange<std::size_t>(0, allFaults.size())];
         world.faultStep = *rc::gen::inRange<std::size_t>(0, 60);
         world.victim = names[*rc::gen::inRange<std::size_t>(0, names.size())];
-        const auto caller = world.ask(*rc::gen::inRange<std::uint32_t>(1, 6));
+        const auto caller = world.runRequest(*rc::gen::inRange<std::uint32_t>(1, 6));
         RC_ASSERT(violationsOf(world, caller).empty());
         RC_ASSERT(caller.answered);
     });
 }
 
-TEST_CASE("chains: the layer checker notices when the guards are not heeded", "[chain][checker]")
+TEST_CASE("chains: the layer checker detects steps that run although a guard rejects them", "[chain][checker]")
 {
     bool noticed = false;
     for (std::size_t step = 0; step < 40 && !noticed; ++step) {
         chain_world world({ 2, 5, 6 }, step + 1);
-        world.admitsAll = true;
+        world.ignoresVerdicts = true;
         world.fault = chain_fault::Repeat;
         world.faultStep = step;
-        noticed = !violationsOf(world, world.ask(4)).empty();
+        noticed = !violationsOf(world, world.runRequest(4)).empty();
     }
     CHECK(noticed);
 }
 
-TEST_CASE("chains: gaps, overlaps and wrong versions are refused when built and by each sidecar", "[chain]")
+TEST_CASE("chains: gaps, overlaps and wrong versions are rejected, by each sidecar too", "[chain]")
 {
     const auto stage = [](std::uint32_t first, std::uint32_t end, const std::string& version = "v") {
         return chain_stage { "s" + std::to_string(first), "", 1, version, first, end };
@@ -341,10 +342,10 @@
     };
     CHECK(reasonOf({ stage(0, 3), stage(3, 6) }).empty());
     CHECK(reasonOf({ stage(0, 3), stage(4, 6) }) == "layers 3 to 4 are missing before stage s4");
-    CHECK(reasonOf({ stage(0, 3), stage(2, 6) }) == "stage s2 repeats layer 2");
+    CHECK(reasonOf({ stage(0, 3), stage(2, 6) }) == "stage s2 overlaps an earlier stage at layer 2");
     CHECK(reasonOf({ stage(0, 3) }) == "the chain ends at layer 3 of 6");
     CHECK(reasonOf({ stage(0, 3), stage(3, 6, "w") }) == "stage s3 has version w, not v");
-    CHECK(reasonOf({}) == "the chain has no stage");
+    CHECK(reasonOf({}) == "the chain has no stages");
     stage_guard guard;
     const chain_plan gap { 1, "m", "v", 6, { stage(0, 3), stage(4, 6) } };
     CHECK(guard.open("r", gap, 0, stage(0, 3), {}).error().code == result_code::BadChain);
@@ -355,7 +356,7 @@
     CHECK(buildChain(std::vector<stage_candidate> { { stage(0, 3), 1 } }, 6).error().code == result_code::NoTarget);
 }
 
-TEST_CASE("chains: the cheapest cover is built, each layer once", "[chain][property]")
+TEST_CASE("chains: a chain that is built covers each layer once", "[chain][property]")
 {
     rc::prop("cover", [] {
         std::vector<stage_candidate> candidates;
