--- a/include/buckthornrail/link/message.hpp
+++ b/include/buckthornrail/link/message.hpp
@@ -156,7 +156,7 @@
 };
 
 /// Gateway to controller, each heartbeat period: what it holds and what it has seen.
-struct gateway_beat {
+struct gateway_heartbeat {
     instance_id instance;
     std::uint64_t sequence = 0;
     std::uint64_t documentVersion = 0; ///< of the text that it holds; 0: none
@@ -164,14 +164,15 @@
     std::optional<std::uint64_t> sliceVersion;
     std::uint64_t targetRevision = 0;
     std::uint32_t openAttempts = 0; ///< under way at targets
-    std::vector<registry::target_incarnation> darkTargets; ///< that were dead or cut off for it since the last beat
+    std::vector<registry::target_incarnation>
+        darkTargets; ///< that were dead or cut off for it since the last heartbeat
     registry::target_loads loads; ///< of its attempts, at the targets of that revision
     std::uint64_t life = 0; ///< drawn by each process at its start
     registry::retry_counts repeats; ///< that it spent within the window
     bool isRepeatsComplete = false; ///< also those of processes before this one; false: it wants to be told of them
     std::uint64_t quarantineRevision = 0; ///< of the standings that it holds
     std::vector<registry::quarantine_batch> quarantine; ///< without a receipt so far
-    std::vector<registry::limit_report> limits; ///< that it heard targets name since the last beat
+    std::vector<registry::limit_report> limits; ///< that it heard targets name since the last heartbeat
     std::vector<registry::target_incarnation> leavingTargets; ///< that told it so, and the table doesn't show it
 };
 
@@ -194,7 +195,7 @@
 
 /// Controller to gateway. Sent after a quorum has confirmed what the controller holds, or with what was committed.
 struct gateway_update {
-    std::uint64_t sequence = 0; ///< of the beat that this answers; 0: none
+    std::uint64_t sequence = 0; ///< of the heartbeat that this answers; 0: none
     bool isServed = false; ///< false: nothing else holds but `waitsForQuorum`
     bool waitsForQuorum = false; ///< the controller knows a leader, and what it holds is still to be confirmed
     std::vector<text_update> document; ///< at most one: nothing to change
@@ -212,7 +213,7 @@
 };
 
 /// A target's heartbeat.
-struct target_heard {
+struct target_heartbeat {
     std::string id;
     std::uint64_t startedMs = 0;
     std::uint64_t sequence = 0;
@@ -221,7 +222,7 @@
 /// Controller to the one that leads: what came to it since its last report.
 struct member_report {
     registry::member_report sessions; ///< gateways'
-    std::vector<target_heard> heard; ///< heartbeats of targets
+    std::vector<target_heartbeat> heard; ///< heartbeats of targets
     std::vector<registry::target_incarnation> darkTargets; ///< that were dead or cut off for a gateway
     std::vector<registry::limit_report> limits; ///< that gateways heard targets name
     std::vector<registry::target_incarnation> leavingTargets; ///< that told a gateway so
@@ -233,7 +234,7 @@
     dispatch::attempt_refused, dispatch::attempt_started, dispatch::answer_frame, dispatch::answer_end,
     dispatch::attempt_revoke, dispatch::revoke_reply, dispatch::answer_attach, dispatch::attach_reply,
     dispatch::load_report, execution::stage_step, stage_fence, stage_fenced, stage_close, stage_token, stage_failed,
-    order_report, gateway_beat, gateway_update, member_report, registry::fleet_report, document_slice>;
+    order_report, gateway_heartbeat, gateway_update, member_report, registry::fleet_report, document_slice>;
 
 /// @brief A message as CBOR, with the protocol version and its type.
 std::string encode(const message& value);
--- a/src/app/gateway/gateway.cpp
+++ b/src/app/gateway/gateway.cpp
@@ -61,11 +61,11 @@
                   const registry::target_loads& others) { m_context.pool.setOtherGatewayLoads(others, steadyNow()); },
               [this](const link::gateway_update& update) { onSessionUpdate(update); },
               [this] { return m_context.pool.takeUnreachable(); },
-              [this](link::gateway_beat& beat) {
-                  beat.repeats = m_context.budgets.spent(steadyNow());
-                  beat.isRepeatsComplete = m_context.budgets.isComplete(steadyNow());
+              [this](link::gateway_heartbeat& heartbeat) {
+                  heartbeat.repeats = m_context.budgets.spent(steadyNow());
+                  heartbeat.isRepeatsComplete = m_context.budgets.isComplete(steadyNow());
               },
-              [this](link::gateway_beat& beat, bool isFirst) { fillQuarantine(beat, isFirst); },
+              [this](link::gateway_heartbeat& heartbeat, bool isFirst) { fillQuarantine(heartbeat, isFirst); },
               [this](const link::gateway_update& update) {
                   onQuarantine(update);
                   m_context.confirmationDeadline = {};
@@ -296,15 +296,15 @@
     notifyQuarantineChanged();
 }
 
-void gateway_role::fillQuarantine(link::gateway_beat& beat, bool isFirst)
+void gateway_role::fillQuarantine(link::gateway_heartbeat& heartbeat, bool isFirst)
 {
     const auto now = steadyNow();
     for (const auto call : m_context.quarantine.callsOnTrial()) {
         if (!m_context.crashes.mayHaveCrashedTarget(call, now) && !m_context.crashes.awaitsVerdict(call, now))
             m_context.quarantine.endTrial(call);
     }
-    beat.quarantineRevision = m_context.quarantine.revision();
-    beat.quarantine = m_context.quarantine.takeBatches(isFirst, now);
+    heartbeat.quarantineRevision = m_context.quarantine.revision();
+    heartbeat.quarantine = m_context.quarantine.takeBatches(isFirst, now);
 }
 
 void gateway_role::onQuarantine(const link::gateway_update& update)
--- a/src/app/gateway/gateway.hpp
+++ b/src/app/gateway/gateway.hpp
@@ -64,7 +64,7 @@
     /// @param replacement the target that has the address now; empty: none
     void recordCrashes(const std::string& address, const registry::target_incarnation& replacement);
     /// @brief Adds changes of the quarantine to a heartbeat. @param isFirst whether it is the first of its session
-    void fillQuarantine(link::gateway_beat& beat, bool isFirst);
+    void fillQuarantine(link::gateway_heartbeat& heartbeat, bool isFirst);
     /// @brief Applies changes of the quarantine and receipts from the controllers.
     void onQuarantine(const link::gateway_update& update);
     /// @brief Notifies open calls that the quarantine has changed.
--- a/src/app/gateway/gateway_document_test.cpp
+++ b/src/app/gateway/gateway_document_test.cpp
@@ -236,15 +236,16 @@
     }
     SECTION("a heartbeat reports the version for controllers of both releases")
     {
-        link::gateway_beat beat;
-        beat.documentVersion = held.textVersion();
-        beat.sliceVersion = held.version();
-        const auto decoded = link::decode(link::encode(link::message(beat)));
+        link::gateway_heartbeat heartbeat;
+        heartbeat.documentVersion = held.textVersion();
+        heartbeat.sliceVersion = held.version();
+        const auto decoded = link::decode(link::encode(link::message(heartbeat)));
         REQUIRE(decoded);
-        CHECK(std::get<link::gateway_beat>(*decoded).documentVersion == 0);
-        CHECK(std::get<link::gateway_beat>(*decoded).sliceVersion == 5U);
-        beat.sliceVersion.reset();
-        CHECK_FALSE(std::get<link::gateway_beat>(*link::decode(link::encode(link::message(beat)))).sliceVersion);
+        CHECK(std::get<link::gateway_heartbeat>(*decoded).documentVersion == 0);
+        CHECK(std::get<link::gateway_heartbeat>(*decoded).sliceVersion == 5U);
+        heartbeat.sliceVersion.reset();
+        CHECK_FALSE(
+            std::get<link::gateway_heartbeat>(*link::decode(link::encode(link::message(heartbeat)))).sliceVersion);
     }
 }
 
--- a/src/app/gateway/gateway_session.cpp
+++ b/src/app/gateway/gateway_session.cpp
@@ -198,15 +198,15 @@
         return;
     for (auto& target : m_callbacks.takeUnreachableTargets())
         m_unreachable.push_back(std::move(target));
-    link::gateway_beat beat { m_settings.id, ++m_sequence, m_document.textVersion(), m_document.reportedVersion(),
-        m_targets.revision(), m_callbacks.openAttempts(), std::exchange(m_unreachable, {}), m_callbacks.loads(),
-        m_incarnation, {}, false };
-    m_callbacks.fillRetries(beat);
+    link::gateway_heartbeat heartbeat { m_settings.id, ++m_sequence, m_document.textVersion(),
+        m_document.reportedVersion(), m_targets.revision(), m_callbacks.openAttempts(),
+        std::exchange(m_unreachable, {}), m_callbacks.loads(), m_incarnation, {}, false };
+    m_callbacks.fillRetries(heartbeat);
     const bool isFirst = !std::exchange(m_hasSentHeartbeat, true);
-    m_callbacks.fillQuarantine(beat, isFirst);
-    beat.limits = m_callbacks.takeLimitReports(isFirst);
-    beat.leavingTargets = m_callbacks.leavingTargets();
-    m_hub.send(m_channel, link::encode(link::message(std::move(beat))));
+    m_callbacks.fillQuarantine(heartbeat, isFirst);
+    heartbeat.limits = m_callbacks.takeLimitReports(isFirst);
+    heartbeat.leavingTargets = m_callbacks.leavingTargets();
+    m_hub.send(m_channel, link::encode(link::message(std::move(heartbeat))));
 }
 
 void gateway_session::sendHeartbeatSoon()
--- a/src/app/gateway/gateway_session.hpp
+++ b/src/app/gateway/gateway_session.hpp
@@ -31,9 +31,9 @@
         otherLoadsReceived; ///< of the other gateways, for the same targets
     std::function<void(const link::gateway_update&)> updateReceived; ///< before its changes are applied
     std::function<std::vector<registry::target_incarnation>()> takeUnreachableTargets; ///< seen since the last call
-    std::function<void(link::gateway_beat&)> fillRetries; ///< fills in the retries spent of the budgets
+    std::function<void(link::gateway_heartbeat&)> fillRetries; ///< fills in the retries spent of the budgets
     /// Fills in changes of the quarantine. @param isFirst whether the heartbeat is the first of this session
-    std::function<void(link::gateway_beat&, bool isFirst)> fillQuarantine;
+    std::function<void(link::gateway_heartbeat&, bool isFirst)> fillQuarantine;
     std::function<void(const link::gateway_update&)> quarantineReceived;
     /// Rate limits that targets have reported to this gateway. @param all also those sent in an earlier session
     std::function<std::vector<registry::limit_report>(bool all)> takeLimitReports
--- a/src/app/gateway/gateway_session_test.cpp
+++ b/src/app/gateway/gateway_session_test.cpp
@@ -61,8 +61,8 @@
     callbacks.openAttempts = [] { return 0U; };
     callbacks.loads = [] { return registry::target_loads(); };
     callbacks.otherLoadsReceived = [](const registry::target_loads&) {};
-    callbacks.fillRetries = [](link::gateway_beat&) {};
-    callbacks.fillQuarantine = [](link::gateway_beat&, bool) {};
+    callbacks.fillRetries = [](link::gateway_heartbeat&) {};
+    callbacks.fillQuarantine = [](link::gateway_heartbeat&, bool) {};
     callbacks.quarantineReceived = [](const link::gateway_update&) {};
     callbacks.takeUnreachableTargets = [] { return std::vector<registry::target_incarnation>(); };
     callbacks.updateReceived = [](const link::gateway_update&) {};
--- a/src/app/registry/registry.cpp
+++ b/src/app/registry/registry.cpp
@@ -35,10 +35,10 @@
     , m_watch(loop, dialect, m_state.targets(), m_backoffs, milliseconds(settings.targetHeartbeatMs),
           target_watch_callbacks {
               [this] { return m_log->isLeader(); },
-              [this](const link::target_heard& heard) {
+              [this](const link::target_heartbeat& heartbeat) {
                   if (!m_log->reachesLeader())
                       return false;
-                  m_pendingReport.heard.push_back(heard);
+                  m_pendingReport.heard.push_back(heartbeat);
                   return true;
               },
               [this](const registry::target_record& lost) { submitTargets({ lost }, [](bool) {}); },
@@ -231,7 +231,7 @@
     const auto message = decodeOrClose(*m_hub, channel, bytes);
     if (!message || m_log->onMessage(channel, *message))
         return;
-    if (const auto* heartbeat = std::get_if<link::gateway_beat>(&*message)) {
+    if (const auto* heartbeat = std::get_if<link::gateway_heartbeat>(&*message)) {
         onHeartbeat(channel, *heartbeat);
     } else if (const auto* report = std::get_if<link::member_report>(&*message)) {
         onReport(channel, *report);
--- a/src/app/registry/registry.hpp
+++ b/src/app/registry/registry.hpp
@@ -81,12 +81,12 @@
     /// @brief Whether the active document defines a service; true for any service while there is no document.
     [[nodiscard]] bool isKnownService(const std::string& service);
     void onMessage(link::channel_number channel, const std::string& bytes);
-    void onHeartbeat(link::channel_number channel, const link::gateway_beat& heartbeat);
+    void onHeartbeat(link::channel_number channel, const link::gateway_heartbeat& heartbeat);
     void onReport(link::channel_number channel, const link::member_report& report);
 
     /// @brief Queues the quarantine changes that a gateway reports, and skips batches that were queued before.
     void queueQuarantineChanges(
-        link::channel_number channel, session& gatewaySession, const link::gateway_beat& heartbeat);
+        link::channel_number channel, session& gatewaySession, const link::gateway_heartbeat& heartbeat);
     /// @brief Submits the queued changes to the log, unless an earlier submission is in flight.
     void submitQuarantine();
     void onQuarantineResult(const quarantine_submission& submission, bool committed);
--- a/src/app/registry/registry_sessions.cpp
+++ b/src/app/registry/registry_sessions.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-void registry_role::onHeartbeat(link::channel_number channel, const link::gateway_beat& heartbeat)
+void registry_role::onHeartbeat(link::channel_number channel, const link::gateway_heartbeat& heartbeat)
 {
     auto& gatewaySession = m_sessions[channel];
     if (gatewaySession.instance.empty()) {
--- a/src/app/registry/target_watch.hpp
+++ b/src/app/registry/target_watch.hpp
@@ -15,7 +15,7 @@
 
 struct target_watch_callbacks {
     std::function<bool()> isLeader;
-    std::function<bool(const link::target_heard&)> forwardToLeader; ///< false: the leader is unreachable
+    std::function<bool(const link::target_heartbeat&)> forwardToLeader; ///< false: the leader is unreachable
     std::function<void(const registry::target_record&)> onLost; ///< the record with its new state
 };
 
--- a/src/buckthornrail/link/message.cpp
+++ b/src/buckthornrail/link/message.cpp
@@ -162,7 +162,7 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(controller_place, address, controlAddress, failureDomain)
 using registry::readIfThere;
 
-static void to_json(nlohmann::json& out, const gateway_beat& value)
+static void to_json(nlohmann::json& out, const gateway_heartbeat& value)
 {
     out = { { "instance", value.instance }, { "sequence", value.sequence },
         { "documentVersion", value.documentVersion }, { "targetRevision", value.targetRevision },
@@ -173,7 +173,7 @@
     if (value.sliceVersion)
         out["sliceVersion"] = *value.sliceVersion;
 }
-static void from_json(const nlohmann::json& in, gateway_beat& value)
+static void from_json(const nlohmann::json& in, gateway_heartbeat& value)
 {
     in.at("instance").get_to(value.instance);
     in.at("sequence").get_to(value.sequence);
@@ -194,11 +194,11 @@
 }
 
 // As an array, like registry::gateway_usage.
-static void to_json(nlohmann::json& out, const target_heard& value)
+static void to_json(nlohmann::json& out, const target_heartbeat& value)
 {
     out = nlohmann::json::array({ value.id, value.startedMs, value.sequence });
 }
-static void from_json(const nlohmann::json& in, target_heard& value)
+static void from_json(const nlohmann::json& in, target_heartbeat& value)
 {
     value = { in.at(0).get<std::string>(), in.at(1).get<std::uint64_t>(), in.at(2).get<std::uint64_t>() };
 }
--- a/src/buckthornrail/link/message_test.cpp
+++ b/src/buckthornrail/link/message_test.cpp
@@ -56,20 +56,20 @@
 {
     request_fingerprint one;
     one.bytes.fill(0xA5);
-    gateway_beat beat;
-    beat.quarantineRevision = 4;
+    gateway_heartbeat heartbeat;
+    heartbeat.quarantineRevision = 4;
     registry::quarantine_change change;
     change.crashes.push_back({ { "t", 7 }, { one } });
     change.claims.push_back({ one, 11, { "u", 8 } });
     change.ends.push_back({ one, 11 });
     change.cleared.push_back(one);
     change.expired.push_back({ one, 3 });
-    beat.quarantine.push_back({ 5, change });
-    const auto bytes = encode(message(beat));
+    heartbeat.quarantine.push_back({ 5, change });
+    const auto bytes = encode(message(heartbeat));
     const auto back = decode(bytes);
     REQUIRE(back);
     CHECK(encode(*back) == bytes);
-    const auto& read = std::get<gateway_beat>(*back).quarantine.at(0).change;
+    const auto& read = std::get<gateway_heartbeat>(*back).quarantine.at(0).change;
     CHECK(read.crashes.at(0).begun.at(0) == one);
     CHECK(read.claims.at(0).target == registry::target_incarnation("u", 8));
     gateway_update update;
@@ -85,9 +85,9 @@
         nlohmann::json::to_cbor(envelope, shorter);
         return decode(shorter);
     };
-    CHECK(without(message(beat), { "quarantine", "quarantineRevision" }).has_value());
+    CHECK(without(message(heartbeat), { "quarantine", "quarantineRevision" }).has_value());
     CHECK(without(message(update), { "quarantine", "quarantineReceipts" }).has_value());
-    CHECK_FALSE(without(message(beat), { "life" }).has_value());
+    CHECK_FALSE(without(message(heartbeat), { "life" }).has_value());
     CHECK_FALSE(without(message(update), { "gateways" }).has_value());
 }
 
@@ -95,9 +95,9 @@
 TEST_CASE("codec: limits of targets and a gateway's number come back, and may be missing", "[link]")
 {
     const std::vector<registry::limit_report> limits { { { "t", 7 }, 2.5, 40 }, { "u", std::nullopt, 0 } };
-    gateway_beat beat;
-    beat.limits = limits;
-    beat.leavingTargets = { { "t", 7 } };
+    gateway_heartbeat heartbeat;
+    heartbeat.limits = limits;
+    heartbeat.leavingTargets = { { "t", 7 } };
     gateway_update update;
     update.limits = limits;
     update.ordinal = 3;
@@ -107,7 +107,7 @@
     registry::fleet_report answer;
     answer.limits = limits;
     answer.ordinals = { { "g", 3 } };
-    for (const message& whole : { message(beat), message(update), message(report), message(answer) }) {
+    for (const message& whole : { message(heartbeat), message(update), message(report), message(answer) }) {
         CHECK(encode(*decode(encode(whole))) == encode(whole));
         auto envelope = nlohmann::json::from_cbor(encode(whole));
         for (const std::string name : { "limits", "ordinal", "ordinals", "leavingTargets" })
@@ -116,7 +116,7 @@
         nlohmann::json::to_cbor(envelope, shorter);
         CHECK(decode(shorter).has_value());
     }
-    CHECK(std::get<gateway_beat>(*decode(encode(message(beat)))).leavingTargets == beat.leavingTargets);
+    CHECK(std::get<gateway_heartbeat>(*decode(encode(message(heartbeat)))).leavingTargets == heartbeat.leavingTargets);
     CHECK(std::get<member_report>(*decode(encode(message(report)))).leavingTargets == report.leavingTargets);
     const auto back = decode(encode(message(update)));
     CHECK(std::get<gateway_update>(*back).limits == limits);
--- a/tests/large_table_test.cpp
+++ b/tests/large_table_test.cpp
@@ -69,10 +69,10 @@
     link::event_loop loop;
     std::unique_ptr<link::link_hub> hub;
     const auto begin = [&hub](link::channel_number channel, bool) {
-        link::gateway_beat beat;
-        beat.instance = "gateway-blank";
-        beat.sequence = 1;
-        hub->send(channel, link::encode(link::message(beat)));
+        link::gateway_heartbeat heartbeat;
+        heartbeat.instance = "gateway-blank";
+        heartbeat.sequence = 1;
+        hub->send(channel, link::encode(link::message(heartbeat)));
     };
     const auto read = [&](link::channel_number, const std::string& received) {
         const auto message = link::decode(received);
