--- a/include/buckthornrail/link/event_loop.hpp
+++ b/include/buckthornrail/link/event_loop.hpp
@@ -29,7 +29,7 @@
     void run();
     void stop();
     /// @brief Tells of named work over its bound.
-    void watchWork(loop_watch::handler onHeld, milliseconds most = mostHeld);
+    void reportSlowTasks(loop_watch::handler onSlowTask, milliseconds threshold = slowTaskThreshold);
     /// @return empty: work isn't watched
     [[nodiscard]] loop_watch* watch() { return m_watch.get(); }
 
--- a/include/buckthornrail/link/loop_watch.hpp
+++ b/include/buckthornrail/link/loop_watch.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Finds work that holds up everything else on an event loop.
+/// @brief Detects tasks that block an event loop for too long.
 ///
 /// Plain C++17, like the loop.
 #pragma once
@@ -11,46 +11,47 @@
 
 namespace buckthornrail::link {
 
-/// Work over its bound.
-struct held_loop {
-    std::string_view work;
+/// A task that took at least the threshold.
+struct slow_task {
+    std::string_view name;
     milliseconds elapsed { 0 };
 };
 
-/// Streams wait as long for their next event.
-inline constexpr milliseconds mostHeld { 20 };
+/// Streams wait this long for their next event while such a task runs.
+inline constexpr milliseconds slowTaskThreshold { 20 };
 
-/// @brief Tells of work over its bound, of pieces within pieces the inner one where it is most of the outer.
+/// @brief Reports tasks that reach a time threshold. Of nested tasks only the inner one is reported if it took more
+/// than half of the outer one's time.
 class loop_watch {
 public:
-    using handler = std::function<void(const held_loop&)>;
+    using handler = std::function<void(const slow_task&)>;
 
-    explicit loop_watch(handler onHeld, milliseconds most = mostHeld)
-        : m_onHeld(std::move(onHeld))
-        , m_most(most)
+    explicit loop_watch(handler onSlowTask, milliseconds threshold = slowTaskThreshold)
+        : m_onSlowTask(std::move(onSlowTask))
+        , m_threshold(threshold)
     {
     }
 
-    /// @brief A piece of work has ended.
-    void worked(std::string_view work, steady_time begun, steady_time ended);
+    /// @brief Records a task that has ended; an inner task is recorded before its outer one.
+    void recordTask(std::string_view name, steady_time begun, steady_time ended);
 
 private:
-    handler m_onHeld;
-    milliseconds m_most;
-    steady_time m_toldBegun {}; ///< of the piece told of last
-    steady_time::duration m_toldElapsed {};
+    handler m_onSlowTask;
+    milliseconds m_threshold;
+    steady_time m_reportedStart {}; ///< of the task reported last
+    steady_time::duration m_reportedElapsed {};
 };
 
 class event_loop;
 
-/// @brief Names a piece of work on the loop, from its making to its end.
-class named_work {
+/// @brief Measures a task on the event loop, from construction to destruction.
+class timed_task {
 public:
-    /// @param name a literal
-    named_work(event_loop& loop, std::string_view name);
-    named_work(const named_work&) = delete;
-    named_work& operator=(const named_work&) = delete;
-    ~named_work();
+    /// @param name a string literal
+    timed_task(event_loop& loop, std::string_view name);
+    timed_task(const timed_task&) = delete;
+    timed_task& operator=(const timed_task&) = delete;
+    ~timed_task();
 
 private:
     event_loop& m_loop;
--- a/src/app/gateway/gateway_session.cpp
+++ b/src/app/gateway/gateway_session.cpp
@@ -286,14 +286,14 @@
 
 void gateway_session::onSlice(const link::document_slice& slice)
 {
-    const link::named_work work(m_loop, "document slice");
+    const link::timed_task task(m_loop, "document slice");
     if (const auto taken = m_document.take(slice); !taken)
         rejectChange(slice.to, taken.error());
 }
 
 bool gateway_session::takeDocument(const link::gateway_update& update)
 {
-    const link::named_work work(m_loop, "document");
+    const link::timed_task task(m_loop, "document");
     for (const auto& change : update.document) {
         if (const auto taken = m_document.take(change); !taken) {
             rejectChange(change.to, taken.error());
@@ -330,7 +330,7 @@
     if (!takeDocument(update))
         return;
     for (const auto& change : update.targets) {
-        const link::named_work work(m_loop, "targets");
+        const link::timed_task task(m_loop, "targets");
         const auto delta = readTargetsUpdate(change);
         if (!delta)
             telemetry::logEvent(event_code::MessageRejected,
--- a/src/app/gateway/gateway_session_test.cpp
+++ b/src/app/gateway/gateway_session_test.cpp
@@ -171,9 +171,9 @@
         loop.post(other);
     };
     loop.post(other);
-    loop.watchWork(
-        [&](const link::held_loop& piece) {
-            slicesInARow += piece.work == "document slice" ? 1 : 0;
+    loop.reportSlowTasks(
+        [&](const link::slow_task& task) {
+            slicesInARow += task.name == "document slice" ? 1 : 0;
             mostInARow = std::max(mostInARow, slicesInARow);
         },
         milliseconds(0));
--- a/src/app/registry/registry.cpp
+++ b/src/app/registry/registry.cpp
@@ -170,7 +170,7 @@
 {
     constexpr int invalid = 400;
     constexpr int conflict = 409;
-    const link::named_work work(m_loop, "publish");
+    const link::timed_task task(m_loop, "publish");
     const auto read = m_dialect.readDocument(call.text);
     if (!read) {
         logCall("publish", invalid, read.error().reason);
@@ -227,7 +227,7 @@
 
 void registry_role::onMessage(link::channel_number channel, const std::string& bytes)
 {
-    const link::named_work work(m_loop, "message");
+    const link::timed_task task(m_loop, "message");
     const auto message = decodeOrClose(*m_hub, channel, bytes);
     if (!message || m_log->onMessage(channel, *message))
         return;
@@ -244,7 +244,7 @@
 
 void registry_role::tick()
 {
-    const link::named_work work(m_loop, "tick");
+    const link::timed_task task(m_loop, "tick");
     const steady_time now = steadyNow();
     if (const auto gap = m_standstill.look(now); gap > milliseconds(0)) {
         telemetry::logEvent(event_code::ProcessStoodStill,
@@ -282,7 +282,7 @@
 
 void registry_role::onChanged()
 {
-    const link::named_work work(m_loop, "committed change");
+    const link::timed_task task(m_loop, "committed change");
     // Gateways are updated before the change is acknowledged, since the next leader may not be elected
     // in time to do it.
     pushAll();
--- a/src/app/shared/role_runner.cpp
+++ b/src/app/shared/role_runner.cpp
@@ -17,10 +17,10 @@
 
 void reportHeldLoop(link::event_loop& loop, telemetry::metrics& metrics)
 {
-    loop.watchWork([&metrics](const link::held_loop& held) {
-        metrics.count("loop_holds", std::string(held.work));
+    loop.reportSlowTasks([&metrics](const link::slow_task& task) {
+        metrics.count("loop_holds", std::string(task.name));
         telemetry::logEvent(event_code::LoopHeld,
-            { { "work", std::string(held.work) }, { "ms", std::to_string(held.elapsed.count()) } },
+            { { "work", std::string(task.name) }, { "ms", std::to_string(task.elapsed.count()) } },
             telemetry::severity::Warning);
     });
 }
--- a/src/app/shared/role_runner.hpp
+++ b/src/app/shared/role_runner.hpp
@@ -54,7 +54,7 @@
         { { "role", std::string(nameIn(settings::processRoleNames, kind)) }, { "instance", settings.id },
             { "link", settings.linkAddress }, { "http", settings.httpAddress } });
     const periodic_task logs(loop, logFlushPeriod, [&loop] {
-        const link::named_work work(loop, "log");
+        const link::timed_task task(loop, "log");
         telemetry::flushLog();
     });
     reportHeldLoop(loop, metrics);
@@ -98,7 +98,7 @@
     reload = std::make_unique<settings_watch>(
         loop, settings, kind, [&role](const settings::settings& changed) { role->reload(changed); });
     const periodic_task logs(loop, logFlushPeriod, [&loop] {
-        const link::named_work work(loop, "log");
+        const link::timed_task task(loop, "log");
         telemetry::flushLog();
     });
     reportHeldLoop(loop, metrics);
--- a/src/buckthornrail/link/link_hub.cpp
+++ b/src/buckthornrail/link/link_hub.cpp
@@ -36,9 +36,9 @@
 
 void event_loop::run() { m_implementation->io.run(); }
 
-void event_loop::watchWork(loop_watch::handler onHeld, milliseconds most)
+void event_loop::reportSlowTasks(loop_watch::handler onSlowTask, milliseconds threshold)
 {
-    m_watch = std::make_unique<loop_watch>(std::move(onHeld), most);
+    m_watch = std::make_unique<loop_watch>(std::move(onSlowTask), threshold);
 }
 
 void event_loop::stop() { m_implementation->io.stop(); }
