--- a/include/buckthornrail/link/message.hpp
+++ b/include/buckthornrail/link/message.hpp
@@ -113,11 +113,11 @@
 };
 
 /// Where a controller is. What it says of itself is empty where it wasn't heard of lately.
-struct controller_place {
+struct controller_location {
     std::string address; ///< link address
     std::string controlAddress; ///< for HTTP calls
     std::string failureDomain;
-    bool operator==(const controller_place&) const = default;
+    bool operator==(const controller_location&) const = default;
 };
 
 /// Entry to sidecars of an old chain: refuse all generations below this one.
@@ -200,7 +200,7 @@
     bool waitsForQuorum = false; ///< the controller knows a leader, and what it holds is still to be confirmed
     std::vector<text_update> document; ///< at most one: nothing to change
     std::vector<text_update> targets; ///< the same; between revisions of the table
-    std::vector<controller_place> controllers; ///< all members; empty: as told before in this session
+    std::vector<controller_location> controllers; ///< all members; empty: as told before in this session
     std::uint32_t gateways = 1; ///< that have a session now
     std::uint32_t budgetSharers = 0; ///< gateways that may have spent of the budget of repeats; 0: not known
     std::vector<registry::retry_counts> earlierRepeats; ///< at most one: of processes before this one; none: not known
--- a/src/app/gateway/gateway_session.cpp
+++ b/src/app/gateway/gateway_session.cpp
@@ -158,7 +158,7 @@
 
 std::string gateway_session::nearestController() const
 {
-    auto near = addressesIn(m_controllers, m_settings.failureDomain, &link::controller_place::address);
+    auto near = addressesIn(m_controllers, m_settings.failureDomain, &link::controller_location::address);
     if (std::find(near.begin(), near.end(), m_address) != near.end())
         return m_address;
     if (!near.empty())
--- a/src/app/gateway/gateway_session.hpp
+++ b/src/app/gateway/gateway_session.hpp
@@ -99,7 +99,7 @@
     const settings::settings& m_settings;
     gateway_session_callbacks m_callbacks;
     std::vector<std::string> m_seeds;
-    std::vector<link::controller_place> m_controllers; ///< as last reported
+    std::vector<link::controller_location> m_controllers; ///< as last reported
     std::string m_address; ///< of the controller dialled
     std::string m_nextController; ///< address of the controller to dial next; empty: any
     steady_time m_nextMoveAt {}; ///< earliest time of a move to a nearer controller
--- a/src/app/gateway/gateway_session_test.cpp
+++ b/src/app/gateway/gateway_session_test.cpp
@@ -38,7 +38,7 @@
     /// @brief Closes its listener and links.
     void stop() { m_hub.stop(); }
     /// @brief Sets the controllers that it reports.
-    void setPlaces(std::vector<link::controller_place> places) { m_places = std::move(places); }
+    void setPlaces(std::vector<link::controller_location> places) { m_places = std::move(places); }
 
 private:
     bool m_serves;
@@ -46,7 +46,7 @@
     std::uint16_t m_port;
     int m_heartbeats = 0;
     int m_sessions = 0;
-    std::vector<link::controller_place> m_places;
+    std::vector<link::controller_location> m_places;
 };
 
 } // namespace
@@ -77,7 +77,8 @@
     link::event_loop loop;
     fake_controller near(loop, true);
     fake_controller far(loop, true);
-    const std::vector<link::controller_place> places { { near.address(), "", "own" }, { far.address(), "", "other" } };
+    const std::vector<link::controller_location> places { { near.address(), "", "own" },
+        { far.address(), "", "other" } };
     near.setPlaces(places);
     far.setPlaces(places);
     settings::settings settings;
--- a/src/app/registry/registry.hpp
+++ b/src/app/registry/registry.hpp
@@ -150,7 +150,7 @@
     target_watch m_watch;
     std::uint64_t m_loggedTargetRevision = 0; ///< of the target table; its changes up to it have been logged
     std::map<link::channel_number, session> m_sessions;
-    std::vector<link::controller_place> m_places; ///< of all members, to be sent to gateways
+    std::vector<link::controller_location> m_places; ///< of all members, to be sent to gateways
     std::uint64_t m_placesRevision = 0; ///< counts changes of m_places
     registry::gateway_sessions m_gatewaySessions; ///< sessions are numbered by their channels
     registry::limit_table m_limits;
--- a/src/app/registry/registry_targets.cpp
+++ b/src/app/registry/registry_targets.cpp
@@ -10,7 +10,7 @@
 
 std::string registry_role::nextHeartbeatAddress(const registry::target_record& record) const
 {
-    const auto localAddresses = addressesIn(m_places, record.failureDomain, &link::controller_place::controlAddress);
+    const auto localAddresses = addressesIn(m_places, record.failureDomain, &link::controller_location::controlAddress);
     return localAddresses.empty() ? m_settings.httpAddress : preferredAddress(record.id, localAddresses);
 }
 
--- a/src/app/shared/preferred_address.cpp
+++ b/src/app/shared/preferred_address.cpp
@@ -18,8 +18,8 @@
     return best == addresses.end() ? std::string() : *best;
 }
 
-std::vector<std::string> addressesIn(const std::vector<link::controller_place>& places,
-    const std::string& failureDomain, std::string link::controller_place::*address)
+std::vector<std::string> addressesIn(const std::vector<link::controller_location>& places,
+    const std::string& failureDomain, std::string link::controller_location::*address)
 {
     std::vector<std::string> found;
     for (const auto& place : places) {
--- a/src/app/shared/preferred_address.hpp
+++ b/src/app/shared/preferred_address.hpp
@@ -15,7 +15,7 @@
 std::string preferredAddress(const std::string& key, const std::vector<std::string>& addresses);
 
 /// @brief Addresses of the controllers in a failure domain. @param address which of theirs
-std::vector<std::string> addressesIn(const std::vector<link::controller_place>& places,
-    const std::string& failureDomain, std::string link::controller_place::*address);
+std::vector<std::string> addressesIn(const std::vector<link::controller_location>& places,
+    const std::string& failureDomain, std::string link::controller_location::*address);
 
 } // namespace buckthornrail::app
--- a/src/app/shared/replicated_log.hpp
+++ b/src/app/shared/replicated_log.hpp
@@ -84,7 +84,7 @@
     /// @brief True when this member leads, or hears of a leader that it has an open link to.
     [[nodiscard]] bool reachesLeader() const { return isLeader() || leaderChannel() != 0; }
     /// @brief All members.
-    [[nodiscard]] std::vector<link::controller_place> places() const;
+    [[nodiscard]] std::vector<link::controller_location> places() const;
     /// @brief True when a member elsewhere holds a log.
     [[nodiscard]] bool knowsOtherLog() const;
 
@@ -120,7 +120,7 @@
     };
     /// A member that has said where it is, whether or not this one knows of it.
     struct introduction {
-        link::controller_place place;
+        link::controller_location place;
         steady_time deadline {}; ///< forgotten then, unless it says so again
     };
 
--- a/src/app/shared/replicated_log_links.cpp
+++ b/src/app/shared/replicated_log_links.cpp
@@ -86,9 +86,9 @@
     return {};
 }
 
-std::vector<link::controller_place> replicated_log::places() const
+std::vector<link::controller_location> replicated_log::places() const
 {
-    std::vector<link::controller_place> all;
+    std::vector<link::controller_location> all;
     for (const auto& member : m_replica->members()) {
         auto& place = all.emplace_back();
         if (member.id == m_replica->self())
--- a/src/buckthornrail/link/message.cpp
+++ b/src/buckthornrail/link/message.cpp
@@ -159,7 +159,7 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(lease_report, instances)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(join_request, member, address)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(controller_hello, member, address, initialized, controlAddress, failureDomain)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(controller_place, address, controlAddress, failureDomain)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(controller_location, address, controlAddress, failureDomain)
 using registry::readIfThere;
 
 static void to_json(nlohmann::json& out, const gateway_heartbeat& value)
