--- a/include/buckthornrail/link/link_hub.hpp
+++ b/include/buckthornrail/link/link_hub.hpp
@@ -1,8 +1,8 @@
 /// @file
 /// @brief Links between processes: binary messages over WebSockets. Plain C++17, see event_loop.hpp.
 ///
-/// A long message travels in pieces, of which only a few may be under way. Each piece that comes, and each that the
-/// other end has taken, is a sign of life: what is on its way never counts for silence, however long it takes. Messages
+/// Long messages are sent in chunks, a limited number of them in flight. Each received chunk and each acknowledgement
+/// counts as activity, so a link doesn't time out while a long message is in transit, however long that takes. Messages
 /// of one link arrive in the order in which they were sent.
 #pragma once
 
@@ -13,58 +13,60 @@
 
 namespace buckthornrail::link {
 
-/// Number of a link within this process; never used again. 0 is no link.
+/// Identifies a link within this process; never reused. 0: no link.
 using channel_number = std::uint64_t;
 
-/// Why a link ended.
+/// Why a link ended. Logs have the names that nameOf() returns.
 enum class link_end_cause : std::uint8_t {
-    PeerEnded, ///< the connection was closed or reset at the other end, or never accepted
-    Silent, ///< nothing was heard of the other end for three keep-alive periods
-    NotOpened, ///< dialled, and not open in time
-    ReadTooSlowly, ///< more waited to be sent than a link may hold
-    IllFormed, ///< the other end sent what is no piece of a message, or a message that is too long
-    OwnWish, ///< close() or stop() was called
+    ClosedByPeer, ///< the peer closed or reset the connection, or never accepted it
+    KeepAliveTimeout, ///< nothing was received for three keep-alive periods
+    OpenTimeout, ///< dialled, and not open within hub_options::openTimeout
+    SendBufferFull, ///< more than hub_options::maxBufferedBytes waited to be sent
+    ProtocolError, ///< the peer sent an invalid chunk, or a message that is too long
+    ClosedLocally, ///< close() or stop() was called
 };
 
-/// @brief Name of a cause, in lower case.
+/// @brief Name of a cause in logs, such as "peer_ended".
 const char* nameOf(link_end_cause cause);
 
-/// What is known of a link at its end, for logs.
+/// Details of the end of a link, for logs.
 struct link_end {
-    link_end_cause cause = link_end_cause::PeerEnded;
-    milliseconds silence { 0 }; ///< since the other end was heard last
-    std::size_t waitingBytes = 0; ///< given to send(), and not taken by the connection
+    link_end_cause cause = link_end_cause::ClosedByPeer;
+    milliseconds silence { 0 }; ///< since data was last received from the peer
+    std::size_t waitingBytes = 0; ///< passed to send() and not yet written to the connection
 };
 
-/// Called on the loop thread.
+/// Callbacks; called on the loop thread.
 struct hub_handlers {
     std::function<void(channel_number, bool inbound)> opened;
     std::function<void(channel_number)> closed; ///< once for every channel that was opened or dialled
     std::function<void(channel_number, std::string)> received;
-    /// May be empty. A piece of a longer message has come, or the other end has taken one.
+    /// May be empty. A chunk of a longer message was received, or the peer has acknowledged one.
     std::function<void(channel_number)> progressed = nullptr;
-    std::function<void(channel_number, const link_end&)> ending = nullptr; ///< may be empty; just before `closed`
+    std::function<void(channel_number, const link_end&)> ending
+        = nullptr; ///< may be empty; called just before `closed`
 };
 
 struct hub_options {
     std::size_t maxMessageBytes = 32U << 20U;
-    std::size_t maxBufferedBytes = 64U << 20U; ///< a link whose other end reads too slowly is closed
-    milliseconds keepAlivePeriod { 2000 }; ///< ping; a link silent for three of them is closed
-    /// Longest piece. One that takes longer than the patience of who waits counts for silence: elections begin after
-    /// 0.3 s at the least, in which a link of 14 KB a second carries one. With 16 KB a member at 80 KB a second lost
-    /// its leader in 3 of 5 runs beside ten busy processes, with 4 KB in none of 5.
-    std::size_t pieceBytes = 4U << 10U;
-    /// Pieces of long messages that the other end hasn't taken yet. What may wait in the network before a short message
-    /// on another link of this process: 25 links with 128 KB each are 150 ms at 170 Mbit/s. 128 KB a round trip is
-    /// 3 MB a second between regions 40 ms apart.
-    std::size_t piecesUnderWay = 32;
-    /// A dialled link that isn't open by then is closed. Where machines come and go this is well below a second, after
-    /// which the system sends an unanswered opening packet again: whoever dials anew reaches a peer as soon as it is
+    std::size_t maxBufferedBytes
+        = 64U << 20U; ///< unsent; a link that exceeds it is closed, as its peer reads too slowly
+    milliseconds keepAlivePeriod { 2000 }; ///< between pings; a link without activity for three of them is closed
+    /// A chunk that takes longer than the shortest election timeout (0.3 s) starts an election; in that time a link of
+    /// 14 KB/s transfers one of 4 KB. With chunks of 16 KB a member with 80 KB/s lost its leader in 3 of 5 runs beside
+    /// ten busy processes, with 4 KB in none of 5.
+    std::size_t maxChunkBytes = 4U << 10U;
+    /// Unacknowledged chunks of long messages on a link. Bounds the data queued in the network ahead of a short message
+    /// on another link of this process: 25 links with 128 KB each delay it by 150 ms at 170 Mbit/s. 128 KB per round
+    /// trip allow 3 MB/s between regions with a round trip of 40 ms.
+    std::size_t maxChunksInFlight = 32;
+    /// A dialled link that isn't open by then is closed. Where machines come and go it should be well below a second,
+    /// after which the operating system retransmits an unanswered SYN: a new dial then reaches a peer as soon as it is
     /// up.
     milliseconds openTimeout { 2000 };
 };
 
-/// @brief Accepts and dials links. All functions are called on the loop thread, or before it runs.
+/// @brief Accepts and dials links. Not thread-safe: to be used on the loop thread, or before the loop runs.
 /// @ingroup link
 class link_hub {
 public:
@@ -73,22 +75,25 @@
     link_hub& operator=(const link_hub&) = delete;
     ~link_hub();
 
-    /// @brief Accepts links at "IP:port"; port 0 takes a free one.
-    /// @return the port, or 0 when the address can't be used.
+    /// @brief Accepts links at "IP:port"; port 0 selects a free one.
+    /// @return the port; 0 when it can't listen at the address
     std::uint16_t listen(const std::string& address);
-    /// @brief Begins to open a link; `opened` or `closed` follows.
+    /// @brief Starts to open a link to "host:port"; `opened` or `closed` is called later.
     channel_number dial(const std::string& address);
-    /// @return false when the link isn't open; the message was not sent.
+    /// @brief Sends a message or queues it.
+    /// @return false when the link isn't open or its send buffer is full; the message is not sent
     bool send(channel_number channel, const std::string& message);
+    /// @brief Closes a link without a closing handshake; has no effect on an unknown one.
     void close(channel_number channel);
-    /// @brief Accepts no more, and closes all links.
+    /// @brief Stops listening and closes all links without calling `ending` or `closed`.
     void stop();
-    /// @brief Bytes of messages sent and received so far, for metrics.
+    /// @brief Bytes sent so far, with the framing of chunks, for metrics.
     [[nodiscard]] std::uint64_t bytesSent() const;
+    /// @brief Bytes received so far, with the framing of chunks, for metrics.
     [[nodiscard]] std::uint64_t bytesReceived() const;
-    /// @brief Bytes given to send() that the connections haven't taken yet, over all links.
+    /// @brief Bytes passed to send() that haven't been written to the connections yet, over all links.
     [[nodiscard]] std::size_t bytesWaiting() const;
-    /// @brief The same of one link.
+    /// @brief Bytes passed to send() that haven't been written to this link's connection yet; 0 for an unknown link.
     [[nodiscard]] std::size_t bytesWaiting(channel_number channel) const;
 
 private:
--- a/src/buckthornrail/link/link_hub.cpp
+++ b/src/buckthornrail/link/link_hub.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The one translation unit that sees websocketpp and asio. Compiled as C++17.
+/// @brief WebSocket links and the event loop. Compiled as C++17, as the only file that includes websocketpp.
 #include "buckthornrail/link/link_hub.hpp"
 
 #include "loop_implementation.hpp"
@@ -49,36 +49,37 @@
 using client_endpoint = websocketpp::client<websocketpp::config::asio_client>;
 using websocketpp::connection_hdl;
 
-/// An accepted link whose handshake isn't complete by then is closed.
-constexpr long acceptTimeoutMs = 2000;
-constexpr int keepAliveMisses = 3;
+/// Limit for opening and closing handshakes; a dialled link must also be open within hub_options::openTimeout.
+constexpr long handshakeTimeoutMs = 2000;
+constexpr int maxMissedKeepAlives = 3; ///< periods without activity after which a link is closed
 
-/// First byte of what goes over a connection.
-enum piece_kind : char {
-    LastPiece = 'L', ///< the rest of a message, or all of it
-    EarlierPiece = 'E', ///< the message goes on; the other end answers with PieceTaken
-    PieceTaken = 'T',
+/// First byte of each WebSocket message.
+enum chunk_kind : char {
+    FinalChunk = 'L', ///< the last chunk of a message, or a whole one
+    PartialChunk = 'E', ///< more chunks follow; the receiver answers with ChunkAck
+    ChunkAck = 'T', ///< acknowledges a PartialChunk
 };
 
-/// Messages of a link that aren't on their way yet.
+/// Messages of a link that haven't been sent completely.
 struct outgoing_queue {
     std::deque<std::string> messages;
-    std::size_t sentOfFirst = 0; ///< bytes
-    std::size_t bytes = 0; ///< of all messages, without those sent
-    std::size_t piecesUnderWay = 0;
+    std::size_t sentOfFront = 0; ///< bytes of the first message that have been sent
+    std::size_t bytes = 0; ///< unsent, of all messages
+    std::size_t chunksInFlight = 0; ///< sent and not yet acknowledged
 };
 
 struct link_state {
     connection_hdl handle;
     bool inbound = false;
     bool open = false;
-    steady_time silenceDeadline {};
-    steady_time heardAt {};
-    link_end_cause endCause = link_end_cause::PeerEnded; ///< once it is being ended
+    steady_time keepAliveDeadline {};
+    steady_time lastActivity {};
+    link_end_cause endCause = link_end_cause::ClosedByPeer; ///< set by drop()
     outgoing_queue outgoing;
-    std::string incoming; ///< pieces of a message that isn't whole yet
+    std::string partialMessage; ///< received chunks of an incomplete message
 };
 
+/// Names of link_end_cause in logs, in the order of its values; they differ from the enumerators.
 constexpr const char* endCauseNames[] { "peer_ended", "silent", "not_opened", "read_too_slowly", "ill_formed",
     "own_wish" };
 
@@ -111,9 +112,9 @@
         endpoint.clear_access_channels(websocketpp::log::alevel::all);
         endpoint.clear_error_channels(websocketpp::log::elevel::all);
         endpoint.init_asio(&loop.implementation().io);
-        endpoint.set_max_message_size(options.pieceBytes + 1);
-        endpoint.set_open_handshake_timeout(acceptTimeoutMs);
-        endpoint.set_close_handshake_timeout(acceptTimeoutMs);
+        endpoint.set_max_message_size(options.maxChunkBytes + 1);
+        endpoint.set_open_handshake_timeout(handshakeTimeoutMs);
+        endpoint.set_close_handshake_timeout(handshakeTimeoutMs);
         endpoint.set_tcp_post_init_handler([&endpoint](connection_hdl handle) {
             std::error_code ignored;
             endpoint.get_con_from_hdl(std::move(handle))
@@ -123,40 +124,40 @@
         endpoint.set_open_handler([this, inbound](const connection_hdl& handle) { onOpen(handle, inbound); });
         endpoint.set_close_handler([this](const connection_hdl& handle) { onClosed(handle); });
         endpoint.set_fail_handler([this](const connection_hdl& handle) { onClosed(handle); });
-        endpoint.set_pong_handler([this](const connection_hdl& handle, const std::string&) { heard(handle); });
+        endpoint.set_pong_handler([this](const connection_hdl& handle, const std::string&) { recordActivity(handle); });
         endpoint.set_message_handler([this](const connection_hdl& handle, const auto& message) {
-            const channel_number channel = heard(handle);
+            const channel_number channel = recordActivity(handle);
             bytesReceived += message->get_payload().size();
             if (channel != 0)
-                onPiece(channel, message->get_raw_payload());
+                onChunk(channel, message->get_raw_payload());
         });
     }
 
-    void onPiece(channel_number channel, std::string& piece)
+    void onChunk(channel_number channel, std::string& chunk)
     {
         auto& link = links[channel];
-        const char kind = piece.empty() ? '\0' : piece.front();
-        const bool isPart = kind == LastPiece || kind == EarlierPiece;
-        if ((!isPart && kind != PieceTaken) || link.incoming.size() + piece.size() > options.maxMessageBytes) {
-            drop(channel, link_end_cause::IllFormed);
+        const char kind = chunk.empty() ? '\0' : chunk.front();
+        const bool isData = kind == FinalChunk || kind == PartialChunk;
+        if ((!isData && kind != ChunkAck) || link.partialMessage.size() + chunk.size() > options.maxMessageBytes) {
+            drop(channel, link_end_cause::ProtocolError);
             return;
         }
-        if (kind == LastPiece && link.incoming.empty()) {
-            piece.erase(0, 1);
-            handlers.received(channel, std::move(piece));
+        if (kind == FinalChunk && link.partialMessage.empty()) {
+            chunk.erase(0, 1);
+            handlers.received(channel, std::move(chunk));
             return;
         }
-        if (isPart)
-            link.incoming.append(piece, 1);
-        if (kind == LastPiece) {
-            handlers.received(channel, std::exchange(link.incoming, {}));
+        if (isData)
+            link.partialMessage.append(chunk, 1);
+        if (kind == FinalChunk) {
+            handlers.received(channel, std::exchange(link.partialMessage, {}));
             return;
         }
-        if (kind == EarlierPiece) {
-            sendPiece(link, PieceTaken, {});
+        if (kind == PartialChunk) {
+            sendChunk(link, ChunkAck, {});
         } else {
-            link.outgoing.piecesUnderWay -= std::min<std::size_t>(link.outgoing.piecesUnderWay, 1);
-            sendMore(link);
+            link.outgoing.chunksInFlight -= std::min<std::size_t>(link.outgoing.chunksInFlight, 1);
+            sendQueued(link);
         }
         if (handlers.progressed)
             handlers.progressed(channel);
@@ -170,7 +171,7 @@
             links[known->second] = newLink(handle, inbound);
         }
         links[known->second].open = true;
-        const channel_number channel = heard(handle);
+        const channel_number channel = recordActivity(handle);
         handlers.opened(channel, inbound);
     }
 
@@ -179,7 +180,7 @@
         link_state state;
         state.handle = handle;
         state.inbound = inbound;
-        state.heardAt = boot_clock::now();
+        state.lastActivity = boot_clock::now();
         return state;
     }
 
@@ -191,7 +192,7 @@
         const channel_number channel = known->second;
         const link_state& state = links[channel];
         const link_end end { state.endCause,
-            std::chrono::duration_cast<milliseconds>(boot_clock::now() - state.heardAt), waitingBytesOf(state) };
+            std::chrono::duration_cast<milliseconds>(boot_clock::now() - state.lastActivity), waitingBytesOf(state) };
         channels.erase(known);
         links.erase(channel);
         if (stopped)
@@ -212,14 +213,15 @@
         return state.outgoing.bytes + buffered;
     }
 
-    channel_number heard(const connection_hdl& handle)
+    /// Extends a link's keep-alive deadline. @return 0: the link is unknown
+    channel_number recordActivity(const connection_hdl& handle)
     {
         const auto known = channels.find(handle);
         if (known == channels.end())
             return 0;
         auto& link = links[known->second];
-        link.heardAt = boot_clock::now();
-        link.silenceDeadline = link.heardAt + keepAliveMisses * options.keepAlivePeriod;
+        link.lastActivity = boot_clock::now();
+        link.keepAliveDeadline = link.lastActivity + maxMissedKeepAlives * options.keepAlivePeriod;
         return known->second;
     }
 
@@ -241,7 +243,7 @@
         for (const auto& [channel, state] : links) {
             if (!state.open)
                 continue;
-            if (now >= state.silenceDeadline) {
+            if (now >= state.keepAliveDeadline) {
                 silent.push_back(channel);
                 continue;
             }
@@ -252,11 +254,11 @@
                 client.ping(state.handle, "", ignored);
         }
         for (const channel_number channel : silent)
-            drop(channel, link_end_cause::Silent);
+            drop(channel, link_end_cause::KeepAliveTimeout);
     }
 
-    /// Gives a dialled link up unless it is open by its deadline.
-    void watchOpening(channel_number channel)
+    /// Closes a dialled link that isn't open within openTimeout.
+    void scheduleOpenTimeout(channel_number channel)
     {
         const std::weak_ptr<int> alive = lifetime;
         loop.runAt(boot_clock::now() + options.openTimeout, [this, alive, channel] {
@@ -264,11 +266,11 @@
                 return;
             const auto found = links.find(channel);
             if (found != links.end() && !found->second.open)
-                drop(channel, link_end_cause::NotOpened);
+                drop(channel, link_end_cause::OpenTimeout);
         });
     }
 
-    /// Ends a link at once: the closing handshake would wait for a peer that may be gone.
+    /// Closes a link without a closing handshake, which would wait for a peer that may be gone.
     void drop(channel_number channel, link_end_cause cause)
     {
         const auto found = links.find(channel);
@@ -279,7 +281,7 @@
         const bool inbound = found->second.inbound;
         std::error_code ignored;
         if (!found->second.open) {
-            // The library would wait for five seconds at the least, and tells nothing of a socket closed meanwhile.
+            // websocketpp would wait for at least five seconds, and calls no handler for a socket closed meanwhile.
             client.get_con_from_hdl(handle, ignored)->get_raw_socket().close(ignored);
             onClosed(handle);
             return;
@@ -290,59 +292,60 @@
             client.get_con_from_hdl(handle, ignored)->terminate(std::error_code());
     }
 
-    /// Sends a message, or what of it may be under way; the rest follows as the other end takes pieces.
+    /// Sends as many chunks of a message as may be in flight; the rest follows as the peer acknowledges them.
     bool send(channel_number channel, const std::string& message)
     {
         auto& link = links[channel];
         if (waitingBytesOf(link) > options.maxBufferedBytes) {
-            drop(channel, link_end_cause::ReadTooSlowly);
+            drop(channel, link_end_cause::SendBufferFull);
             return false;
         }
-        if (link.outgoing.messages.empty() && message.size() <= options.pieceBytes)
-            return sendPiece(link, LastPiece, message);
+        if (link.outgoing.messages.empty() && message.size() <= options.maxChunkBytes)
+            return sendChunk(link, FinalChunk, message);
         link.outgoing.messages.push_back(message);
         link.outgoing.bytes += message.size();
-        sendMore(link);
+        sendQueued(link);
         return true;
     }
 
-    void sendMore(link_state& link)
+    /// Sends queued chunks up to the limit in flight.
+    void sendQueued(link_state& link)
     {
         auto& out = link.outgoing;
-        while (!out.messages.empty() && out.piecesUnderWay < options.piecesUnderWay) {
+        while (!out.messages.empty() && out.chunksInFlight < options.maxChunksInFlight) {
             const std::string& message = out.messages.front();
-            const std::string_view rest = std::string_view(message).substr(out.sentOfFirst);
-            const std::string_view piece = rest.substr(0, options.pieceBytes);
-            const bool isLast = piece.size() == rest.size();
-            sendPiece(link, isLast ? LastPiece : EarlierPiece, piece);
-            out.bytes -= piece.size();
-            out.sentOfFirst += piece.size();
+            const std::string_view rest = std::string_view(message).substr(out.sentOfFront);
+            const std::string_view chunk = rest.substr(0, options.maxChunkBytes);
+            const bool isLast = chunk.size() == rest.size();
+            sendChunk(link, isLast ? FinalChunk : PartialChunk, chunk);
+            out.bytes -= chunk.size();
+            out.sentOfFront += chunk.size();
             if (!isLast) {
-                ++out.piecesUnderWay;
+                ++out.chunksInFlight;
                 continue;
             }
             out.messages.pop_front();
-            out.sentOfFirst = 0;
+            out.sentOfFront = 0;
         }
     }
 
-    bool sendPiece(const link_state& link, piece_kind kind, std::string_view piece)
+    bool sendChunk(const link_state& link, chunk_kind kind, std::string_view chunk)
     {
-        return link.inbound ? sendOver(server, link.handle, kind, piece) : sendOver(client, link.handle, kind, piece);
+        return link.inbound ? sendOver(server, link.handle, kind, chunk) : sendOver(client, link.handle, kind, chunk);
     }
 
     template <typename Endpoint>
-    bool sendOver(Endpoint& endpoint, const connection_hdl& handle, piece_kind kind, std::string_view piece)
+    bool sendOver(Endpoint& endpoint, const connection_hdl& handle, chunk_kind kind, std::string_view chunk)
     {
         std::error_code error;
         const auto connection = endpoint.get_con_from_hdl(handle, error);
         if (error)
             return false;
-        const auto message = connection->get_message(websocketpp::frame::opcode::binary, piece.size() + 1);
+        const auto message = connection->get_message(websocketpp::frame::opcode::binary, chunk.size() + 1);
         const char first = kind;
         message->append_payload(&first, 1);
-        message->append_payload(piece.data(), piece.size());
-        bytesSent += piece.size() + 1;
+        message->append_payload(chunk.data(), chunk.size());
+        bytesSent += chunk.size() + 1;
         return !connection->send(message);
     }
 
@@ -397,7 +400,7 @@
     state.channels.emplace(connection->get_handle(), channel);
     state.links[channel] = link_hub::implementation::newLink(connection->get_handle(), false);
     state.client.connect(connection);
-    state.watchOpening(channel);
+    state.scheduleOpenTimeout(channel);
     return channel;
 }
 
@@ -408,7 +411,7 @@
     return found != state.links.end() && found->second.open && state.send(channel, message);
 }
 
-void link_hub::close(channel_number channel) { m_implementation->drop(channel, link_end_cause::OwnWish); }
+void link_hub::close(channel_number channel) { m_implementation->drop(channel, link_end_cause::ClosedLocally); }
 
 void link_hub::stop()
 {
@@ -423,7 +426,7 @@
     for (const auto& [channel, link] : state.links)
         all.push_back(channel);
     for (const channel_number channel : all)
-        state.drop(channel, link_end_cause::OwnWish);
+        state.drop(channel, link_end_cause::ClosedLocally);
 }
 
 std::uint64_t link_hub::bytesSent() const { return m_implementation->bytesSent; }
--- a/src/buckthornrail/link/link_hub_test.cpp
+++ b/src/buckthornrail/link/link_hub_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Links that don't open, and long messages over slow ones.
+/// @brief Open timeouts of links, and chunked messages over slow ones.
 #include "buckthornrail/link/link_hub.hpp"
 #include "support/mute_listener.hpp"
 #include "support/relay.hpp"
@@ -10,10 +10,10 @@
 using namespace buckthornrail;
 using namespace buckthornrail::link;
 
-TEST_CASE("link: a dialled link that doesn't open is closed, once, and the hub goes on", "[link]")
+TEST_CASE("link: a dialled link that doesn't open is closed once, and other links keep working", "[link]")
 {
     constexpr milliseconds openTimeout { 50 };
-    constexpr milliseconds watchFor { 600 };
+    constexpr milliseconds runTime { 600 };
     const test_support::mute_listener mute;
     event_loop loop;
     std::vector<channel_number> closed;
@@ -36,7 +36,7 @@
         dead = hub.dial(mute.address());
         alive = hub.dial("127.0.0.1:" + std::to_string(port));
     });
-    loop.runAt(boot_clock::now() + watchFor, [&loop] { loop.stop(); });
+    loop.runAt(boot_clock::now() + runTime, [&loop] { loop.stop(); });
     loop.run();
     CHECK(closed == std::vector<channel_number> { dead });
     CHECK(opened == std::vector<channel_number> { alive });
@@ -45,36 +45,36 @@
 
 namespace {
 
-/// Two hubs on one loop, and what the second receives from the first.
+/// Two hubs on one loop; the second records the messages that it receives from the first.
 struct hub_pair {
     explicit hub_pair(const hub_options& options)
         : near(loop,
             { [this](channel_number, bool) { isOpen = true; }, [this](channel_number) { ++closed; },
-                [](channel_number, const std::string&) {}, [this](channel_number) { ++taken; } },
+                [](channel_number, const std::string&) {}, [this](channel_number) { ++chunksAcknowledged; } },
             options)
         , far(loop,
               { [](channel_number, bool) {}, [this](channel_number) { ++closed; },
                   [this](channel_number, const std::string& message) { received.push_back(message); },
-                  [this](channel_number) { ++come; } },
+                  [this](channel_number) { ++chunksReceived; } },
               options)
         , port(far.listen("127.0.0.1:0"))
     {
     }
 
-    /// Runs the loop until a condition holds. @return false when it doesn't in time
-    bool runUntil(const std::function<bool()>& holds, milliseconds patience)
+    /// Runs the loop until a condition holds. @return false when it doesn't hold in time
+    bool runUntil(const std::function<bool()>& holds, milliseconds timeout)
     {
         constexpr milliseconds step { 5 };
-        const auto deadline = boot_clock::now() + patience;
+        const auto deadline = boot_clock::now() + timeout;
         bool isMet = false;
-        std::function<void()> look = [&] {
+        std::function<void()> poll = [&] {
             isMet = holds();
             if (isMet || boot_clock::now() >= deadline)
                 loop.stop();
             else
-                loop.runAt(boot_clock::now() + step, look);
+                loop.runAt(boot_clock::now() + step, poll);
         };
-        loop.post(look);
+        loop.post(poll);
         loop.run();
         return isMet;
     }
@@ -82,8 +82,8 @@
     event_loop loop;
     bool isOpen = false;
     int closed = 0;
-    std::size_t taken = 0; ///< pieces, as the first was told
-    std::size_t come = 0; ///< pieces, as the second was told
+    std::size_t chunksAcknowledged = 0; ///< as reported to `near`
+    std::size_t chunksReceived = 0; ///< as reported to `far`
     std::vector<std::string> received;
     link_hub near;
     link_hub far;
@@ -92,9 +92,9 @@
 
 } // namespace
 
-TEST_CASE("link: a message that takes longer than the patience for silence keeps its link, and its place", "[link]")
+TEST_CASE("link: a transfer that outlasts the keep-alive timeout keeps its link and the order of messages", "[link]")
 {
-    constexpr milliseconds keepAlive { 50 }; // a link silent for 150 ms is closed
+    constexpr milliseconds keepAlive { 50 }; // a link without activity for 150 ms is closed
     constexpr std::size_t length = 400'000;
     constexpr std::uint64_t bytesPerSecond = 400'000;
     hub_options options;
@@ -118,18 +118,18 @@
     REQUIRE(hubs.received.size() == 2);
     CHECK(hubs.received[0] == message);
     CHECK(hubs.received[1] == "behind it");
-    const std::size_t pieces = length / options.pieceBytes; // without the last one
-    CHECK(hubs.come == pieces);
-    CHECK(hubs.taken + options.piecesUnderWay >= pieces);
+    const std::size_t chunks = length / options.maxChunkBytes; // except the final one
+    CHECK(hubs.chunksReceived == chunks);
+    CHECK(hubs.chunksAcknowledged + options.maxChunksInFlight >= chunks);
     CHECK(hubs.near.bytesWaiting() == 0);
 }
 
-TEST_CASE("link: messages of all lengths come whole and in order", "[link]")
+TEST_CASE("link: messages of all lengths arrive complete and in order", "[link]")
 {
-    rc::prop("lengths around those of pieces", [] {
+    rc::prop("lengths around the chunk size", [] {
         hub_options options;
-        options.pieceBytes = 8;
-        options.piecesUnderWay = 2;
+        options.maxChunkBytes = 8;
+        options.maxChunksInFlight = 2;
         const auto messages = *rc::gen::container<std::vector<std::string>>(rc::gen::string<std::string>());
         hub_pair hubs(options);
         channel_number channel = 0;
