--- a/include/buckthornrail/link/event_loop.hpp
+++ b/include/buckthornrail/link/event_loop.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One thread that owns a process's cores: posted events, timers and links all run on it.
+/// @brief Single-threaded event loop that runs a process's posted tasks, timers and links.
 ///
 /// Plain C++17, as websocketpp does not compile as C++20.
 #pragma once
@@ -13,6 +13,7 @@
 
 struct loop_implementation;
 
+/// @brief Wraps an asio context that one thread runs.
 /// @ingroup link
 class event_loop {
 public:
@@ -21,16 +22,17 @@
     event_loop& operator=(const event_loop&) = delete;
     ~event_loop();
 
-    /// @brief Runs a task on the loop thread, soon; callable from any thread.
+    /// @brief Queues a task for the loop thread; callable from any thread.
     void post(std::function<void()> task);
-    /// @brief Runs a task on the loop thread at a time; callable on the loop thread.
+    /// @brief Runs a task on the loop thread at the given time; callable only on the loop thread.
     void runAt(steady_time when, std::function<void()> task);
     /// @brief Runs until stop(); the calling thread becomes the loop thread.
     void run();
+    /// @brief Makes run() return.
     void stop();
-    /// @brief Tells of named work over its bound.
+    /// @brief Starts reporting timed tasks that take at least `threshold`.
     void reportSlowTasks(loop_watch::handler onSlowTask, milliseconds threshold = slowTaskThreshold);
-    /// @return empty: work isn't watched
+    /// @return nullptr unless reportSlowTasks() was called
     [[nodiscard]] loop_watch* watch() { return m_watch.get(); }
 
     loop_implementation& implementation() { return *m_implementation; }
--- a/include/buckthornrail/link/link_hub.hpp
+++ b/include/buckthornrail/link/link_hub.hpp
@@ -43,14 +43,13 @@
     std::function<void(channel_number, std::string)> received;
     /// May be empty. A chunk of a longer message was received, or the peer has acknowledged one.
     std::function<void(channel_number)> progressed = nullptr;
-    std::function<void(channel_number, const link_end&)> ending
-        = nullptr; ///< may be empty; called just before `closed`
+    /// May be empty. Called just before `closed`.
+    std::function<void(channel_number, const link_end&)> ending = nullptr;
 };
 
 struct hub_options {
     std::size_t maxMessageBytes = 32U << 20U;
-    std::size_t maxBufferedBytes
-        = 64U << 20U; ///< unsent; a link that exceeds it is closed, as its peer reads too slowly
+    std::size_t maxBufferedBytes = 64U << 20U; ///< unsent; a link whose peer reads too slowly for it is closed
     milliseconds keepAlivePeriod { 2000 }; ///< between pings; a link without activity for three of them is closed
     /// A chunk that takes longer than the shortest election timeout (0.3 s) starts an election; in that time a link of
     /// 14 KB/s transfers one of 4 KB. With chunks of 16 KB a member with 80 KB/s lost its leader in 3 of 5 runs beside
