--- a/src/buckthornrail/link/message.cpp
+++ b/src/buckthornrail/link/message.cpp
@@ -95,7 +95,7 @@
 }
 
 /// A field that the program before doesn't send: an upgrade is rolled while both are at work.
-template <typename Field> void readIfThere(const nlohmann::json& in, const char* name, Field& field)
+template <typename Field> void readOptional(const nlohmann::json& in, const char* name, Field& field)
 {
     if (const auto found = in.find(name); found != in.end())
         found->get_to(field);
@@ -112,8 +112,8 @@
     in.at("others").get_to(value.others);
     in.at("budgetSharers").get_to(value.budgetSharers);
     in.at("earlier").get_to(value.earlier);
-    readIfThere(in, "ordinals", value.ordinals);
-    readIfThere(in, "limits", value.limits);
+    readOptional(in, "ordinals", value.ordinals);
+    readOptional(in, "limits", value.limits);
 }
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(quarantine_batch, number, change)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(refused_trial, trial, why)
@@ -160,7 +160,7 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(join_request, member, address)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(controller_hello, member, address, initialized, controlAddress, failureDomain)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(controller_location, address, controlAddress, failureDomain)
-using registry::readIfThere;
+using registry::readOptional;
 
 static void to_json(nlohmann::json& out, const gateway_heartbeat& value)
 {
@@ -185,10 +185,10 @@
     in.at("life").get_to(value.life);
     in.at("repeats").get_to(value.repeats);
     in.at("isRepeatsComplete").get_to(value.isRepeatsComplete);
-    readIfThere(in, "quarantineRevision", value.quarantineRevision);
-    readIfThere(in, "quarantine", value.quarantine);
-    readIfThere(in, "limits", value.limits);
-    readIfThere(in, "leavingTargets", value.leavingTargets);
+    readOptional(in, "quarantineRevision", value.quarantineRevision);
+    readOptional(in, "quarantine", value.quarantine);
+    readOptional(in, "limits", value.limits);
+    readOptional(in, "leavingTargets", value.leavingTargets);
     if (const auto found = in.find("sliceVersion"); found != in.end())
         value.sliceVersion = found->get<std::uint64_t>();
 }
@@ -213,8 +213,8 @@
     in.at("sessions").get_to(value.sessions);
     in.at("heard").get_to(value.heard);
     in.at("darkTargets").get_to(value.darkTargets);
-    readIfThere(in, "limits", value.limits);
-    readIfThere(in, "leavingTargets", value.leavingTargets);
+    readOptional(in, "limits", value.limits);
+    readOptional(in, "leavingTargets", value.leavingTargets);
 }
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(text_update, from, to, patch)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(document_slice, from, to, number, count, digest, patch)
@@ -242,9 +242,9 @@
     in.at("earlierRepeats").get_to(value.earlierRepeats);
     in.at("othersOpenAttempts").get_to(value.othersOpenAttempts);
     in.at("othersLoads").get_to(value.othersLoads);
-    readIfThere(in, "quarantine", value.quarantine);
-    readIfThere(in, "quarantineReceipts", value.quarantineReceipts);
-    readIfThere(in, "limits", value.limits);
+    readOptional(in, "quarantine", value.quarantine);
+    readOptional(in, "quarantineReceipts", value.quarantineReceipts);
+    readOptional(in, "limits", value.limits);
     if (const auto found = in.find("ordinal"); found != in.end())
         value.ordinal = found->get<std::uint32_t>();
 }
@@ -271,10 +271,10 @@
 }
 
 /// The parser calls itself for each level: a message of a million open lists would end the process. Ours have ten.
-constexpr std::size_t deepestNesting = 64;
+constexpr std::size_t maxNestingDepth = 64;
 
 /// Reads a message and builds nothing; stops where it is nested too deep.
-class nesting_guard : public nlohmann::json_sax<json> {
+class nesting_checker : public nlohmann::json_sax<json> {
 public:
     [[nodiscard]] bool isTooDeep() const { return m_isTooDeep; }
 
@@ -298,7 +298,7 @@
 private:
     bool enter()
     {
-        m_isTooDeep = ++m_depth > deepestNesting;
+        m_isTooDeep = ++m_depth > maxNestingDepth;
         return !m_isTooDeep;
     }
     bool leave()
@@ -313,9 +313,9 @@
 
 bool isNestedTooDeep(const std::string& bytes)
 {
-    nesting_guard guard;
-    (void)json::sax_parse(bytes, &guard, json::input_format_t::cbor);
-    return guard.isTooDeep();
+    nesting_checker checker;
+    (void)json::sax_parse(bytes, &checker, json::input_format_t::cbor);
+    return checker.isTooDeep();
 }
 
 /// Reads CBOR of another process. @return MalformedMessage when it can't be read, or `build` throws for what it holds
--- a/src/buckthornrail/link/message_test.cpp
+++ b/src/buckthornrail/link/message_test.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 /// A default-made message of each type.
-template <std::size_t At = 0> std::vector<message> oneOfEach()
+template <std::size_t At = 0> std::vector<message> defaultMessages()
 {
     if constexpr (At < std::variant_size_v<message>) {
-        auto rest = oneOfEach<At + 1>();
+        auto rest = defaultMessages<At + 1>();
         rest.insert(rest.begin(), message(std::in_place_index<At>));
         return rest;
     } else {
@@ -28,7 +28,7 @@
 
 TEST_CASE("codec: every type of message comes back as it was", "[link]")
 {
-    for (const auto& one : oneOfEach()) {
+    for (const auto& one : defaultMessages()) {
         const auto bytes = encode(one);
         const auto back = decode(bytes);
         REQUIRE(back);
@@ -125,7 +125,7 @@
 
 TEST_CASE("codec: damaged bytes give an error or a message, never anything else", "[link][property]")
 {
-    const auto samples = oneOfEach();
+    const auto samples = defaultMessages();
     rc::prop("bytes", [&samples] {
         auto bytes = encode(samples[*rc::gen::inRange<std::size_t>(0, samples.size())]);
         const auto place = *rc::gen::inRange<std::size_t>(0, bytes.size());
