--- a/include/buckthornrail/link/agreement_json.hpp
+++ b/include/buckthornrail/link/agreement_json.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief JSON/CBOR form of the replicated log's types; shared by the link codec and the log files.
+/// @brief JSON/CBOR conversion of the replicated log's types, for links and log files.
 #pragma once
 
 #include "buckthornrail/agreement/types.hpp"
--- a/include/buckthornrail/link/message.hpp
+++ b/include/buckthornrail/link/message.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Every message between the system's processes, and the codec.
+/// @brief The messages between processes, and their codec.
 #pragma once
 
 #include "buckthornrail/agreement/types.hpp"
@@ -18,46 +18,47 @@
 
 namespace buckthornrail::link {
 
-/// Version of the messages below; a process refuses others.
+/// Version of the messages below; messages of other versions are rejected.
 inline constexpr std::uint32_t protocolVersion = 3;
 
-/// First message of a link to a sidecar. A higher epoch ends the earlier links of the same peer.
+/// First message of a link to a sidecar. A link with a higher epoch replaces the peer's earlier links.
 struct link_hello {
     instance_id instance;
     incarnation_number incarnation = 0;
     std::uint64_t epoch = 0;
 };
 
-/// The sidecar's answer.
+/// The sidecar's answer to link_hello.
 struct link_welcome {
     instance_id instance;
     incarnation_number incarnation = 0;
 };
 
-/// Daemon to controller: who I am and what I hold. Sent when the session begins and at each change.
+/// Instance to controller: its record, and the versions that it holds. Sent when the session begins and at each change.
 struct session_announce {
     membership::instance_record record;
     configuration_version configuration = 0;
     std::uint64_t membershipRevision = 0;
-    bool wantsState = false; ///< configuration and membership: entries do; a sidecar needs the version alone
+    /// Whether it needs the configuration and the membership, as an entry does. A sidecar needs only the version.
+    bool wantsState = false;
 };
 
-/// Daemon to controller, each heartbeat period.
+/// Instance to controller, once per heartbeat period.
 struct session_heartbeat {
     std::uint64_t sequence = 0;
 };
 
-/// Controller to daemon, after a quorum has confirmed that this controller is current. Everything that was committed
-/// before the heartbeat was received has been sent on the same link before this message.
+/// Controller to instance, after a quorum has confirmed that the controller is up to date. Everything that was
+/// committed before the heartbeat arrived is sent on the same link before this message.
 struct session_ack {
     std::uint64_t sequence = 0;
     configuration_version configuration = 0;
-    bool drain = false; ///< an operator wants this instance to drain
-    bool known = true; ///< false: announce yourself again
-    dispatch::target_order order; ///< to carry out; fence 0: none
+    bool drain = false; ///< an operator has requested that this instance drain
+    bool known = true; ///< false: the instance must announce itself again
+    dispatch::target_order order; ///< to be executed; fence 0: none
 };
 
-/// Sidecar to controller: an order has ended.
+/// Sidecar to controller: the outcome of an order.
 struct order_report {
     instance_id instance;
     dispatch::fencing_number fence = 0;
@@ -65,7 +66,7 @@
     std::string reason;
 };
 
-/// One page of a configuration update.
+/// Controller to instance: a page of an encoded configuration update.
 struct configuration_page {
     configuration_version from = 0;
     configuration_version to = 0;
@@ -74,30 +75,30 @@
     std::string bytes;
 };
 
-/// Entry to controller.
+/// Entry to controller: a claim on an idempotency key.
 struct claim_request {
     std::string commandId;
     dispatch::claim_command command;
 };
 
-/// Controller to entry.
+/// Controller to entry: the answer to a claim_request.
 struct claim_reply {
     std::string commandId;
-    bool available = false; ///< false: not known to be committed
+    bool available = false; ///< false: the claim isn't known to be committed
     dispatch::claim_result result;
 };
 
-/// Controller to leader: append this command if it isn't in the log yet.
+/// Controller to leader: a command to append unless the log contains it.
 struct forward_command {
     std::string bytes;
 };
 
-/// Controller to leader: these instances' heartbeats were heard since the last report.
+/// Controller to leader: instances with a heartbeat since the last report.
 struct lease_report {
     std::vector<instance_id> instances;
 };
 
-/// Controller to controllers: my disk is new; take me in.
+/// Controller to controllers: requests membership for a controller with empty storage.
 struct join_request {
     agreement::member_id member = 0;
     std::string address;
@@ -109,10 +110,10 @@
     std::string address;
     bool initialized = false;
     std::string controlAddress; ///< of the sender, for HTTP calls
-    std::string failureDomain; ///< the same
+    std::string failureDomain; ///< of the sender
 };
 
-/// Where a controller is. What it says of itself is empty where it wasn't heard of lately.
+/// Addresses and failure domain of a controller. Without recent contact to it only `address` is set.
 struct controller_location {
     std::string address; ///< link address
     std::string controlAddress; ///< for HTTP calls
@@ -120,23 +121,24 @@
     bool operator==(const controller_location&) const = default;
 };
 
-/// Entry to sidecars of an old chain: refuse all generations below this one.
+/// Entry to sidecars of an earlier chain: all generations of the request below this one are to be rejected.
 struct stage_fence {
     std::string request;
     std::uint32_t generation = 0;
 };
 
+/// Sidecar to entry: confirms a stage_fence.
 struct stage_fenced {
     std::string request;
     std::uint32_t generation = 0;
 };
 
-/// Entry to sidecars: the request is over.
+/// Entry to sidecars: the request has ended.
 struct stage_close {
     std::string request;
 };
 
-/// Last stage to entry: a token, or the end.
+/// Last stage to entry: a token, or the end of the answer.
 struct stage_token {
     std::string request;
     std::uint32_t generation = 0;
@@ -146,88 +148,89 @@
     std::string finishReason;
 };
 
-/// Any stage to entry: this generation can't go on.
+/// Any stage to entry: the generation has failed.
 struct stage_failed {
     std::string request;
     std::uint32_t generation = 0;
-    std::uint32_t stage = 0; ///< which one is at fault
+    std::uint32_t stage = 0; ///< the stage that caused the failure
     result_code code = result_code::Ok;
     std::string reason;
 };
 
-/// Gateway to controller, each heartbeat period: what it holds and what it has seen.
+/// Gateway to controller, once per heartbeat period: the versions that it holds, and what it has observed.
 struct gateway_heartbeat {
     instance_id instance;
     std::uint64_t sequence = 0;
-    std::uint64_t documentVersion = 0; ///< of the text that it holds; 0: none
-    /// Version in force of one that takes the document in slices. Nothing: of a program that needs the text.
+    std::uint64_t documentVersion = 0; ///< of the document's text that it holds; 0: none
+    /// Applied version of the document, from a gateway that accepts it in slices. Nothing: an earlier version of the
+    /// program, which needs the text.
     std::optional<std::uint64_t> sliceVersion;
-    std::uint64_t targetRevision = 0;
-    std::uint32_t openAttempts = 0; ///< under way at targets
-    std::vector<registry::target_incarnation>
-        darkTargets; ///< that were dead or cut off for it since the last heartbeat
-    registry::target_loads loads; ///< of its attempts, at the targets of that revision
-    std::uint64_t life = 0; ///< drawn by each process at its start
-    registry::retry_counts repeats; ///< that it spent within the window
-    bool isRepeatsComplete = false; ///< also those of processes before this one; false: it wants to be told of them
-    std::uint64_t quarantineRevision = 0; ///< of the standings that it holds
-    std::vector<registry::quarantine_batch> quarantine; ///< without a receipt so far
-    std::vector<registry::limit_report> limits; ///< that it heard targets name since the last heartbeat
-    std::vector<registry::target_incarnation> leavingTargets; ///< that told it so, and the table doesn't show it
+    std::uint64_t targetRevision = 0; ///< of the target table that it holds
+    std::uint32_t openAttempts = 0; ///< in flight at targets
+    std::vector<registry::target_incarnation> darkTargets; ///< unreachable for it since the last heartbeat
+    registry::target_loads loads; ///< of its attempts, by target of that revision
+    std::uint64_t life = 0; ///< incarnation: random number that each process draws at its start
+    registry::retry_counts repeats; ///< retries that it spent within the budget's window
+    bool isRepeatsComplete = false; ///< `repeats` includes earlier processes; false: it requests their retries
+    std::uint64_t quarantineRevision = 0; ///< of the quarantine stages that it holds
+    std::vector<registry::quarantine_batch> quarantine; ///< changes without a receipt so far
+    std::vector<registry::limit_report> limits; ///< rate limits from targets since the last heartbeat
+    std::vector<registry::target_incarnation> leavingTargets; ///< announced to it, and not yet in the target table
 };
 
-/// A text, or a change of the table of targets as encodeDelta() gives it, as a patch (see compression/text_patch.hpp).
+/// A text, or a change of the target table as encoded by encodeDelta(), as a patch (see compression/text_patch.hpp).
 struct text_update {
-    std::uint64_t from = 0; ///< version that the receiver must hold; 0: none, the patch stands for the whole text
+    std::uint64_t from = 0; ///< version that the receiver must hold; 0: none, the patch contains the whole text
     std::uint64_t to = 0;
     std::string patch;
 };
 
-/// Controller to gateway: a slice of a change of the document. The update that follows puts whole changes in force.
+/// Controller to gateway: a slice of a change of the document. The next gateway_update applies complete changes.
 struct document_slice {
-    std::uint64_t from = 0; ///< version that the receiver must hold; 0: none, the slices make the whole document
+    std::uint64_t from = 0; ///< version that the receiver must hold; 0: none, the slices form the whole document
     std::uint64_t to = 0;
-    std::uint32_t number = 0; ///< from 0 on
-    std::uint32_t count = 1; ///< of slices of this change
+    std::uint32_t number = 0; ///< index of the slice, from 0
+    std::uint32_t count = 1; ///< number of slices of this change
     std::uint64_t digest = 0; ///< of the document at `to`
-    std::string patch; ///< of the part, as encodeChange() gives it (see compression/text_patch.hpp)
+    std::string patch; ///< part of the change, from encodeChange() (see compression/text_patch.hpp)
 };
 
-/// Controller to gateway. Sent after a quorum has confirmed what the controller holds, or with what was committed.
+/// Controller to gateway. Sent after a quorum has confirmed the controller's state, or with committed changes.
 struct gateway_update {
-    std::uint64_t sequence = 0; ///< of the heartbeat that this answers; 0: none
-    bool isServed = false; ///< false: nothing else holds but `waitsForQuorum`
-    bool waitsForQuorum = false; ///< the controller knows a leader, and what it holds is still to be confirmed
-    std::vector<text_update> document; ///< at most one: nothing to change
-    std::vector<text_update> targets; ///< the same; between revisions of the table
-    std::vector<controller_location> controllers; ///< all members; empty: as told before in this session
-    std::uint32_t gateways = 1; ///< that have a session now
-    std::uint32_t budgetSharers = 0; ///< gateways that may have spent of the budget of repeats; 0: not known
-    std::vector<registry::retry_counts> earlierRepeats; ///< at most one: of processes before this one; none: not known
-    std::uint32_t othersOpenAttempts = 0; ///< under way from all other gateways, as they told last
-    registry::target_loads othersLoads; ///< the same by target, once the changes above are applied; empty: not told
-    std::vector<registry::quarantine_delta> quarantine; ///< at most one: nothing to change
+    std::uint64_t sequence = 0; ///< of the heartbeat that it answers; 0: none
+    bool isServed = false; ///< false: only `waitsForQuorum` is meaningful
+    bool waitsForQuorum = false; ///< the controller knows a leader, but a quorum hasn't confirmed its state yet
+    std::vector<text_update> document; ///< at most one; empty: no change
+    std::vector<text_update> targets; ///< at most one, between revisions of the table; empty: no change
+    std::vector<controller_location> controllers; ///< all members; empty: unchanged in this session
+    std::uint32_t gateways = 1; ///< with an open session, including the receiver
+    std::uint32_t budgetSharers = 0; ///< gateways that share the retry budget; 0: unknown
+    std::vector<registry::retry_counts> earlierRepeats; ///< at most one: of earlier processes; empty: unknown
+    std::uint32_t othersOpenAttempts = 0; ///< in flight from all other gateways, as reported last
+    registry::target_loads othersLoads; ///< by target of the table after `targets` is applied; empty: unknown
+    std::vector<registry::quarantine_delta> quarantine; ///< at most one; empty: no change
     std::vector<registry::quarantine_receipt> quarantineReceipts;
-    std::optional<std::uint32_t> ordinal; ///< which one of the sharers of the budget it is; nothing: not known
-    std::vector<registry::limit_report> limits; ///< that it wasn't told in this session
+    std::optional<std::uint32_t> ordinal; ///< its index among the gateways that share the budget; nothing: unknown
+    std::vector<registry::limit_report> limits; ///< not yet sent in this session
 };
 
-/// A target's heartbeat.
+/// A target's heartbeat, forwarded to the leader.
 struct target_heartbeat {
     std::string id;
     std::uint64_t startedMs = 0;
     std::uint64_t sequence = 0;
 };
 
-/// Controller to the one that leads: what came to it since its last report.
+/// Follower to leader: what it has received since its last report.
 struct member_report {
-    registry::member_report sessions; ///< gateways'
-    std::vector<target_heartbeat> heard; ///< heartbeats of targets
-    std::vector<registry::target_incarnation> darkTargets; ///< that were dead or cut off for a gateway
-    std::vector<registry::limit_report> limits; ///< that gateways heard targets name
-    std::vector<registry::target_incarnation> leavingTargets; ///< that told a gateway so
+    registry::member_report sessions; ///< of gateways
+    std::vector<target_heartbeat> heard; ///< received from targets
+    std::vector<registry::target_incarnation> darkTargets; ///< unreachable for a gateway
+    std::vector<registry::limit_report> limits; ///< rate limits that targets reported to gateways
+    std::vector<registry::target_incarnation> leavingTargets; ///< announced to a gateway
 };
 
+/// The position of a type in this list is its number on the wire.
 using message = std::variant<link_hello, link_welcome, session_announce, session_heartbeat, session_ack,
     configuration_page, membership::membership_delta, claim_request, claim_reply, forward_command, lease_report,
     join_request, controller_hello, agreement::peer_message, dispatch::attempt_offer, dispatch::attempt_accepted,
@@ -236,22 +239,22 @@
     dispatch::load_report, execution::stage_step, stage_fence, stage_fenced, stage_close, stage_token, stage_failed,
     order_report, gateway_heartbeat, gateway_update, member_report, registry::fleet_report, document_slice>;
 
-/// @brief A message as CBOR, with the protocol version and its type.
+/// @brief Encodes a message as CBOR, with the protocol version and the type.
 std::string encode(const message& value);
 
-/// @return the message; MalformedMessage or UnsupportedProtocol when it isn't one.
+/// @return the message; MalformedMessage when it can't be read, UnsupportedProtocol for another protocol version
 tl::expected<message, failure> decode(const std::string& bytes);
 
-/// @brief A change of the table of targets as CBOR.
+/// @brief Encodes a change of the target table as CBOR.
 std::string encodeDelta(const registry::target_delta& delta);
 
-/// @brief A change of the document, or a part of one, as CBOR.
+/// @brief Encodes a change of the document, or a part of one, as CBOR.
 std::string encodeChange(const document::change& change);
 
-/// @return the change; MalformedMessage when it isn't one.
+/// @return the change; MalformedMessage when it can't be read
 tl::expected<document::change, failure> decodeChange(const std::string& bytes);
 
-/// @return the change; MalformedMessage when it isn't one.
+/// @return the change; MalformedMessage when it can't be read
 tl::expected<registry::target_delta, failure> decodeDelta(const std::string& bytes);
 
 } // namespace buckthornrail::link
--- a/include/buckthornrail/link/state_json.hpp
+++ b/include/buckthornrail/link/state_json.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief JSON/CBOR form of types that both links and snapshots carry.
+/// @brief JSON/CBOR conversion of types that are used in both messages and snapshots.
 #pragma once
 
 #include "buckthornrail/configuration/configuration_store.hpp"
@@ -19,7 +19,7 @@
     {
         const auto known = buckthornrail::resultFromNumber(in.get<std::uint16_t>());
         if (!known)
-            throw std::out_of_range("result code is not known");
+            throw std::out_of_range("result code is unknown");
         value = *known;
     }
 };
@@ -72,7 +72,7 @@
 {
     const auto& bytes = in.get_binary();
     if (bytes.size() != value.bytes.size())
-        throw std::out_of_range("a fingerprint has another size");
+        throw std::out_of_range("request fingerprint has the wrong size");
     std::copy(bytes.begin(), bytes.end(), value.bytes.begin());
 }
 
@@ -99,7 +99,7 @@
 inline void from_json(const nlohmann::json& in, target_record& record)
 {
     in.at("id").get_to(record.id);
-    record.startedMs = in.value("startedMs", std::uint64_t { 0 }); // logs of earlier programs don't have it
+    record.startedMs = in.value("startedMs", std::uint64_t { 0 }); // missing in logs of earlier versions
     in.at("service").get_to(record.service);
     in.at("address").get_to(record.address);
     in.at("failureDomain").get_to(record.failureDomain);
--- a/src/buckthornrail/link/loop_implementation.hpp
+++ b/src/buckthornrail/link/loop_implementation.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The asio context behind an event loop. For translation units that speak to asio, which are all C++17.
+/// @brief The asio context of an event loop, for source files that use asio directly. Plain C++17.
 #pragma once
 
 #include "buckthornrail/core/clock.hpp"
@@ -16,10 +16,10 @@
     asio::executor_work_guard<asio::io_context::executor_type> guard { io.get_executor() };
 };
 
-/// How long the operating system is asked to wait for a timer. It waits by the steady clock, which stands still while
-/// the machine is suspended: timers that end meanwhile are found at the latest so long after it wakes.
+/// Limits how long asio waits for a timer. It waits on the steady clock, which stops while the machine is suspended:
+/// timers that expire during a suspension fire at most `longestWait` after it.
 struct boot_wait_traits {
-    // NOLINTBEGIN(readability-identifier-naming): asio calls it so
+    // NOLINTBEGIN(readability-identifier-naming): name required by asio
     static boot_clock::duration to_wait_duration(const boot_clock::duration& left)
     {
         constexpr milliseconds longestWait { 100 };
--- a/src/buckthornrail/link/message.cpp
+++ b/src/buckthornrail/link/message.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief CBOR form of the messages: {"v": version, "t": type, "b": body}.
+/// @brief CBOR codec of the messages: {"v": version, "t": type, "b": body}.
 #include "buckthornrail/link/message.hpp"
 
 #include "buckthornrail/link/agreement_json.hpp"
@@ -54,7 +54,7 @@
 namespace registry {
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(service_retries, service, repeats)
 
-// As arrays: there are hundreds of them in a second's reports, and the names would be most of their bytes.
+// As an array: reports contain hundreds per second, and field names would be most of their bytes.
 static void to_json(nlohmann::json& out, const gateway_usage& value)
 {
     out = nlohmann::json::array({ value.id, value.incarnation, value.spent, value.isComplete });
@@ -94,7 +94,7 @@
     value = { in.at(0).get<std::string>(), in.at(1).get<std::uint32_t>() };
 }
 
-/// A field that the program before doesn't send: an upgrade is rolled while both are at work.
+/// Reads a field that earlier versions don't send: during a rolling upgrade both versions run.
 template <typename Field> void readOptional(const nlohmann::json& in, const char* name, Field& field)
 {
     if (const auto found = in.find(name); found != in.end())
@@ -258,7 +258,7 @@
 
 using nlohmann::json;
 
-/// Fills the alternative of that position in the variant.
+/// Reads the variant's alternative with index `type`.
 template <typename Variant, std::size_t At = 0> Variant bodyFromJson(std::size_t type, const json& body)
 {
     if constexpr (At < std::variant_size_v<Variant>) {
@@ -266,14 +266,15 @@
             return Variant(std::in_place_index<At>, body.get<std::variant_alternative_t<At, Variant>>());
         return bodyFromJson<Variant, At + 1>(type, body);
     } else {
-        throw std::out_of_range("message type " + std::to_string(type) + " is not known");
+        throw std::out_of_range("message type " + std::to_string(type) + " is unknown");
     }
 }
 
-/// The parser calls itself for each level: a message of a million open lists would end the process. Ours have ten.
+/// The parser is recursive: a message with a million nested lists would overflow the stack. Valid messages have about
+/// ten levels.
 constexpr std::size_t maxNestingDepth = 64;
 
-/// Reads a message and builds nothing; stops where it is nested too deep.
+/// Measures the nesting depth of a message without building it, and stops parsing above the limit.
 class nesting_checker : public nlohmann::json_sax<json> {
 public:
     [[nodiscard]] bool isTooDeep() const { return m_isTooDeep; }
@@ -292,7 +293,7 @@
     bool end_array() override { return leave(); }
     bool parse_error(std::size_t /*at*/, const std::string& /*token*/, const json::exception& /*fault*/) override
     {
-        return false; // told by the parser that builds
+        return false; // reported by the second parse, in readCbor()
     }
 
 private:
@@ -318,7 +319,8 @@
     return checker.isTooDeep();
 }
 
-/// Reads CBOR of another process. @return MalformedMessage when it can't be read, or `build` throws for what it holds
+/// Reads CBOR from another process.
+/// @return the result of `build`; MalformedMessage when the CBOR can't be read or `build` throws
 template <typename Build>
 auto readCbor(const std::string& bytes, const Build& build) -> tl::expected<decltype(build(json())), failure>
 {
@@ -326,7 +328,7 @@
         return tl::make_unexpected(failure { result_code::MalformedMessage, reason });
     };
     if (isNestedTooDeep(bytes))
-        return malformed("it is nested too deep");
+        return malformed("message is nested too deeply");
     try {
         return build(json::from_cbor(bytes));
     } catch (const json::exception& fault) {
@@ -385,8 +387,8 @@
 
 namespace {
 
-/// Columns of a record in a change of the table, in the order of target_record: a table of 3,000 is read by each
-/// gateway with a tenth of a core, and names of fields were most of what it read.
+/// Encodes a target record as an array of its fields, in the order of target_record. Each gateway reads tables of 3,000
+/// targets with a tenth of a core, and field names would be most of the data.
 json rowOf(const registry::target_record& record)
 {
     return json::array(
@@ -398,22 +400,22 @@
 {
     constexpr std::size_t columns = 12;
     if (!row.is_array() || row.size() != columns)
-        throw std::out_of_range("a record of a target has other columns");
+        throw std::out_of_range("target record has the wrong number of columns");
     registry::target_record record;
     std::size_t column = 0;
-    const auto take = [&row, &column](auto& field) { row[column++].get_to(field); };
-    take(record.id);
-    take(record.startedMs);
-    take(record.service);
-    take(record.address);
-    take(record.failureDomain);
-    take(record.accelerator);
-    take(record.slots);
-    take(record.state);
-    take(record.layers.first);
-    take(record.layers.end);
-    take(record.sequence);
-    take(record.revision);
+    const auto readColumn = [&row, &column](auto& field) { row[column++].get_to(field); };
+    readColumn(record.id);
+    readColumn(record.startedMs);
+    readColumn(record.service);
+    readColumn(record.address);
+    readColumn(record.failureDomain);
+    readColumn(record.accelerator);
+    readColumn(record.slots);
+    readColumn(record.state);
+    readColumn(record.layers.first);
+    readColumn(record.layers.end);
+    readColumn(record.sequence);
+    readColumn(record.revision);
     return record;
 }
 
