--- a/src/buckthornrail/link/message_test.cpp
+++ b/src/buckthornrail/link/message_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The codec gives back what it was given and refuses what it can't read.
+/// @brief Round trips of the codec, and rejection of malformed messages.
 #include "app/controller/controller_state.hpp"
 #include "buckthornrail/link/message.hpp"
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A default-made message of each type.
+/// A default-constructed message of each type.
 template <std::size_t At = 0> std::vector<message> defaultMessages()
 {
     if constexpr (At < std::variant_size_v<message>) {
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("codec: every type of message comes back as it was", "[link]")
+TEST_CASE("codec: every type of message is decoded unchanged", "[link]")
 {
     for (const auto& one : defaultMessages()) {
         const auto bytes = encode(one);
@@ -52,7 +52,7 @@
     CHECK(read.heard.at(0).sequence == 12);
 }
 
-TEST_CASE("codec: what a gateway says of requests that end targets comes back, and may be missing", "[link]")
+TEST_CASE("codec: the quarantine fields of gateway messages are decoded unchanged, and are optional", "[link]")
 {
     request_fingerprint one;
     one.bytes.fill(0xA5);
@@ -76,7 +76,7 @@
     update.quarantine.push_back({ 6, true, { { one, registry::quarantine_stage::Held } } });
     update.quarantineReceipts.push_back({ 5, { { 11, registry::trial_refusal::Running } } });
     CHECK(encode(*decode(encode(message(update)))) == encode(message(update)));
-    // The program before sends neither; any other field must be there.
+    // Earlier versions send neither; all other fields are required.
     const auto without = [](const message& whole, const std::vector<std::string>& names) {
         auto envelope = nlohmann::json::from_cbor(encode(whole));
         for (const auto& name : names)
@@ -91,8 +91,9 @@
     CHECK_FALSE(without(message(update), { "gateways" }).has_value());
 }
 
-// Guards against an upgrade that can't be rolled: the program before neither sends nor reads these fields.
-TEST_CASE("codec: limits of targets and a gateway's number come back, and may be missing", "[link]")
+// Guards against a broken rolling upgrade: earlier versions neither send nor read these fields.
+TEST_CASE(
+    "codec: rate limits, leaving targets and a gateway's ordinal are decoded unchanged, and are optional", "[link]")
 {
     const std::vector<registry::limit_report> limits { { { "t", 7 }, 2.5, 40 }, { "u", std::nullopt, 0 } };
     gateway_heartbeat heartbeat;
@@ -123,7 +124,7 @@
     CHECK(std::get<gateway_update>(*back).ordinal == 3U);
 }
 
-TEST_CASE("codec: damaged bytes give an error or a message, never anything else", "[link][property]")
+TEST_CASE("codec: corrupted bytes are either rejected or decoded, without a crash", "[link][property]")
 {
     const auto samples = defaultMessages();
     rc::prop("bytes", [&samples] {
@@ -139,31 +140,31 @@
     });
 }
 
-TEST_CASE("codec: a row of a report that is no array of its kind is refused", "[link]")
+TEST_CASE("codec: a report with a malformed row is rejected", "[link]")
 {
     using nlohmann::json;
     member_report report;
     report.sessions.lives = { { "gateway", 7, {}, true } };
     report.heard = { { "target", 1, 2 } };
     const json good = json::from_cbor(encode(report));
-    const auto isRefused = [](const json& value) {
+    const auto isRejected = [](const json& value) {
         std::string bytes;
         json::to_cbor(value, bytes);
         const auto back = decode(bytes);
         return !back && back.error().code == result_code::MalformedMessage;
     };
-    REQUIRE_FALSE(isRefused(good));
+    REQUIRE_FALSE(isRejected(good));
     for (const json& row : { json::array(), json::array({ "target", 1 }), json::array({ 1, 1, 2 }), json("target") }) {
         json bad = good;
         bad["b"]["heard"][0] = row;
-        CHECK(isRefused(bad));
+        CHECK(isRejected(bad));
         bad = good;
         bad["b"]["sessions"]["lives"][0] = row;
-        CHECK(isRefused(bad));
+        CHECK(isRejected(bad));
     }
 }
 
-TEST_CASE("codec: a change of the table of targets comes back as it was", "[link]")
+TEST_CASE("codec: a change of the target table is decoded unchanged", "[link]")
 {
     registry::target_delta delta;
     delta.from = 3;
@@ -193,16 +194,16 @@
     json wrong = json::from_cbor(encodeDelta(delta));
     SECTION("a column is missing") { wrong["records"][0].erase(0); }
     SECTION("an unknown state") { wrong["records"][0][7] = 200; }
-    SECTION("a row is no array") { wrong["records"][0] = "i-1"; }
-    SECTION("a text for a number") { wrong["records"][0][6] = "four"; }
-    SECTION("no rows") { wrong.erase("records"); }
+    SECTION("a row is not an array") { wrong["records"][0] = "i-1"; }
+    SECTION("a string in place of a number") { wrong["records"][0][6] = "four"; }
+    SECTION("the rows are missing") { wrong.erase("records"); }
     std::string bytes;
     json::to_cbor(wrong, bytes);
     REQUIRE_FALSE(decodeDelta(bytes));
     CHECK(decodeDelta(bytes).error().code == result_code::MalformedMessage);
 }
 
-TEST_CASE("codec: another protocol version and unknown enumerators are refused", "[link]")
+TEST_CASE("codec: other protocol versions and unknown enumerators are rejected", "[link]")
 {
     using nlohmann::json;
     json envelope = json::from_cbor(encode(dispatch::attempt_refused { { "r", 1 }, result_code::Busy, "" }));
@@ -224,7 +225,7 @@
     CHECK(decode(bytesOf(changed)).error().code == result_code::MalformedMessage);
 }
 
-TEST_CASE("controller state: a saved state goes on as the first would have", "[state][property]")
+TEST_CASE("controller state: a restored state continues like the original", "[state][property]")
 {
     using namespace buckthornrail::app;
     rc::prop("commands", [] {
@@ -232,7 +233,7 @@
         const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 1000));
         const auto commandOf = [](int step, int number) {
             command value;
-            value.id = std::to_string(step % 3 == 0 ? number : step); // some are repeated
+            value.id = std::to_string(step % 3 == 0 ? number : step); // some ids repeat
             membership::instance_record record;
             record.id = "i" + std::to_string(step % 5);
             record.role = membership::instance_role::Sidecar;
@@ -279,7 +280,7 @@
     CHECK_FALSE(controller_state().restore("nonsense"));
 }
 
-TEST_CASE("codec: a message that is nested without end is refused", "[link]")
+TEST_CASE("codec: a message that is nested too deeply is rejected", "[link]")
 {
     constexpr std::size_t levels = 1'000'000;
     constexpr char listOfOne = '\x81';
