--- a/include/buckthornrail/link/link_hub.hpp
+++ b/include/buckthornrail/link/link_hub.hpp
@@ -48,7 +48,7 @@
 };
 
 struct hub_options {
-    std::size_t maxMessageBytes = 32U << 20U;
+    std::size_t maxMessageBytes = 32U << 20U; ///< of a received message; a link with a longer one is closed
     std::size_t maxBufferedBytes = 64U << 20U; ///< unsent; a link whose peer reads too slowly for it is closed
     milliseconds keepAlivePeriod { 2000 }; ///< between pings; a link without activity for three of them is closed
     /// A chunk that takes longer than the shortest election timeout (0.3 s) starts an election; in that time a link of
