--- a/src/app/gateway/gateway_session.cpp
+++ b/src/app/gateway/gateway_session.cpp
@@ -158,7 +158,7 @@
 
 std::string gateway_session::nearestController() const
 {
-    auto near = addressesIn(m_controllers, m_settings.failureDomain, &link::controller_place::address);
+    auto near = addressesIn(m_controllers, m_settings.failureDomain, &link::controller_location::address);
     if (std::find(near.begin(), near.end(), m_address) != near.end())
         return m_address;
     if (!near.empty())
@@ -198,15 +198,15 @@
         return;
     for (auto& target : m_callbacks.takeUnreachableTargets())
         m_unreachable.push_back(std::move(target));
-    link::gateway_beat beat { m_settings.id, ++m_sequence, m_document.textVersion(), m_document.reportedVersion(),
-        m_targets.revision(), m_callbacks.openAttempts(), std::exchange(m_unreachable, {}), m_callbacks.loads(),
-        m_incarnation, {}, false };
-    m_callbacks.fillRetries(beat);
+    link::gateway_heartbeat heartbeat { m_settings.id, ++m_sequence, m_document.textVersion(),
+        m_document.reportedVersion(), m_targets.revision(), m_callbacks.openAttempts(),
+        std::exchange(m_unreachable, {}), m_callbacks.loads(), m_incarnation, {}, false };
+    m_callbacks.fillRetries(heartbeat);
     const bool isFirst = !std::exchange(m_hasSentHeartbeat, true);
-    m_callbacks.fillQuarantine(beat, isFirst);
-    beat.limits = m_callbacks.takeLimitReports(isFirst);
-    beat.leavingTargets = m_callbacks.leavingTargets();
-    m_hub.send(m_channel, link::encode(link::message(std::move(beat))));
+    m_callbacks.fillQuarantine(heartbeat, isFirst);
+    heartbeat.limits = m_callbacks.takeLimitReports(isFirst);
+    heartbeat.leavingTargets = m_callbacks.leavingTargets();
+    m_hub.send(m_channel, link::encode(link::message(std::move(heartbeat))));
 }
 
 void gateway_session::sendHeartbeatSoon()
@@ -286,14 +286,14 @@
 
 void gateway_session::onSlice(const link::document_slice& slice)
 {
-    const link::named_work work(m_loop, "document slice");
+    const link::timed_task task(m_loop, "document slice");
     if (const auto taken = m_document.take(slice); !taken)
         rejectChange(slice.to, taken.error());
 }
 
 bool gateway_session::takeDocument(const link::gateway_update& update)
 {
-    const link::named_work work(m_loop, "document");
+    const link::timed_task task(m_loop, "document");
     for (const auto& change : update.document) {
         if (const auto taken = m_document.take(change); !taken) {
             rejectChange(change.to, taken.error());
@@ -330,7 +330,7 @@
     if (!takeDocument(update))
         return;
     for (const auto& change : update.targets) {
-        const link::named_work work(m_loop, "targets");
+        const link::timed_task task(m_loop, "targets");
         const auto delta = readTargetsUpdate(change);
         if (!delta)
             telemetry::logEvent(event_code::MessageRejected,
--- a/src/app/gateway/gateway_session_test.cpp
+++ b/src/app/gateway/gateway_session_test.cpp
@@ -38,7 +38,7 @@
     /// @brief Closes its listener and links.
     void stop() { m_hub.stop(); }
     /// @brief Sets the controllers that it reports.
-    void setPlaces(std::vector<link::controller_place> places) { m_places = std::move(places); }
+    void setPlaces(std::vector<link::controller_location> places) { m_places = std::move(places); }
 
 private:
     bool m_serves;
@@ -46,7 +46,7 @@
     std::uint16_t m_port;
     int m_heartbeats = 0;
     int m_sessions = 0;
-    std::vector<link::controller_place> m_places;
+    std::vector<link::controller_location> m_places;
 };
 
 } // namespace
@@ -61,8 +61,8 @@
     callbacks.openAttempts = [] { return 0U; };
     callbacks.loads = [] { return registry::target_loads(); };
     callbacks.otherLoadsReceived = [](const registry::target_loads&) {};
-    callbacks.fillRetries = [](link::gateway_beat&) {};
-    callbacks.fillQuarantine = [](link::gateway_beat&, bool) {};
+    callbacks.fillRetries = [](link::gateway_heartbeat&) {};
+    callbacks.fillQuarantine = [](link::gateway_heartbeat&, bool) {};
     callbacks.quarantineReceived = [](const link::gateway_update&) {};
     callbacks.takeUnreachableTargets = [] { return std::vector<registry::target_incarnation>(); };
     callbacks.updateReceived = [](const link::gateway_update&) {};
@@ -77,7 +77,8 @@
     link::event_loop loop;
     fake_controller near(loop, true);
     fake_controller far(loop, true);
-    const std::vector<link::controller_place> places { { near.address(), "", "own" }, { far.address(), "", "other" } };
+    const std::vector<link::controller_location> places { { near.address(), "", "own" },
+        { far.address(), "", "other" } };
     near.setPlaces(places);
     far.setPlaces(places);
     settings::settings settings;
@@ -171,9 +172,9 @@
         loop.post(other);
     };
     loop.post(other);
-    loop.watchWork(
-        [&](const link::held_loop& piece) {
-            slicesInARow += piece.work == "document slice" ? 1 : 0;
+    loop.reportSlowTasks(
+        [&](const link::slow_task& task) {
+            slicesInARow += task.name == "document slice" ? 1 : 0;
             mostInARow = std::max(mostInARow, slicesInARow);
         },
         milliseconds(0));
--- a/src/app/registry/registry.cpp
+++ b/src/app/registry/registry.cpp
@@ -35,10 +35,10 @@
     , m_watch(loop, dialect, m_state.targets(), m_backoffs, milliseconds(settings.targetHeartbeatMs),
           target_watch_callbacks {
               [this] { return m_log->isLeader(); },
-              [this](const link::target_heard& heard) {
+              [this](const link::target_heartbeat& heartbeat) {
                   if (!m_log->reachesLeader())
                       return false;
-                  m_pendingReport.heard.push_back(heard);
+                  m_pendingReport.heard.push_back(heartbeat);
                   return true;
               },
               [this](const registry::target_record& lost) { submitTargets({ lost }, [](bool) {}); },
@@ -170,7 +170,7 @@
 {
     constexpr int invalid = 400;
     constexpr int conflict = 409;
-    const link::named_work work(m_loop, "publish");
+    const link::timed_task task(m_loop, "publish");
     const auto read = m_dialect.readDocument(call.text);
     if (!read) {
         logCall("publish", invalid, read.error().reason);
@@ -227,11 +227,11 @@
 
 void registry_role::onMessage(link::channel_number channel, const std::string& bytes)
 {
-    const link::named_work work(m_loop, "message");
+    const link::timed_task task(m_loop, "message");
     const auto message = decodeOrClose(*m_hub, channel, bytes);
     if (!message || m_log->onMessage(channel, *message))
         return;
-    if (const auto* heartbeat = std::get_if<link::gateway_beat>(&*message)) {
+    if (const auto* heartbeat = std::get_if<link::gateway_heartbeat>(&*message)) {
         onHeartbeat(channel, *heartbeat);
     } else if (const auto* report = std::get_if<link::member_report>(&*message)) {
         onReport(channel, *report);
@@ -244,7 +244,7 @@
 
 void registry_role::tick()
 {
-    const link::named_work work(m_loop, "tick");
+    const link::timed_task task(m_loop, "tick");
     const steady_time now = steadyNow();
     if (const auto gap = m_standstill.look(now); gap > milliseconds(0)) {
         telemetry::logEvent(event_code::ProcessStoodStill,
@@ -282,7 +282,7 @@
 
 void registry_role::onChanged()
 {
-    const link::named_work work(m_loop, "committed change");
+    const link::timed_task task(m_loop, "committed change");
     // Gateways are updated before the change is acknowledged, since the next leader may not be elected
     // in time to do it.
     pushAll();
