--- a/include/buckthornrail/dispatch/messages.hpp
+++ b/include/buckthornrail/dispatch/messages.hpp
@@ -77,7 +77,7 @@
 };
 
 /// One piece of an answer. Sequence numbers count from 0 without a gap.
-struct answer_frame {
+struct response_frame {
     attempt_id attempt;
     std::uint32_t sequence = 0;
     frame_kind kind = frame_kind::Data;
@@ -87,12 +87,12 @@
 };
 
 /// The last message of an attempt that was started.
-struct answer_end {
+struct response_end {
     attempt_id attempt;
     result_code code = result_code::Ok;
     std::string reason;
     std::uint32_t frameCount = 0;
-    std::uint64_t digest = 0; ///< xxHash64 over all frames, see answer_digest
+    std::uint64_t digest = 0; ///< xxHash64 over all frames, see response_digest
     std::string finishReason; ///< "stop" or "length" for completions
 };
 
@@ -121,7 +121,7 @@
 };
 
 /// Entry to sidecar: send me the answer of this attempt from its first frame.
-struct answer_attach {
+struct response_attach {
     attempt_id attempt;
     incarnation_number incarnation = 0;
 };
--- a/include/buckthornrail/dispatch/request_run.hpp
+++ b/include/buckthornrail/dispatch/request_run.hpp
@@ -5,8 +5,8 @@
 #pragma once
 
 #include "buckthornrail/core/clock.hpp"
-#include "buckthornrail/dispatch/answer.hpp"
 #include "buckthornrail/dispatch/claim_table.hpp"
+#include "buckthornrail/dispatch/response.hpp"
 
 #include <deque>
 #include <set>
@@ -66,7 +66,7 @@
 };
 /// Give these frames to the caller.
 struct deliver_frames {
-    std::vector<answer_frame> frames;
+    std::vector<response_frame> frames;
 };
 /// Wait until a newer configuration has come, then call retryNow().
 struct await_configuration { };
@@ -92,8 +92,8 @@
     void accepted(const attempt_id& attempt, steady_time now);
     void refused(const attempt_refused& refusal, steady_time now);
     void started(const attempt_id& attempt, steady_time now);
-    void frame(const answer_frame& frame, steady_time now);
-    void ended(const answer_end& end, steady_time now);
+    void frame(const response_frame& frame, steady_time now);
+    void ended(const response_end& end, steady_time now);
     void revokeAnswered(const revoke_reply& reply, steady_time now);
     void attachAnswered(const attach_reply& reply, steady_time now);
     /// @brief The offer can't have left this process.
@@ -130,7 +130,7 @@
     void attachAgain(steady_time now);
     void revokeCurrent(const failure& why, steady_time now);
     void completeIfWhole(steady_time now);
-    void deliver(std::vector<answer_frame> frames);
+    void deliver(std::vector<response_frame> frames);
     void finish(failure result, const std::string& finishReason = {});
     void enter(phase next, steady_time phaseDeadline);
     [[nodiscard]] bool isCurrent(const attempt_id& attempt) const;
@@ -155,8 +155,8 @@
     claim_holder m_wanted; ///< the claim that was asked for
     failure m_lastFailure;
     std::set<instance_id> m_excluded;
-    std::optional<answer_assembler> m_assembler;
-    std::vector<answer_frame> m_held; ///< not streaming: kept until whole
+    std::optional<response_assembler> m_assembler;
+    std::vector<response_frame> m_held; ///< not streaming: kept until whole
     std::vector<std::string> m_tokensGiven;
     bool m_deliveredAny = false;
     std::deque<run_effect> m_effects;
--- a/include/buckthornrail/dispatch/answer.hpp
+++ b/include/buckthornrail/dispatch/response.hpp
@@ -10,15 +10,15 @@
 namespace buckthornrail::dispatch {
 
 /// @brief Running digest over an answer's frames, in order. Both ends compute it.
-class answer_digest {
+class response_digest {
 public:
-    answer_digest();
-    answer_digest(const answer_digest&) = delete;
-    answer_digest& operator=(const answer_digest&) = delete;
-    answer_digest(answer_digest&&) noexcept;
-    answer_digest& operator=(answer_digest&&) noexcept;
-    ~answer_digest();
-    void add(const answer_frame& frame);
+    response_digest();
+    response_digest(const response_digest&) = delete;
+    response_digest& operator=(const response_digest&) = delete;
+    response_digest(response_digest&&) noexcept;
+    response_digest& operator=(response_digest&&) noexcept;
+    ~response_digest();
+    void add(const response_frame& frame);
     [[nodiscard]] std::uint64_t value() const;
 
 private:
@@ -29,31 +29,31 @@
 enum class assembly_state {
     Open, ///< frames are missing, or the end
     Complete, ///< count and digest agree
-    Broken, ///< they don't, or the attempt ended in an error
+    Failed, ///< they don't, or the attempt ended in an error
 };
 
 /// @brief Puts the frames of one attempt in order; drops repeated frames and those of other attempts.
 /// @ingroup dispatch
-class answer_assembler {
+class response_assembler {
 public:
-    explicit answer_assembler(attempt_id attempt);
+    explicit response_assembler(attempt_id attempt);
 
     /// @brief Takes a frame. @return the frames that can now be delivered, in order.
-    std::vector<answer_frame> add(const answer_frame& frame);
+    std::vector<response_frame> add(const response_frame& frame);
     /// @brief Takes the end.
-    void end(const answer_end& end);
+    void end(const response_end& end);
 
     [[nodiscard]] assembly_state state() const;
-    [[nodiscard]] const std::optional<answer_end>& ending() const { return m_end; }
+    [[nodiscard]] const std::optional<response_end>& receivedEnd() const { return m_end; }
     /// @brief Frames dropped as repeated or foreign.
     [[nodiscard]] std::uint64_t dropped() const { return m_dropped; }
 
 private:
     attempt_id m_attempt;
     std::uint32_t m_next = 0;
-    std::map<std::uint32_t, answer_frame> m_early; ///< bounded by maxEarlyFrames
-    answer_digest m_digest;
-    std::optional<answer_end> m_end;
+    std::map<std::uint32_t, response_frame> m_outOfOrder; ///< bounded by maxOutOfOrderFrames
+    response_digest m_digest;
+    std::optional<response_end> m_end;
     std::uint64_t m_dropped = 0;
 };
 
--- a/include/buckthornrail/dispatch/sidecar_core.hpp
+++ b/include/buckthornrail/dispatch/sidecar_core.hpp
@@ -2,8 +2,8 @@
 /// @brief A sidecar's side of attempts, without I/O: gate, answers, and those who follow them.
 #pragma once
 
-#include "buckthornrail/dispatch/answer.hpp"
-#include "buckthornrail/dispatch/answer_store.hpp"
+#include "buckthornrail/dispatch/response.hpp"
+#include "buckthornrail/dispatch/response_store.hpp"
 #include "buckthornrail/dispatch/target_gate.hpp"
 
 #include <set>
@@ -11,7 +11,7 @@
 namespace buckthornrail::dispatch {
 
 /// What a sidecar tells an entry.
-using sidecar_message = std::variant<attempt_accepted, attempt_refused, attempt_started, answer_frame, answer_end,
+using sidecar_message = std::variant<attempt_accepted, attempt_refused, attempt_started, response_frame, response_end,
     revoke_reply, attach_reply, load_report>;
 
 struct send_to_channel {
@@ -42,16 +42,16 @@
 /// @ingroup dispatch
 class sidecar_core {
 public:
-    sidecar_core(instance_id self, gate_options options, std::size_t keepBytes, steady_time now);
+    sidecar_core(instance_id self, gate_options options, std::size_t maxStoredBytes, steady_time now);
 
     void offer(const attempt_offer& offer, channel_number channel, steady_time now);
     void revoke(const attempt_revoke& revoke, channel_number channel, steady_time now);
-    void attach(const answer_attach& attach, channel_number channel, steady_time now);
+    void attach(const response_attach& attach, channel_number channel, steady_time now);
     void channelLost(channel_number channel, steady_time now);
     void tick(steady_time now);
 
     /// @brief A piece of an answer from the target; its sequence number is set here.
-    void frame(answer_frame frame);
+    void frame(response_frame frame);
     void ended(const attempt_id& attempt, const work_outcome& outcome, steady_time now);
     /// @brief A stage is open and waits for steps.
     void stageOpened(const attempt_id& attempt);
@@ -72,7 +72,7 @@
         attempt_offer offer;
         steady_time deadline {};
         std::uint32_t nextSequence = 0;
-        answer_digest digest;
+        response_digest digest;
     };
 
     void carryOut(const std::vector<gate_effect>& effects);
@@ -83,7 +83,7 @@
 
     instance_id m_self;
     target_gate m_gate;
-    answer_store m_answers;
+    response_store m_responses;
     std::map<attempt_id, open_work> m_work;
     std::map<attempt_id, std::set<channel_number>> m_followers;
     std::deque<sidecar_effect> m_effects;
--- a/include/buckthornrail/link/message.hpp
+++ b/include/buckthornrail/link/message.hpp
@@ -230,8 +230,8 @@
 using message = std::variant<link_hello, link_welcome, session_announce, session_heartbeat, session_ack,
     configuration_page, membership::membership_delta, claim_request, claim_reply, forward_command, lease_report,
     join_request, controller_hello, agreement::peer_message, dispatch::attempt_offer, dispatch::attempt_accepted,
-    dispatch::attempt_refused, dispatch::attempt_started, dispatch::answer_frame, dispatch::answer_end,
-    dispatch::attempt_revoke, dispatch::revoke_reply, dispatch::answer_attach, dispatch::attach_reply,
+    dispatch::attempt_refused, dispatch::attempt_started, dispatch::response_frame, dispatch::response_end,
+    dispatch::attempt_revoke, dispatch::revoke_reply, dispatch::response_attach, dispatch::attach_reply,
     dispatch::load_report, execution::stage_step, stage_fence, stage_fenced, stage_close, stage_token, stage_failed,
     order_report, gateway_beat, gateway_update, member_report, registry::fleet_report, document_slice>;
 
--- a/src/app/entry/answer_queue.hpp
+++ b/src/app/entry/answer_queue.hpp
@@ -20,7 +20,7 @@
     std::string finishReason;
 };
 
-using answer_event = std::variant<dispatch::answer_frame, answer_finished>;
+using answer_event = std::variant<dispatch::response_frame, answer_finished>;
 
 /// @brief Bounded; the loop never waits on it.
 class answer_queue {
--- a/src/app/entry/entry.cpp
+++ b/src/app/entry/entry.cpp
@@ -167,9 +167,9 @@
         withChain(started->attempt.request, [&](auto& run, steady_time now) {
             run.stageOpened(m_links->instanceOf(channel), started->attempt.number, now);
         });
-    } else if (const auto* frame = std::get_if<dispatch::answer_frame>(&message)) {
+    } else if (const auto* frame = std::get_if<dispatch::response_frame>(&message)) {
         withAttempt(frame->attempt, [&](auto& run, steady_time now) { run.frame(*frame, now); });
-    } else if (const auto* end = std::get_if<dispatch::answer_end>(&message)) {
+    } else if (const auto* end = std::get_if<dispatch::response_end>(&message)) {
         withAttempt(end->attempt, [&](auto& run, steady_time now) { run.ended(*end, now); });
     } else if (const auto* revoked = std::get_if<dispatch::revoke_reply>(&message)) {
         withAttempt(revoked->attempt, [&](auto& run, steady_time now) { run.revokeAnswered(*revoked, now); });
@@ -279,7 +279,7 @@
         note(active.context.request.id,
             "the key is held by attempt " + toString(attach->attempt) + " at " + attach->target.instance);
         m_followers.emplace(attach->attempt.request, active.context.request.id);
-        sendTo(attach->target.instance, dispatch::answer_attach { attach->attempt, attach->target.incarnation });
+        sendTo(attach->target.instance, dispatch::response_attach { attach->attempt, attach->target.incarnation });
     } else if (const auto* frames = std::get_if<dispatch::deliver_frames>(&effect)) {
         for (const auto& frame : frames->frames)
             giveFrame(active.context, frame);
@@ -427,7 +427,7 @@
     context.queue->push(answer_finished { result, ran, finishReason });
 }
 
-void entry::giveFrame(run_context& context, dispatch::answer_frame frame)
+void entry::giveFrame(run_context& context, dispatch::response_frame frame)
 {
     if (context.nextSequence++ == 0)
         m_metrics.observeMs("first_token_ms", elapsedMs(context.begun, steadyNow()));
--- a/src/app/entry/entry.hpp
+++ b/src/app/entry/entry.hpp
@@ -95,7 +95,7 @@
     void sendClaim(active_run& active, const dispatch::send_claim& claim);
     void settleAttempt(run_context& context, const instance_id& instance, const failure& outcome);
     void finish(run_context& context, const failure& result, ran_state ran, const std::string& finishReason);
-    void giveFrame(run_context& context, dispatch::answer_frame frame);
+    void giveFrame(run_context& context, dispatch::response_frame frame);
 
     /// Calls an event function of the run that an attempt belongs to, and carries out what follows.
     template <typename Event> void withRun(const std::string& requestId, Event event);
--- a/src/app/entry/entry_api.cpp
+++ b/src/app/entry/entry_api.cpp
@@ -164,7 +164,7 @@
     }
 
     /// @return false when the caller has gone.
-    bool take(const dispatch::answer_frame& frame)
+    bool take(const dispatch::response_frame& frame)
     {
         if (frame.kind == dispatch::frame_kind::Head) {
             m_status = frame.status;
@@ -289,7 +289,7 @@
                 writer.finish(*end);
                 return;
             }
-            if (!writer.take(std::get<dispatch::answer_frame>(*event))) {
+            if (!writer.take(std::get<dispatch::response_frame>(*event))) {
                 m_loop.post([this, id = wanted->id] { m_role.abandon(id); });
                 return;
             }
--- a/src/app/entry/entry_chains.cpp
+++ b/src/app/entry/entry_chains.cpp
@@ -74,7 +74,7 @@
     } else if (const auto* close = std::get_if<execution::close_stage>(&effect)) {
         m_links->send(close->stage.instance, close->stage.linkAddress, link::stage_close { id });
     } else if (const auto* token = std::get_if<execution::deliver_token>(&effect)) {
-        dispatch::answer_frame frame;
+        dispatch::response_frame frame;
         frame.attempt = { id, active.run.generation() };
         frame.bytes = token->text;
         giveFrame(context, std::move(frame));
--- a/src/app/sidecar/sidecar.cpp
+++ b/src/app/sidecar/sidecar.cpp
@@ -150,7 +150,7 @@
         onOffer(channel, *offer);
     else if (const auto* revoke = std::get_if<dispatch::attempt_revoke>(&message))
         m_core.revoke(*revoke, channel, steadyNow());
-    else if (const auto* attach = std::get_if<dispatch::answer_attach>(&message))
+    else if (const auto* attach = std::get_if<dispatch::response_attach>(&message))
         m_core.attach(*attach, channel, steadyNow());
     else if (const auto* step = std::get_if<execution::stage_step>(&message))
         onStep(*step);
@@ -220,7 +220,7 @@
     auto canceller = std::make_shared<http::call_canceller>();
     m_cancellers[work.attempt] = canceller;
     asio::post(m_pool, [this, work, canceller] {
-        const auto sink = [this](dispatch::answer_frame frame) {
+        const auto sink = [this](dispatch::response_frame frame) {
             m_loop.post([this, frame = std::move(frame)]() mutable {
                 m_core.frame(std::move(frame));
                 carryOut();
--- a/src/app/sidecar/target_adapter.cpp
+++ b/src/app/sidecar/target_adapter.cpp
@@ -155,7 +155,7 @@
             if (!finishReason.empty())
                 return true; // the answer is over: a target that gives it again is not listened to
             try {
-                dispatch::answer_frame frame;
+                dispatch::response_frame frame;
                 frame.attempt = attempt;
                 if (readEvent(data, frame.bytes, finishReason))
                     sink(std::move(frame));
@@ -355,7 +355,7 @@
         request.deadline = deadline;
         addIdentity(request, attempt);
         const auto onHead = [&](int status, const std::vector<http::header_field>& headers) {
-            dispatch::answer_frame head;
+            dispatch::response_frame head;
             head.attempt = attempt;
             head.kind = dispatch::frame_kind::Head;
             head.status = status;
@@ -363,7 +363,7 @@
             sink(std::move(head));
         };
         const auto onBody = [&](const char* data, std::size_t size) {
-            dispatch::answer_frame frame;
+            dispatch::response_frame frame;
             frame.attempt = attempt;
             frame.bytes.assign(data, size);
             sink(std::move(frame));
--- a/src/app/sidecar/target_adapter.hpp
+++ b/src/app/sidecar/target_adapter.hpp
@@ -22,7 +22,7 @@
 using dispatch::work_outcome;
 
 /// Gets the frames of an answer as they come; sequence numbers are set by the caller.
-using frame_sink = std::function<void(dispatch::answer_frame)>;
+using frame_sink = std::function<void(dispatch::response_frame)>;
 
 /// One step of a split request at a layer-range engine.
 struct step_order {
--- a/src/buckthornrail/dispatch/request_run.cpp
+++ b/src/buckthornrail/dispatch/request_run.cpp
@@ -104,7 +104,7 @@
     enter(phase::Started, progressDeadline(now));
 }
 
-void request_run::frame(const answer_frame& frame, steady_time now)
+void request_run::frame(const response_frame& frame, steady_time now)
 {
     if (!isCurrent(frame.attempt) || !m_assembler || m_phase == phase::Finished)
         return;
@@ -116,7 +116,7 @@
     completeIfWhole(now);
 }
 
-void request_run::ended(const answer_end& end, steady_time now)
+void request_run::ended(const response_end& end, steady_time now)
 {
     if (!isCurrent(end.attempt) || !m_assembler || m_phase == phase::Finished)
         return;
@@ -383,10 +383,10 @@
     case assembly_state::Complete:
         if (!m_request.streams)
             m_effects.emplace_back(deliver_frames { std::exchange(m_held, {}) });
-        finish({ result_code::Ok, "" }, m_assembler->ending()->finishReason);
+        finish({ result_code::Ok, "" }, m_assembler->receivedEnd()->finishReason);
         return;
-    case assembly_state::Broken: {
-        const auto& end = *m_assembler->ending();
+    case assembly_state::Failed: {
+        const auto& end = *m_assembler->receivedEnd();
         if (end.code == result_code::Ok)
             rejectAnswer(now);
         else if (end.code == result_code::TargetRejected)
@@ -398,7 +398,7 @@
     }
 }
 
-void request_run::deliver(std::vector<answer_frame> frames)
+void request_run::deliver(std::vector<response_frame> frames)
 {
     if (frames.empty())
         return;
--- a/src/buckthornrail/dispatch/answer_test.cpp
+++ b/src/buckthornrail/dispatch/response_test.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// @brief Answers are whole and one's own.
-#include "buckthornrail/dispatch/answer.hpp"
-#include "buckthornrail/dispatch/answer_store.hpp"
+#include "buckthornrail/dispatch/response.hpp"
+#include "buckthornrail/dispatch/response_store.hpp"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -12,17 +12,17 @@
 
 namespace {
 
-struct whole_answer {
-    std::vector<answer_frame> frames;
-    answer_end end;
+struct complete_response {
+    std::vector<response_frame> frames;
+    response_end end;
 };
 
-whole_answer makeAnswer(const std::string& request, const std::vector<std::string>& texts)
+complete_response makeResponse(const std::string& request, const std::vector<std::string>& texts)
 {
-    whole_answer answer;
-    answer_digest digest;
+    complete_response answer;
+    response_digest digest;
     for (const auto& text : texts) {
-        answer_frame frame;
+        response_frame frame;
         frame.attempt = { request, 1 };
         frame.sequence = static_cast<std::uint32_t>(answer.frames.size());
         frame.bytes = text;
@@ -40,9 +40,9 @@
     "answer: whole and one's own under reordering, repeats, loss and mixing of any two requests", "[answer][property]")
 {
     rc::prop("assembly", [](const std::vector<std::string>& own, const std::vector<std::string>& foreign) {
-        const auto mine = makeAnswer("mine", own);
-        const auto other = makeAnswer("other", foreign);
-        std::vector<answer_frame> wire = mine.frames;
+        const auto mine = makeResponse("mine", own);
+        const auto other = makeResponse("other", foreign);
+        std::vector<response_frame> wire = mine.frames;
         wire.insert(wire.end(), other.frames.begin(), other.frames.end());
         for (const auto& frame : mine.frames) {
             if (*rc::gen::inRange(0, 3) == 0)
@@ -51,7 +51,7 @@
         std::shuffle(wire.begin(), wire.end(), std::mt19937_64(*rc::gen::arbitrary<std::uint64_t>()));
         const bool loses = *rc::gen::arbitrary<bool>() && !own.empty();
         const auto lost = *rc::gen::inRange<std::uint32_t>(0, static_cast<std::uint32_t>(own.size()) + 1);
-        answer_assembler assembler({ "mine", 1 });
+        response_assembler assembler({ "mine", 1 });
         std::vector<std::string> got;
         const auto endAt = *rc::gen::inRange<std::size_t>(0, wire.size() + 1);
         for (std::size_t at = 0; at <= wire.size(); ++at) {
@@ -74,26 +74,26 @@
 
 TEST_CASE("answer: a changed byte or a wrong count is noticed", "[answer]")
 {
-    auto answer = makeAnswer("r", { "one", "two" });
-    answer_assembler changed({ "r", 1 });
+    auto answer = makeResponse("r", { "one", "two" });
+    response_assembler changed({ "r", 1 });
     answer.frames[1].bytes = "twO";
     for (const auto& frame : answer.frames)
         changed.add(frame);
     changed.end(answer.end);
-    CHECK(changed.state() == assembly_state::Broken);
-    answer_assembler shorter({ "r", 1 });
-    shorter.add(makeAnswer("r", { "one", "two" }).frames[0]);
+    CHECK(changed.state() == assembly_state::Failed);
+    response_assembler shorter({ "r", 1 });
+    shorter.add(makeResponse("r", { "one", "two" }).frames[0]);
     answer.end.frameCount = 1;
     shorter.end(answer.end);
-    CHECK(shorter.state() == assembly_state::Broken);
+    CHECK(shorter.state() == assembly_state::Failed);
 }
 
 TEST_CASE("answer store: the oldest answers give way, but that they ran is kept", "[answer]")
 {
-    answer_store store(10);
+    response_store store(10);
     for (const std::string name : { "a", "b" }) {
         store.begin({ name, 1 });
-        answer_frame frame;
+        response_frame frame;
         frame.attempt = { name, 1 };
         frame.bytes = "12345678";
         store.add(frame);
--- a/src/buckthornrail/dispatch/sidecar_core.cpp
+++ b/src/buckthornrail/dispatch/sidecar_core.cpp
@@ -6,10 +6,10 @@
 
 namespace buckthornrail::dispatch {
 
-sidecar_core::sidecar_core(instance_id self, gate_options options, std::size_t keepBytes, steady_time now)
+sidecar_core::sidecar_core(instance_id self, gate_options options, std::size_t maxStoredBytes, steady_time now)
     : m_self(std::move(self))
     , m_gate(options, now)
-    , m_answers(keepBytes)
+    , m_responses(maxStoredBytes)
 {
 }
 
@@ -40,7 +40,7 @@
     carryOut(effects);
 }
 
-void sidecar_core::attach(const answer_attach& attach, channel_number channel, steady_time now)
+void sidecar_core::attach(const response_attach& attach, channel_number channel, steady_time now)
 {
     const auto reply = [&](attach_outcome outcome) { send(channel, attach_reply { attach.attempt, outcome }); };
     if (attach.incarnation != m_gate.options().incarnation) {
@@ -60,7 +60,7 @@
         reply(attach_outcome::Attached);
         return;
     }
-    const auto* answer = m_answers.find(attach.attempt);
+    const auto* answer = m_responses.find(attach.attempt);
     if (answer == nullptr || answer->evicted) {
         reply(attach_outcome::Gone);
         return;
@@ -85,10 +85,10 @@
 {
     carryOut(m_gate.tick(now));
     for (const auto& attempt : m_gate.takeForgotten())
-        m_answers.drop(attempt);
+        m_responses.drop(attempt);
 }
 
-void sidecar_core::frame(answer_frame frame)
+void sidecar_core::frame(response_frame frame)
 {
     const auto found = m_work.find(frame.attempt);
     if (found == m_work.end())
@@ -97,7 +97,7 @@
     frame.sequence = work.nextSequence++;
     work.digest.add(frame);
     if (work.offer.nonIdempotent)
-        m_answers.add(frame);
+        m_responses.add(frame);
     const auto channel = m_gate.channelOf(frame.attempt);
     sendToFollowers(frame.attempt, frame);
     send(channel, std::move(frame));
@@ -113,10 +113,10 @@
         return;
     }
     const auto& work = found->second;
-    const answer_end end { attempt, outcome.code, outcome.reason, work.nextSequence, work.digest.value(),
+    const response_end end { attempt, outcome.code, outcome.reason, work.nextSequence, work.digest.value(),
         outcome.finishReason };
     if (work.offer.nonIdempotent)
-        m_answers.end(end);
+        m_responses.end(end);
     const auto channel = m_gate.channelOf(attempt);
     send(channel, end);
     sendToFollowers(attempt, end);
@@ -139,7 +139,7 @@
 
 void sidecar_core::notBegun(const attempt_id& attempt, const failure& why, steady_time now)
 {
-    m_answers.drop(attempt);
+    m_responses.drop(attempt);
     carryOut(m_gate.notBegun(attempt, why, now));
 }
 
@@ -193,7 +193,7 @@
         return;
     const auto& work = found->second;
     if (work.offer.nonIdempotent)
-        m_answers.begin(attempt);
+        m_responses.begin(attempt);
     m_effects.emplace_back(start_work { attempt, work.offer.work, work.deadline });
     if (work.offer.work.kind != work_kind::Stage) {
         send(m_gate.channelOf(attempt), attempt_started { attempt });
--- a/tests/support/request_world.cpp
+++ b/tests/support/request_world.cpp
@@ -243,7 +243,7 @@
                    [&](const send_attach& attach) {
                        m_entries[entry].followers.emplace(attach.attempt.request, open.run.request().id);
                        sendToSidecar(entry, sidecarOf(attach.target),
-                           answer_attach { attach.attempt, attach.target.incarnation });
+                           response_attach { attach.attempt, attach.target.incarnation });
                    },
                    [&](const deliver_frames& frames) {
                        for (const auto& frame : frames.frames)
@@ -349,7 +349,7 @@
                        revoke.incarnation = known(revoke.incarnation);
                        core.revoke(revoke, channel, m_now);
                    },
-                   [&](answer_attach attach) {
+                   [&](response_attach attach) {
                        attach.incarnation = known(attach.incarnation);
                        core.attach(attach, channel, m_now);
                    },
@@ -377,7 +377,7 @@
                    [&](const attempt_started& one) {
                        withAttempt(entry, one.attempt, [&](request_run& run) { run.started(one.attempt, m_now); });
                    },
-                   [&](answer_frame one) {
+                   [&](response_frame one) {
                        if (missing == missing_protection::Ownership && !m_entries[entry].runs.empty()) {
                            auto& open = m_entries[entry].runs.begin()->second;
                            if (isForeign(open, one.attempt))
@@ -385,13 +385,13 @@
                        }
                        withAttempt(entry, one.attempt, [&](request_run& run) { run.frame(one, m_now); });
                    },
-                   [&](const answer_end& one) {
+                   [&](const response_end& one) {
                        auto end = one;
                        if (missing == missing_protection::Digests) {
                            withAttempt(entry, one.attempt, [&](request_run& run) {
                                // Claims that whatever has come is the whole answer.
                                end.frameCount = 0;
-                               end.digest = answer_digest().value();
+                               end.digest = response_digest().value();
                                run.ended(end, m_now);
                            });
                            return;
--- a/tests/support/request_world.hpp
+++ b/tests/support/request_world.hpp
@@ -80,7 +80,7 @@
     [[nodiscard]] std::size_t entries() const { return m_entries.size(); }
 
 private:
-    using to_sidecar = std::variant<attempt_offer, attempt_revoke, answer_attach>;
+    using to_sidecar = std::variant<attempt_offer, attempt_revoke, response_attach>;
     using event = std::function<void()>;
 
     struct job {
--- a/tests/support/request_world_sidecars.cpp
+++ b/tests/support/request_world_sidecars.cpp
@@ -85,7 +85,7 @@
         end({ result_code::Ok, "", "length", false });
         return;
     }
-    answer_frame frame;
+    response_frame frame;
     frame.attempt = attempt;
     frame.bytes = nextToken(job.text);
     job.text += frame.bytes;
--- a/tools/bench_core.cpp
+++ b/tools/bench_core.cpp
@@ -148,7 +148,7 @@
 
 void frameCodec(benchmark::State& state)
 {
-    dispatch::answer_frame frame;
+    dispatch::response_frame frame;
     frame.attempt = { "0123456789abcdef0123456789abcdef", 1 };
     frame.bytes = " anchor42";
     std::size_t size = 0;
