--- a/include/buckthornrail/dispatch/order_keeper.hpp
+++ b/include/buckthornrail/dispatch/order_keeper.hpp
@@ -18,11 +18,11 @@
 namespace buckthornrail::dispatch {
 
 /// Issued by the controllers' log, higher for each order.
-using fencing_number = std::uint64_t;
+using fencing_token = std::uint64_t;
 
 /// Load this version of this model.
 struct target_order {
-    fencing_number fence = 0;
+    fencing_token fence = 0;
     std::string model;
     std::string version;
 };
@@ -58,12 +58,12 @@
     void offer(const target_order& order, steady_time now);
     void workEnded(steady_time now);
     /// @brief The call for an order has ended. @param refusedAsOld by the target, which knows a higher number
-    void answered(fencing_number fence, bool accepted, bool refusedAsOld, steady_time now);
+    void answered(fencing_token fence, bool accepted, bool refusedAsOld, steady_time now);
     void stateRead(const std::string& model, const std::string& version, steady_time now);
     void tick(steady_time now);
 
     std::optional<order_effect> nextEffect();
-    [[nodiscard]] fencing_number highest() const { return m_highest; }
+    [[nodiscard]] fencing_token highest() const { return m_highest; }
     [[nodiscard]] bool isIdle() const { return m_phase == phase::Idle; }
 
 private:
@@ -76,7 +76,7 @@
 
     order_options m_options;
     phase m_phase = phase::Idle;
-    fencing_number m_highest = 0;
+    fencing_token m_highest = 0;
     std::optional<target_order> m_current;
     std::optional<target_order> m_waiting; ///< the newest that came meanwhile
     steady_time m_settledDeadline; ///< until then an earlier incarnation's order may still take effect
--- a/include/buckthornrail/link/message.hpp
+++ b/include/buckthornrail/link/message.hpp
@@ -60,7 +60,7 @@
 /// Sidecar to controller: an order has ended.
 struct order_report {
     instance_id instance;
-    dispatch::fencing_number fence = 0;
+    dispatch::fencing_token fence = 0;
     result_code code = result_code::Ok;
     std::string reason;
 };
--- a/src/app/controller/controller_state.cpp
+++ b/src/app/controller/controller_state.cpp
@@ -124,7 +124,7 @@
         m_claims.restore(
             whole.at("claims").get<std::vector<dispatch::claim_record>>(), whole.at("clock").get<std::uint64_t>());
         m_placement.restore(
-            whole.at("orders").get<std::vector<order_record>>(), whole.at("fence").get<dispatch::fencing_number>());
+            whole.at("orders").get<std::vector<order_record>>(), whole.at("fence").get<dispatch::fencing_token>());
         m_recentIds.assign(whole.at("recent").get<std::deque<std::string>>());
     } catch (const json::exception& fault) {
         return tl::make_unexpected(failure { result_code::StorageCorrupt, fault.what() });
--- a/src/app/controller/controller_state.hpp
+++ b/src/app/controller/controller_state.hpp
@@ -37,7 +37,7 @@
     failure outcome; ///< Ok, or why it was refused
     configuration::change_result change; ///< for change_command
     dispatch::claim_result claim; ///< for claim_command
-    dispatch::fencing_number fence = 0; ///< for order_command
+    dispatch::fencing_token fence = 0; ///< for order_command
 };
 
 /// @brief A command as CBOR.
--- a/src/app/controller/placement.cpp
+++ b/src/app/controller/placement.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-tl::expected<dispatch::fencing_number, failure> placement_table::order(const order_command& command,
+tl::expected<dispatch::fencing_token, failure> placement_table::order(const order_command& command,
     const membership::membership_table& instances, const configuration::document& document)
 {
     const auto* subject = instances.find(command.instance);
@@ -75,7 +75,7 @@
     return isReleased ? &found->second : nullptr;
 }
 
-void placement_table::restore(std::vector<order_record> records, dispatch::fencing_number lastFence)
+void placement_table::restore(std::vector<order_record> records, dispatch::fencing_token lastFence)
 {
     m_records.clear();
     for (auto& record : records) {
--- a/src/app/controller/placement.hpp
+++ b/src/app/controller/placement.hpp
@@ -20,7 +20,7 @@
 /// A sidecar's report that an order has ended.
 struct order_ended_command {
     instance_id instance;
-    dispatch::fencing_number fence = 0;
+    dispatch::fencing_token fence = 0;
     result_code code = result_code::Ok;
     std::string reason;
 };
@@ -49,21 +49,21 @@
 class placement_table {
 public:
     /// @return NotFound, or LastCopy when the order would take away the last ready copy of a version in use.
-    tl::expected<dispatch::fencing_number, failure> order(const order_command& command,
+    tl::expected<dispatch::fencing_token, failure> order(const order_command& command,
         const membership::membership_table& instances, const configuration::document& document);
     void ended(const order_ended_command& command);
 
     /// @brief The order that an instance's sidecar should carry out, if any.
     [[nodiscard]] const order_record* releasedFor(const instance_id& instance) const;
     [[nodiscard]] const std::map<instance_id, order_record>& records() const { return m_records; }
-    [[nodiscard]] dispatch::fencing_number lastFence() const { return m_lastFence; }
-    void restore(std::vector<order_record> records, dispatch::fencing_number lastFence);
+    [[nodiscard]] dispatch::fencing_token lastFence() const { return m_lastFence; }
+    void restore(std::vector<order_record> records, dispatch::fencing_token lastFence);
 
 private:
     void releaseWaiting();
 
     std::map<instance_id, order_record> m_records;
-    dispatch::fencing_number m_lastFence = 0;
+    dispatch::fencing_token m_lastFence = 0;
 };
 
 } // namespace buckthornrail::app
--- a/src/buckthornrail/dispatch/order_keeper.cpp
+++ b/src/buckthornrail/dispatch/order_keeper.cpp
@@ -38,7 +38,7 @@
     sendNow(now);
 }
 
-void order_keeper::answered(fencing_number fence, bool accepted, bool refusedAsOld, steady_time now)
+void order_keeper::answered(fencing_token fence, bool accepted, bool refusedAsOld, steady_time now)
 {
     if (m_phase != phase::Sending || fence != m_current->fence)
         return;
--- a/src/buckthornrail/dispatch/order_keeper_test.cpp
+++ b/src/buckthornrail/dispatch/order_keeper_test.cpp
@@ -17,7 +17,7 @@
 struct slow_target {
     bool checks = true;
     std::string version = "1";
-    fencing_number highest = 0;
+    fencing_token highest = 0;
     int atWork = 0;
     bool overlapped = false;
 };
@@ -32,7 +32,7 @@
         restart();
     }
 
-    void offer(fencing_number fence)
+    void offer(fencing_token fence)
     {
         m_keeper->offer({ fence, "m", std::to_string(fence) }, now);
         drive();
@@ -62,7 +62,7 @@
     }
 
     slow_target target;
-    std::vector<std::pair<fencing_number, result_code>> reports;
+    std::vector<std::pair<fencing_token, result_code>> reports;
     steady_time now = steady_time {} + std::chrono::hours(1);
 
 private:
@@ -114,7 +114,7 @@
 {
     rc::prop("schedule", [](std::uint64_t seed, bool checks) {
         order_world world(checks, seed);
-        fencing_number issued = 0;
+        fencing_token issued = 0;
         const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 400));
         for (const int step : steps) {
             if (step % 8 == 0)
@@ -122,7 +122,7 @@
             else if (step % 8 < 5)
                 world.offer(++issued);
             else if (issued > 0)
-                world.offer(static_cast<fencing_number>(step) % issued + 1); // an old one, late
+                world.offer(static_cast<fencing_token>(step) % issued + 1); // an old one, late
             world.run(step / 8);
         }
         world.restart();
