--- a/include/buckthornrail/dispatch/order_keeper.hpp
+++ b/include/buckthornrail/dispatch/order_sequencer.hpp
@@ -33,7 +33,7 @@
     milliseconds readBackInterval { 200 };
 };
 
-/// Let no new work start; call workEnded() when none runs.
+/// Let no new work start; call workDrained() when none runs.
 struct pause_work { };
 struct resume_work { };
 struct send_order {
@@ -50,36 +50,36 @@
 using order_effect = std::variant<pause_work, resume_work, send_order, read_target_state, report_order>;
 
 /// @ingroup dispatch
-class order_keeper {
+class order_sequencer {
 public:
-    order_keeper(order_options options, steady_time now);
+    order_sequencer(order_options options, steady_time now);
 
     /// @brief An order from the controllers; repeated and older ones are ignored.
     void offer(const target_order& order, steady_time now);
-    void workEnded(steady_time now);
-    /// @brief The call for an order has ended. @param refusedAsOld by the target, which knows a higher number
-    void answered(fencing_token fence, bool accepted, bool refusedAsOld, steady_time now);
+    void workDrained(steady_time now);
+    /// @brief The call for an order has ended. @param refusedAsStale by the target, which knows a higher number
+    void orderCallEnded(fencing_token fence, bool accepted, bool refusedAsStale, steady_time now);
     void stateRead(const std::string& model, const std::string& version, steady_time now);
     void tick(steady_time now);
 
     std::optional<order_effect> nextEffect();
-    [[nodiscard]] fencing_token highest() const { return m_highest; }
+    [[nodiscard]] fencing_token highestFence() const { return m_highestFence; }
     [[nodiscard]] bool isIdle() const { return m_phase == phase::Idle; }
 
 private:
-    enum class phase { Idle, Pausing, Settling, Sending, ReadingBack };
+    enum class phase { Idle, Pausing, AwaitingEarlierOrders, Sending, ReadingBack };
 
-    void begin(steady_time now);
-    void sendNow(steady_time now);
+    void pauseWork(steady_time now);
+    void sendOrder(steady_time now);
     void readBack(steady_time now);
     void finish(failure outcome, steady_time now);
 
     order_options m_options;
     phase m_phase = phase::Idle;
-    fencing_token m_highest = 0;
+    fencing_token m_highestFence = 0;
     std::optional<target_order> m_current;
-    std::optional<target_order> m_waiting; ///< the newest that came meanwhile
-    steady_time m_settledDeadline; ///< until then an earlier incarnation's order may still take effect
+    std::optional<target_order> m_pending; ///< the newest that came meanwhile
+    steady_time m_earlierOrdersDeadline; ///< until then an earlier incarnation's order may still take effect
     steady_time m_orderDeadline {};
     steady_time m_readDeadline {};
     std::deque<order_effect> m_effects;
--- a/include/buckthornrail/link/message.hpp
+++ b/include/buckthornrail/link/message.hpp
@@ -6,7 +6,7 @@
 #include "buckthornrail/configuration/configuration_store.hpp"
 #include "buckthornrail/dispatch/claim_table.hpp"
 #include "buckthornrail/dispatch/messages.hpp"
-#include "buckthornrail/dispatch/order_keeper.hpp"
+#include "buckthornrail/dispatch/order_sequencer.hpp"
 #include "buckthornrail/document/change.hpp"
 #include "buckthornrail/execution/stage_guard.hpp"
 #include "buckthornrail/membership/membership_table.hpp"
--- a/include/buckthornrail/link/state_json.hpp
+++ b/include/buckthornrail/link/state_json.hpp
@@ -5,7 +5,7 @@
 #include "buckthornrail/configuration/configuration_store.hpp"
 #include "buckthornrail/dispatch/claim_table.hpp"
 #include "buckthornrail/dispatch/messages.hpp"
-#include "buckthornrail/dispatch/order_keeper.hpp"
+#include "buckthornrail/dispatch/order_sequencer.hpp"
 #include "buckthornrail/link/checked_enum.hpp"
 #include "buckthornrail/membership/membership_table.hpp"
 #include "buckthornrail/registry/quarantine.hpp"
--- a/src/app/controller/placement.hpp
+++ b/src/app/controller/placement.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "buckthornrail/configuration/configuration_store.hpp"
-#include "buckthornrail/dispatch/order_keeper.hpp"
+#include "buckthornrail/dispatch/order_sequencer.hpp"
 #include "buckthornrail/membership/membership_table.hpp"
 
 #include <map>
--- a/src/app/sidecar/sidecar.cpp
+++ b/src/app/sidecar/sidecar.cpp
@@ -302,7 +302,7 @@
     const steady_time now = steadyNow();
     m_core.tick(now);
     if (m_paused && m_core.gate().running() + m_core.gate().queued() == 0)
-        m_orders.workEnded(now);
+        m_orders.workDrained(now);
     m_orders.tick(now);
     carryOutOrder();
     for (const auto& request : m_guard.expire(now))
--- a/src/app/sidecar/sidecar.hpp
+++ b/src/app/sidecar/sidecar.hpp
@@ -70,7 +70,7 @@
     std::unique_ptr<target_dialect> m_dialect;
     dispatch::sidecar_core m_core;
     execution::stage_guard m_guard;
-    dispatch::order_keeper m_orders;
+    dispatch::order_sequencer m_orders;
     bool m_paused = false; ///< an order waits for work to end, or is being carried out
     std::map<attempt_id, std::shared_ptr<http::call_canceller>> m_cancellers; ///< of calls to the target
     std::map<std::string, attempt_id> m_stageWork; ///< open stage attempt of each request
--- a/src/app/sidecar/sidecar_orders.cpp
+++ b/src/app/sidecar/sidecar_orders.cpp
@@ -29,7 +29,7 @@
     asio::post(m_pool, [this, sent] {
         const bool current = m_dialect->order(sent.order, sent.deadline);
         m_loop.post([this, fence = sent.order.fence, current] {
-            m_orders.answered(fence, current, !current, steadyNow());
+            m_orders.orderCallEnded(fence, current, !current, steadyNow());
             carryOutOrder();
         });
     });
--- a/src/app/sidecar/target_adapter.hpp
+++ b/src/app/sidecar/target_adapter.hpp
@@ -2,7 +2,7 @@
 /// @brief Dialects of targets: how each kind is asked for readiness, load and work. Calls block.
 #pragma once
 
-#include "buckthornrail/dispatch/order_keeper.hpp"
+#include "buckthornrail/dispatch/order_sequencer.hpp"
 #include "buckthornrail/dispatch/sidecar_core.hpp"
 #include "buckthornrail/execution/stage_guard.hpp"
 #include "buckthornrail/http/http_client.hpp"
--- a/src/buckthornrail/dispatch/order_keeper.cpp
+++ b/src/buckthornrail/dispatch/order_sequencer.cpp
@@ -1,48 +1,48 @@
 /// @file
 /// @brief Orders, one at a time.
-#include "buckthornrail/dispatch/order_keeper.hpp"
+#include "buckthornrail/dispatch/order_sequencer.hpp"
 
 #include <utility>
 
 namespace buckthornrail::dispatch {
 
-order_keeper::order_keeper(order_options options, steady_time now)
+order_sequencer::order_sequencer(order_options options, steady_time now)
     : m_options(options)
-    , m_settledDeadline(options.targetChecksFences ? now : now + options.orderTimeout)
+    , m_earlierOrdersDeadline(options.targetChecksFences ? now : now + options.orderTimeout)
 {
 }
 
-void order_keeper::offer(const target_order& order, steady_time now)
+void order_sequencer::offer(const target_order& order, steady_time now)
 {
-    if (order.fence <= m_highest)
+    if (order.fence <= m_highestFence)
         return;
-    m_highest = order.fence;
+    m_highestFence = order.fence;
     if (m_phase == phase::Idle) {
         m_current = order;
-        begin(now);
+        pauseWork(now);
         return;
     }
-    if (m_waiting)
-        m_effects.emplace_back(report_order { *m_waiting, { result_code::StaleFence, "a newer order came" } });
-    m_waiting = order;
+    if (m_pending)
+        m_effects.emplace_back(report_order { *m_pending, { result_code::StaleFence, "a newer order came" } });
+    m_pending = order;
 }
 
-void order_keeper::workEnded(steady_time now)
+void order_sequencer::workDrained(steady_time now)
 {
     if (m_phase != phase::Pausing)
         return;
-    if (now < m_settledDeadline) {
-        m_phase = phase::Settling;
+    if (now < m_earlierOrdersDeadline) {
+        m_phase = phase::AwaitingEarlierOrders;
         return;
     }
-    sendNow(now);
+    sendOrder(now);
 }
 
-void order_keeper::answered(fencing_token fence, bool accepted, bool refusedAsOld, steady_time now)
+void order_sequencer::orderCallEnded(fencing_token fence, bool accepted, bool refusedAsStale, steady_time now)
 {
     if (m_phase != phase::Sending || fence != m_current->fence)
         return;
-    if (refusedAsOld) {
+    if (refusedAsStale) {
         finish({ result_code::StaleFence, "the target knows a higher number" }, now);
         return;
     }
@@ -50,7 +50,7 @@
     readBack(now);
 }
 
-void order_keeper::stateRead(const std::string& model, const std::string& version, steady_time now)
+void order_sequencer::stateRead(const std::string& model, const std::string& version, steady_time now)
 {
     if (m_phase != phase::ReadingBack)
         return;
@@ -61,10 +61,10 @@
     m_readDeadline = now + m_options.readBackInterval;
 }
 
-void order_keeper::tick(steady_time now)
+void order_sequencer::tick(steady_time now)
 {
-    if (m_phase == phase::Settling && now >= m_settledDeadline)
-        sendNow(now);
+    if (m_phase == phase::AwaitingEarlierOrders && now >= m_earlierOrdersDeadline)
+        sendOrder(now);
     // A target that doesn't check numbers may still be at the order: until its deadline no other is sent.
     const bool isOver = now >= m_orderDeadline;
     if (m_phase == phase::Sending && isOver)
@@ -77,7 +77,7 @@
         readBack(now);
 }
 
-std::optional<order_effect> order_keeper::nextEffect()
+std::optional<order_effect> order_sequencer::nextEffect()
 {
     if (m_effects.empty())
         return std::nullopt;
@@ -86,34 +86,34 @@
     return effect;
 }
 
-void order_keeper::begin(steady_time now)
+void order_sequencer::pauseWork(steady_time now)
 {
     (void)now;
     m_phase = phase::Pausing;
     m_effects.emplace_back(pause_work {});
 }
 
-void order_keeper::sendNow(steady_time now)
+void order_sequencer::sendOrder(steady_time now)
 {
     m_phase = phase::Sending;
     m_orderDeadline = now + m_options.orderTimeout;
     m_effects.emplace_back(send_order { *m_current, m_orderDeadline });
 }
 
-void order_keeper::readBack(steady_time now)
+void order_sequencer::readBack(steady_time now)
 {
     m_phase = phase::ReadingBack;
     m_readDeadline = now + m_options.readBackInterval;
     m_effects.emplace_back(read_target_state {});
 }
 
-void order_keeper::finish(failure outcome, steady_time now)
+void order_sequencer::finish(failure outcome, steady_time now)
 {
     m_effects.emplace_back(report_order { *m_current, std::move(outcome) });
-    m_current = std::exchange(m_waiting, std::nullopt);
+    m_current = std::exchange(m_pending, std::nullopt);
     if (m_current) {
         m_phase = phase::Pausing;
-        workEnded(now); // work is paused already
+        workDrained(now); // work is paused already
         return;
     }
     m_phase = phase::Idle;
--- a/src/buckthornrail/dispatch/order_keeper_test.cpp
+++ b/src/buckthornrail/dispatch/order_sequencer_test.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// @brief Orders to targets that check fencing numbers, and to those that don't.
-#include "buckthornrail/dispatch/order_keeper.hpp"
+#include "buckthornrail/dispatch/order_sequencer.hpp"
 
 #include <catch2/catch.hpp>
 #include <functional>
@@ -18,14 +18,14 @@
     bool checks = true;
     std::string version = "1";
     fencing_token highest = 0;
-    int atWork = 0;
+    int activeOrders = 0;
     bool overlapped = false;
 };
 
-/// A sidecar's keeper that may restart, with its target.
-class order_world {
+/// A sidecar's sequencer that may restart, with its target.
+class order_simulation {
 public:
-    order_world(bool checks, std::uint64_t seed)
+    order_simulation(bool checks, std::uint64_t seed)
         : m_random(seed)
     {
         target.checks = checks;
@@ -34,17 +34,17 @@
 
     void offer(fencing_token fence)
     {
-        m_keeper->offer({ fence, "m", std::to_string(fence) }, now);
+        m_sequencer->offer({ fence, "m", std::to_string(fence) }, now);
         drive();
     }
 
     void restart()
     {
-        ++m_life;
+        ++m_incarnation;
         order_options options;
         options.targetChecksFences = target.checks;
         options.orderTimeout = milliseconds(1000);
-        m_keeper = std::make_unique<order_keeper>(options, now);
+        m_sequencer = std::make_unique<order_sequencer>(options, now);
     }
 
     void run(int steps)
@@ -56,7 +56,7 @@
                 m_events.erase(m_events.begin());
                 action();
             }
-            m_keeper->tick(now);
+            m_sequencer->tick(now);
             drive();
         }
     }
@@ -68,13 +68,13 @@
 private:
     void drive()
     {
-        while (const auto effect = m_keeper->nextEffect()) {
+        while (const auto effect = m_sequencer->nextEffect()) {
             if (std::holds_alternative<pause_work>(*effect))
-                m_keeper->workEnded(now);
+                m_sequencer->workDrained(now);
             else if (const auto* sent = std::get_if<send_order>(&*effect))
                 receive(sent->order);
             else if (std::holds_alternative<read_target_state>(*effect))
-                m_keeper->stateRead("m", target.version, now);
+                m_sequencer->stateRead("m", target.version, now);
             else if (const auto* report = std::get_if<report_order>(&*effect))
                 reports.emplace_back(report->order.fence, report->outcome.code);
         }
@@ -82,29 +82,29 @@
 
     void receive(const target_order& order)
     {
-        const int life = m_life;
+        const int incarnation = m_incarnation;
         const bool isOld = target.checks && order.fence < target.highest;
         target.highest = std::max(target.highest, order.fence);
-        if (!target.checks && target.atWork > 0)
+        if (!target.checks && target.activeOrders > 0)
             target.overlapped = true;
-        target.atWork += isOld ? 0 : 1;
+        target.activeOrders += isOld ? 0 : 1;
         // Up to 900 ms of work; the order timeout is 1,000 ms.
-        m_events.emplace(now + milliseconds(m_random() % 900), [this, life, order, isOld] {
+        m_events.emplace(now + milliseconds(m_random() % 900), [this, incarnation, order, isOld] {
             if (!isOld) {
-                --target.atWork;
+                --target.activeOrders;
                 if (!target.checks || order.fence >= target.highest)
                     target.version = order.version;
             }
-            if (life != m_life)
+            if (incarnation != m_incarnation)
                 return;
-            m_keeper->answered(order.fence, !isOld, isOld, now);
+            m_sequencer->orderCallEnded(order.fence, !isOld, isOld, now);
             drive();
         });
     }
 
     std::mt19937_64 m_random;
-    int m_life = 0;
-    std::unique_ptr<order_keeper> m_keeper;
+    int m_incarnation = 0;
+    std::unique_ptr<order_sequencer> m_sequencer;
     std::multimap<steady_time, std::function<void()>> m_events;
 };
 
@@ -113,56 +113,56 @@
 TEST_CASE("orders: the highest number wins at every kind of target, across restarts", "[orders][property]")
 {
     rc::prop("schedule", [](std::uint64_t seed, bool checks) {
-        order_world world(checks, seed);
+        order_simulation simulation(checks, seed);
         fencing_token issued = 0;
         const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 400));
         for (const int step : steps) {
             if (step % 8 == 0)
-                world.restart();
+                simulation.restart();
             else if (step % 8 < 5)
-                world.offer(++issued);
+                simulation.offer(++issued);
             else if (issued > 0)
-                world.offer(static_cast<fencing_token>(step) % issued + 1); // an old one, late
-            world.run(step / 8);
+                simulation.offer(static_cast<fencing_token>(step) % issued + 1); // an old one, late
+            simulation.run(step / 8);
         }
-        world.restart();
-        world.offer(++issued);
-        world.run(500);
-        RC_ASSERT(world.target.version == std::to_string(issued));
-        RC_ASSERT(!world.target.overlapped);
+        simulation.restart();
+        simulation.offer(++issued);
+        simulation.run(500);
+        RC_ASSERT(simulation.target.version == std::to_string(issued));
+        RC_ASSERT(!simulation.target.overlapped);
     });
 }
 
 TEST_CASE("orders: work is paused first and resumed after", "[orders]")
 {
-    order_keeper keeper({}, steady_time {});
-    keeper.offer({ 1, "m", "2" }, steady_time {});
-    REQUIRE(std::holds_alternative<pause_work>(*keeper.nextEffect()));
-    CHECK_FALSE(keeper.nextEffect());
-    keeper.workEnded(steady_time {});
-    REQUIRE(std::holds_alternative<send_order>(*keeper.nextEffect()));
-    keeper.answered(1, true, false, steady_time {});
-    REQUIRE(std::holds_alternative<read_target_state>(*keeper.nextEffect()));
-    keeper.stateRead("m", "2", steady_time {});
-    CHECK(std::get<report_order>(*keeper.nextEffect()).outcome.code == result_code::Ok);
-    CHECK(std::holds_alternative<resume_work>(*keeper.nextEffect()));
-    CHECK(keeper.isIdle());
+    order_sequencer sequencer({}, steady_time {});
+    sequencer.offer({ 1, "m", "2" }, steady_time {});
+    REQUIRE(std::holds_alternative<pause_work>(*sequencer.nextEffect()));
+    CHECK_FALSE(sequencer.nextEffect());
+    sequencer.workDrained(steady_time {});
+    REQUIRE(std::holds_alternative<send_order>(*sequencer.nextEffect()));
+    sequencer.orderCallEnded(1, true, false, steady_time {});
+    REQUIRE(std::holds_alternative<read_target_state>(*sequencer.nextEffect()));
+    sequencer.stateRead("m", "2", steady_time {});
+    CHECK(std::get<report_order>(*sequencer.nextEffect()).outcome.code == result_code::Ok);
+    CHECK(std::holds_alternative<resume_work>(*sequencer.nextEffect()));
+    CHECK(sequencer.isIdle());
 }
 
 TEST_CASE("orders: a target that never loads the version is reported, and work goes on", "[orders]")
 {
-    order_keeper keeper({}, steady_time {});
-    keeper.offer({ 1, "m", "2" }, steady_time {});
-    keeper.workEnded(steady_time {});
-    keeper.answered(1, true, false, steady_time {});
+    order_sequencer sequencer({}, steady_time {});
+    sequencer.offer({ 1, "m", "2" }, steady_time {});
+    sequencer.workDrained(steady_time {});
+    sequencer.orderCallEnded(1, true, false, steady_time {});
     result_code code = result_code::Ok;
     bool resumed = false;
     for (int at = 0; at < 200; ++at) {
         const steady_time now = steady_time {} + milliseconds(at * 100);
-        keeper.tick(now);
-        while (const auto effect = keeper.nextEffect()) {
+        sequencer.tick(now);
+        while (const auto effect = sequencer.nextEffect()) {
             if (std::holds_alternative<read_target_state>(*effect))
-                keeper.stateRead("m", "1", now);
+                sequencer.stateRead("m", "1", now);
             if (const auto* report = std::get_if<report_order>(&*effect))
                 code = report->outcome.code;
             resumed = resumed || std::holds_alternative<resume_work>(*effect);
