--- a/include/buckthornrail/dispatch/sidecar_core.hpp
+++ b/include/buckthornrail/dispatch/sidecar_core.hpp
@@ -18,7 +18,7 @@
     channel_number channel = 0;
     sidecar_message message;
 };
-/// Hand this attempt to the target; for a stage, open it and call stageOpened() or notBegun().
+/// Hand this attempt to the target; for a stage, open it and call stageOpened() or startFailed().
 struct start_work {
     attempt_id attempt;
     work_order work;
@@ -36,7 +36,7 @@
     result_code code = result_code::Ok;
     std::string reason;
     std::string finishReason;
-    bool notBegun = false; ///< the target never got the work
+    bool startFailed = false; ///< the target never got the work
 };
 
 /// @ingroup dispatch
@@ -57,7 +57,7 @@
     void stageOpened(const attempt_id& attempt);
     /// @brief A stage is over; no end is sent.
     void stageClosed(const attempt_id& attempt, steady_time now);
-    void notBegun(const attempt_id& attempt, const failure& why, steady_time now);
+    void startFailed(const attempt_id& attempt, const failure& why, steady_time now);
     void reportLoad(channel_number channel);
 
     std::optional<sidecar_effect> nextEffect();
@@ -78,14 +78,14 @@
     void carryOut(const std::vector<gate_effect>& effects);
     void start(const attempt_id& attempt);
     void send(channel_number channel, sidecar_message message);
-    void sendToFollowers(const attempt_id& attempt, const sidecar_message& message);
+    void sendToAttached(const attempt_id& attempt, const sidecar_message& message);
     void forget(const attempt_id& attempt);
 
     instance_id m_self;
     target_gate m_gate;
     response_store m_responses;
     std::map<attempt_id, open_work> m_work;
-    std::map<attempt_id, std::set<channel_number>> m_followers;
+    std::map<attempt_id, std::set<channel_number>> m_attachedChannels;
     std::deque<sidecar_effect> m_effects;
 };
 
--- a/include/buckthornrail/dispatch/target_gate.hpp
+++ b/include/buckthornrail/dispatch/target_gate.hpp
@@ -60,20 +60,20 @@
     /// @brief The target has ended the attempt, well or not.
     std::vector<gate_effect> finished(const attempt_id& attempt, steady_time now);
     /// @brief The target turned out never to have got the work (its connection was refused).
-    std::vector<gate_effect> notBegun(const attempt_id& attempt, failure why, steady_time now);
+    std::vector<gate_effect> startFailed(const attempt_id& attempt, failure why, steady_time now);
     /// @brief A link closed: idempotent work that came over it is stopped, queued work is refused.
     std::vector<gate_effect> channelLost(channel_number channel, steady_time now);
     /// @brief Deadlines: late queued work is refused, late running work cancelled, old records dropped.
     std::vector<gate_effect> tick(steady_time now);
 
     /// @brief Attempts whose records were dropped since the last call.
-    std::vector<attempt_id> takeForgotten() { return std::exchange(m_forgotten, {}); }
+    std::vector<attempt_id> takeExpired() { return std::exchange(m_expired, {}); }
 
     /// @brief A configuration is in force until the deadline. Lower versions are ignored.
     void renewConfiguration(configuration_version version, steady_time leaseDeadline);
     void setReady(bool ready) { m_ready = ready; }
     /// @brief No new work from now on; accepted work goes on.
-    void drain(bool draining) { m_draining = draining; }
+    void setDraining(bool draining) { m_draining = draining; }
 
     [[nodiscard]] bool isDraining() const { return m_draining; }
     [[nodiscard]] std::size_t running() const { return m_started.size(); }
@@ -98,13 +98,13 @@
     };
 
     [[nodiscard]] std::optional<failure> refusalFor(const attempt_offer& offer, steady_time now) const;
-    [[nodiscard]] double servedShare(const record& entry) const;
-    [[nodiscard]] std::deque<attempt_id>::iterator next();
-    [[nodiscard]] std::deque<attempt_id>::iterator mostOverShare(const record& newcomer);
-    void startWaiting(steady_time now, std::vector<gate_effect>& effects);
+    [[nodiscard]] double normalizedService(const record& entry) const;
+    [[nodiscard]] std::deque<attempt_id>::iterator nextToStart();
+    [[nodiscard]] std::deque<attempt_id>::iterator findEvictionVictim(const record& newcomer);
+    void startQueued(steady_time now, std::vector<gate_effect>& effects);
     void refuse(const attempt_id& attempt, failure why, steady_time now, std::vector<gate_effect>& effects);
     void removeFromQueue(const attempt_id& attempt);
-    void remember(const attempt_id& attempt, record& entry, gate_state state, steady_time now);
+    void setFinalState(const attempt_id& attempt, record& entry, gate_state state, steady_time now);
 
     gate_options m_options;
     std::map<attempt_id, record> m_records;
@@ -112,9 +112,9 @@
     std::set<attempt_id> m_started; ///< not yet ended
     std::deque<std::pair<steady_time, attempt_id>> m_ended; ///< with the time to forget them, in that order
     std::deque<std::pair<steady_time, attempt_id>> m_endedNonIdempotent;
-    std::vector<attempt_id> m_forgotten;
-    std::map<std::string, double> m_served; ///< starts of each workspace divided by its weight
-    double m_servedFloor = 0; ///< a workspace that comes back starts from here: silence earns no credit
+    std::vector<attempt_id> m_expired;
+    std::map<std::string, double> m_normalizedService; ///< starts of each workspace divided by its weight
+    double m_minNormalizedService = 0; ///< a workspace that comes back starts from here: silence earns no credit
     configuration_version m_configuration = 0;
     steady_time m_leaseDeadline {};
     bool m_ready = false;
--- a/src/app/sidecar/sidecar.cpp
+++ b/src/app/sidecar/sidecar.cpp
@@ -103,7 +103,7 @@
     callbacks.drainRequested = [this](bool drain) {
         if (m_draining || drain == m_core.gate().isDraining())
             return;
-        m_core.gate().drain(drain);
+        m_core.gate().setDraining(drain);
         telemetry::logEvent(event_code::TargetDraining, { { "drain", drain ? "yes" : "no" }, { "by", "operator" } });
     };
     m_session = std::make_unique<session_client>(
@@ -118,7 +118,7 @@
 {
     m_draining = true;
     m_isReady = false;
-    m_core.gate().drain(true);
+    m_core.gate().setDraining(true);
     m_whenDrained = std::move(done);
     m_session->setState(membership::instance_state::Draining);
     telemetry::logEvent(event_code::TargetDraining, { { "drain", "yes" }, { "by", "signal" } });
--- a/src/app/sidecar/sidecar_stages.cpp
+++ b/src/app/sidecar/sidecar_stages.cpp
@@ -46,7 +46,7 @@
     const auto opened = m_guard.open(
         request, work.work.chain, work.work.stage, ownStage(), work.deadline + m_core.gate().options().recordRetention);
     if (!opened) {
-        m_core.notBegun(work.attempt, opened.error(), steadyNow());
+        m_core.startFailed(work.attempt, opened.error(), steadyNow());
         return;
     }
     endStage(request); // an older generation's stage gives up its slot
--- a/src/app/sidecar/target_adapter.cpp
+++ b/src/app/sidecar/target_adapter.cpp
@@ -63,7 +63,7 @@
     case http::client_outcome::NotSent:
         outcome.code = result_code::TargetNotReady;
         outcome.reason = "the target accepts no connection";
-        outcome.notBegun = true;
+        outcome.startFailed = true;
         return outcome;
     case http::client_outcome::TimedOut:
         outcome.code = result_code::TargetStalled;
--- a/src/buckthornrail/dispatch/sidecar_core.cpp
+++ b/src/buckthornrail/dispatch/sidecar_core.cpp
@@ -33,7 +33,7 @@
     std::vector<gate_effect> effects;
     const auto outcome = m_gate.revoke(revoke, now, effects);
     if (outcome == revoke_outcome::NotStarted) {
-        sendToFollowers(revoke.attempt, attempt_refused { revoke.attempt, result_code::Revoked, "" });
+        sendToAttached(revoke.attempt, attempt_refused { revoke.attempt, result_code::Revoked, "" });
         forget(revoke.attempt);
     }
     send(channel, revoke_reply { revoke.attempt, outcome });
@@ -56,7 +56,7 @@
         return;
     }
     if (state == gate_state::Queued) {
-        m_followers[attach.attempt].insert(channel);
+        m_attachedChannels[attach.attempt].insert(channel);
         reply(attach_outcome::Attached);
         return;
     }
@@ -71,12 +71,12 @@
     if (answer->end)
         send(channel, *answer->end);
     else
-        m_followers[attach.attempt].insert(channel);
+        m_attachedChannels[attach.attempt].insert(channel);
 }
 
 void sidecar_core::channelLost(channel_number channel, steady_time now)
 {
-    for (auto& [attempt, channels] : m_followers)
+    for (auto& [attempt, channels] : m_attachedChannels)
         channels.erase(channel);
     carryOut(m_gate.channelLost(channel, now));
 }
@@ -84,7 +84,7 @@
 void sidecar_core::tick(steady_time now)
 {
     carryOut(m_gate.tick(now));
-    for (const auto& attempt : m_gate.takeForgotten())
+    for (const auto& attempt : m_gate.takeExpired())
         m_responses.drop(attempt);
 }
 
@@ -99,7 +99,7 @@
     if (work.offer.nonIdempotent)
         m_responses.add(frame);
     const auto channel = m_gate.channelOf(frame.attempt);
-    sendToFollowers(frame.attempt, frame);
+    sendToAttached(frame.attempt, frame);
     send(channel, std::move(frame));
 }
 
@@ -108,8 +108,8 @@
     const auto found = m_work.find(attempt);
     if (found == m_work.end())
         return;
-    if (outcome.notBegun) {
-        notBegun(attempt, { outcome.code, outcome.reason }, now);
+    if (outcome.startFailed) {
+        startFailed(attempt, { outcome.code, outcome.reason }, now);
         return;
     }
     const auto& work = found->second;
@@ -119,7 +119,7 @@
         m_responses.end(end);
     const auto channel = m_gate.channelOf(attempt);
     send(channel, end);
-    sendToFollowers(attempt, end);
+    sendToAttached(attempt, end);
     forget(attempt);
     const auto effects = m_gate.finished(attempt, now);
     reportLoad(channel);
@@ -137,10 +137,10 @@
     carryOut(m_gate.finished(attempt, now));
 }
 
-void sidecar_core::notBegun(const attempt_id& attempt, const failure& why, steady_time now)
+void sidecar_core::startFailed(const attempt_id& attempt, const failure& why, steady_time now)
 {
     m_responses.drop(attempt);
-    carryOut(m_gate.notBegun(attempt, why, now));
+    carryOut(m_gate.startFailed(attempt, why, now));
 }
 
 void sidecar_core::reportLoad(channel_number channel)
@@ -174,7 +174,7 @@
             const attempt_refused refused { refuse->attempt, refuse->why.code, refuse->why.reason };
             send(refuse->channel, refused);
             reportLoad(refuse->channel);
-            sendToFollowers(refuse->attempt, refused);
+            sendToAttached(refuse->attempt, refused);
             forget(refuse->attempt);
         } else if (const auto* started = std::get_if<gate_start>(&effect)) {
             start(started->attempt);
@@ -197,7 +197,7 @@
     m_effects.emplace_back(start_work { attempt, work.offer.work, work.deadline });
     if (work.offer.work.kind != work_kind::Stage) {
         send(m_gate.channelOf(attempt), attempt_started { attempt });
-        sendToFollowers(attempt, attempt_started { attempt });
+        sendToAttached(attempt, attempt_started { attempt });
     }
 }
 
@@ -207,10 +207,10 @@
         m_effects.emplace_back(send_to_channel { channel, std::move(message) });
 }
 
-void sidecar_core::sendToFollowers(const attempt_id& attempt, const sidecar_message& message)
+void sidecar_core::sendToAttached(const attempt_id& attempt, const sidecar_message& message)
 {
-    const auto found = m_followers.find(attempt);
-    if (found == m_followers.end())
+    const auto found = m_attachedChannels.find(attempt);
+    if (found == m_attachedChannels.end())
         return;
     for (const auto channel : found->second)
         send(channel, message);
@@ -219,7 +219,7 @@
 void sidecar_core::forget(const attempt_id& attempt)
 {
     m_work.erase(attempt);
-    m_followers.erase(attempt);
+    m_attachedChannels.erase(attempt);
 }
 
 } // namespace buckthornrail::dispatch
--- a/src/buckthornrail/dispatch/target_gate.cpp
+++ b/src/buckthornrail/dispatch/target_gate.cpp
@@ -37,7 +37,7 @@
     entry.finishDeadline = now + milliseconds(offer.finishWithinMs);
     std::optional<failure> refusal = refusalFor(offer, now);
     if (!refusal && running() >= m_options.slots && m_queue.size() >= m_options.queueLimit) {
-        const auto victim = mostOverShare(entry);
+        const auto victim = findEvictionVictim(entry);
         if (victim == m_queue.end()) {
             refusal = failure { result_code::QueueFull, "" };
         } else {
@@ -47,13 +47,13 @@
     }
     auto& kept = m_records.emplace(offer.attempt, std::move(entry)).first->second;
     if (refusal) {
-        remember(offer.attempt, kept, gate_state::Refused, now);
+        setFinalState(offer.attempt, kept, gate_state::Refused, now);
         effects.emplace_back(gate_refuse { offer.attempt, channel, *refusal });
         return effects;
     }
     m_queue.push_back(offer.attempt);
     effects.emplace_back(gate_accept { offer.attempt, channel });
-    startWaiting(now, effects);
+    startQueued(now, effects);
     return effects;
 }
 
@@ -64,7 +64,7 @@
     const auto found = m_records.find(revoke.attempt);
     if (found == m_records.end()) {
         // The offer may still be on its way: the tombstone stops it.
-        remember(revoke.attempt, m_records[revoke.attempt], gate_state::Refused, now);
+        setFinalState(revoke.attempt, m_records[revoke.attempt], gate_state::Refused, now);
         return revoke_outcome::NotStarted;
     }
     auto& entry = found->second;
@@ -72,7 +72,7 @@
         return revoke_outcome::NotStarted;
     if (entry.state == gate_state::Queued) {
         removeFromQueue(revoke.attempt);
-        remember(revoke.attempt, entry, gate_state::Refused, now);
+        setFinalState(revoke.attempt, entry, gate_state::Refused, now);
         return revoke_outcome::NotStarted;
     }
     if (entry.state == gate_state::Started && revoke.cancelStarted && !entry.nonIdempotent && !entry.cancelled) {
@@ -89,12 +89,12 @@
     if (found == m_records.end() || found->second.state != gate_state::Started)
         return effects;
     m_started.erase(attempt);
-    remember(attempt, found->second, gate_state::Finished, now);
-    startWaiting(now, effects);
+    setFinalState(attempt, found->second, gate_state::Finished, now);
+    startQueued(now, effects);
     return effects;
 }
 
-std::vector<gate_effect> target_gate::notBegun(const attempt_id& attempt, failure why, steady_time now)
+std::vector<gate_effect> target_gate::startFailed(const attempt_id& attempt, failure why, steady_time now)
 {
     std::vector<gate_effect> effects;
     const auto found = m_records.find(attempt);
@@ -102,7 +102,7 @@
         return effects;
     m_started.erase(attempt);
     refuse(attempt, std::move(why), now, effects);
-    startWaiting(now, effects);
+    startQueued(now, effects);
     return effects;
 }
 
@@ -146,11 +146,11 @@
     for (auto* ended : { &m_ended, &m_endedNonIdempotent }) {
         while (!ended->empty() && now >= ended->front().first) {
             m_records.erase(ended->front().second);
-            m_forgotten.push_back(ended->front().second);
+            m_expired.push_back(ended->front().second);
             ended->pop_front();
         }
     }
-    startWaiting(now, effects);
+    startQueued(now, effects);
     return effects;
 }
 
@@ -191,13 +191,13 @@
     return std::nullopt;
 }
 
-double target_gate::servedShare(const record& entry) const
+double target_gate::normalizedService(const record& entry) const
 {
-    const auto found = m_served.find(entry.workspace);
-    return std::max(found == m_served.end() ? 0 : found->second, m_servedFloor);
+    const auto found = m_normalizedService.find(entry.workspace);
+    return std::max(found == m_normalizedService.end() ? 0 : found->second, m_minNormalizedService);
 }
 
-std::deque<attempt_id>::iterator target_gate::next()
+std::deque<attempt_id>::iterator target_gate::nextToStart()
 {
     // Highest priority first; then the workspace that has had least for its weight; then arrival.
     auto best = m_queue.end();
@@ -213,13 +213,13 @@
                 best = at;
             continue;
         }
-        if (servedShare(candidate) < servedShare(leading))
+        if (normalizedService(candidate) < normalizedService(leading))
             best = at;
     }
     return best;
 }
 
-std::deque<attempt_id>::iterator target_gate::mostOverShare(const record& newcomer)
+std::deque<attempt_id>::iterator target_gate::findEvictionVictim(const record& newcomer)
 {
     std::map<std::string, double> waiting; // queued work of each workspace divided by its weight
     for (const auto& attempt : m_queue) {
@@ -247,10 +247,10 @@
     return victim;
 }
 
-void target_gate::startWaiting(steady_time now, std::vector<gate_effect>& effects)
+void target_gate::startQueued(steady_time now, std::vector<gate_effect>& effects)
 {
     while (running() < m_options.slots && !m_queue.empty()) {
-        const auto at = next();
+        const auto at = nextToStart();
         const attempt_id attempt = *at;
         auto& entry = m_records.at(attempt);
         if (now >= entry.startDeadline) {
@@ -258,16 +258,16 @@
             continue;
         }
         m_queue.erase(at);
-        const double served = servedShare(entry);
-        m_servedFloor = std::max(m_servedFloor, served - 1.0);
-        m_served[entry.workspace] = served + 1.0 / entry.weight;
+        const double served = normalizedService(entry);
+        m_minNormalizedService = std::max(m_minNormalizedService, served - 1.0);
+        m_normalizedService[entry.workspace] = served + 1.0 / entry.weight;
         entry.state = gate_state::Started;
         m_started.insert(attempt);
         effects.emplace_back(gate_start { attempt, entry.channel });
     }
     if (m_queue.empty() && m_started.empty()) {
-        m_served.clear();
-        m_servedFloor = 0;
+        m_normalizedService.clear();
+        m_minNormalizedService = 0;
     }
 }
 
@@ -276,12 +276,12 @@
     auto& entry = m_records.at(attempt);
     effects.emplace_back(gate_refuse { attempt, entry.channel, std::move(why) });
     removeFromQueue(attempt);
-    remember(attempt, entry, gate_state::Refused, now);
+    setFinalState(attempt, entry, gate_state::Refused, now);
 }
 
 void target_gate::removeFromQueue(const attempt_id& attempt) { std::erase(m_queue, attempt); }
 
-void target_gate::remember(const attempt_id& attempt, record& entry, gate_state state, steady_time now)
+void target_gate::setFinalState(const attempt_id& attempt, record& entry, gate_state state, steady_time now)
 {
     entry.state = state;
     auto& ended = entry.nonIdempotent ? m_endedNonIdempotent : m_ended;
--- a/src/buckthornrail/dispatch/target_gate_test.cpp
+++ b/src/buckthornrail/dispatch/target_gate_test.cpp
@@ -128,11 +128,11 @@
     offer.configuration = 2;
     CHECK(refusalOf(gate.offer(offer, entryChannel, begin)) == result_code::TargetNotReady);
     gate.setReady(true);
-    gate.drain(true);
+    gate.setDraining(true);
     offer = offerOf("draining");
     offer.configuration = 2;
     CHECK(refusalOf(gate.offer(offer, entryChannel, begin)) == result_code::Draining);
-    gate.drain(false);
+    gate.setDraining(false);
     offer = offerOf("no-lease");
     offer.configuration = 2;
     CHECK(refusalOf(gate.offer(offer, entryChannel, begin + std::chrono::hours(2))) == result_code::LeaseExpired);
@@ -161,7 +161,7 @@
     auto gate = readyGate(1, 4);
     std::vector<gate_effect> effects;
     gate.offer(offerOf("a"), entryChannel, begin);
-    CHECK(refusalOf(gate.notBegun({ "a", 1 }, { result_code::TargetNotReady, "" }, begin))
+    CHECK(refusalOf(gate.startFailed({ "a", 1 }, { result_code::TargetNotReady, "" }, begin))
         == result_code::TargetNotReady);
     CHECK(gate.revoke({ { "a", 1 }, self, false }, begin, effects) == revoke_outcome::NotStarted);
     CHECK(gate.running() == 0);
@@ -177,11 +177,11 @@
     gate.finished({ "a", 1 }, begin);
     gate.finished({ "booking", 1 }, begin);
     gate.tick(begin + gate.options().recordRetention);
-    CHECK(gate.takeForgotten() == std::vector<attempt_id> { { "a", 1 } });
+    CHECK(gate.takeExpired() == std::vector<attempt_id> { { "a", 1 } });
     CHECK(gate.stateOf({ "booking", 1 }) == gate_state::Finished);
     gate.tick(begin + gate.options().nonIdempotentRetention);
-    CHECK(gate.takeForgotten() == std::vector<attempt_id> { { "booking", 1 } });
-    CHECK(gate.takeForgotten().empty());
+    CHECK(gate.takeExpired() == std::vector<attempt_id> { { "booking", 1 } });
+    CHECK(gate.takeExpired().empty());
 }
 
 TEST_CASE("gate: a full queue gives way to work with a better claim", "[gate]")
--- a/tests/support/request_world.cpp
+++ b/tests/support/request_world.cpp
@@ -139,7 +139,7 @@
 void request_world::drainSidecar(std::size_t sidecar)
 {
     m_sidecars[sidecar].draining = true;
-    m_sidecars[sidecar].core->gate().drain(true);
+    m_sidecars[sidecar].core->gate().setDraining(true);
 }
 
 void request_world::newConfiguration()
--- a/tests/support/request_world_sidecars.cpp
+++ b/tests/support/request_world_sidecars.cpp
@@ -105,7 +105,7 @@
     one.core = std::make_unique<sidecar_core>(std::to_string(sidecar), options, 1U << 20U, m_now);
     one.core->gate().renewConfiguration(m_configuration, m_now + std::chrono::seconds(3));
     one.core->gate().setReady(true);
-    one.core->gate().drain(one.draining);
+    one.core->gate().setDraining(one.draining);
     one.jobs.clear();
     one.frozen = false;
     one.heldBack.clear();
