--- a/include/buckthornrail/dispatch/request_run.hpp
+++ b/include/buckthornrail/dispatch/request_run.hpp
@@ -31,7 +31,7 @@
     claim_key claim; ///< when nonIdempotent
     std::uint64_t requestDigest = 0;
     bool canResume = false; ///< a completion: it can go on after the tokens already given
-    bool streams = false; ///< frames go to the caller as they come; otherwise only when the answer is whole
+    bool isStream = false; ///< frames go to the caller as they come; otherwise only when the answer is whole
     steady_time deadline {};
 };
 
@@ -44,7 +44,7 @@
 struct choose_target {
     std::set<instance_id> excluded;
     failure previous; ///< why the attempt before ended; Ok: this is the first
-    bool previousRan = false; ///< a retry after a failure, which the retry budget bounds
+    bool previousMayHaveRun = false; ///< a retry after a failure, which the retry budget bounds
 };
 struct send_claim {
     claim_holder holder;
@@ -53,7 +53,7 @@
 struct send_offer {
     attempt_id attempt;
     chosen_target target;
-    std::vector<std::string> tokensGiven; ///< resume after these
+    std::vector<std::string> priorTokens; ///< resume after these
 };
 struct send_revoke {
     attempt_id attempt;
@@ -68,7 +68,7 @@
 struct deliver_frames {
     std::vector<response_frame> frames;
 };
-/// Wait until a newer configuration has come, then call retryNow().
+/// Wait until a newer configuration has come, then call configurationReceived().
 struct await_configuration { };
 /// The final word to the caller.
 struct finish_run {
@@ -101,7 +101,7 @@
     /// @brief The link to a sidecar closed.
     void linkLost(const instance_id& instance, steady_time now);
     /// @brief A newer configuration has come.
-    void retryNow(steady_time now);
+    void configurationReceived(steady_time now);
     void callerGone(steady_time now);
     void tick(steady_time now);
 
@@ -115,24 +115,35 @@
     [[nodiscard]] ran_state ran() const;
 
 private:
-    enum class phase { Idle, Choosing, Claiming, Offered, Accepted, Started, Revoking, Attaching, Waiting, Finished };
+    enum class phase {
+        Idle,
+        Choosing,
+        Claiming,
+        Offered,
+        Accepted,
+        Started,
+        Revoking,
+        Attaching,
+        AwaitingConfiguration,
+        Finished
+    };
 
-    void choose(bool previousRan = false);
+    void choose(bool previousMayHaveRun = false);
     void beginAttempt(steady_time now);
-    void offerNow(steady_time now);
+    void sendOffer(steady_time now);
     void claimOrOffer(steady_time now);
     void retryAfterNotRun(const failure& why, steady_time now);
     /// @brief Gives the claim up and asks for a target, unless all attempts are used up.
     void chooseAgain(const failure& why);
-    void retryAfterRun(const failure& why, steady_time now);
-    void loseAttempt(const failure& why, steady_time now);
-    void rejectAnswer(steady_time now);
-    void attachAgain(steady_time now);
+    void retryAfterPossibleRun(const failure& why, steady_time now);
+    void abandonAttempt(const failure& why, steady_time now);
+    void rejectResponse(steady_time now);
+    void reattach(steady_time now);
     void revokeCurrent(const failure& why, steady_time now);
-    void completeIfWhole(steady_time now);
+    void finishIfComplete(steady_time now);
     void deliver(std::vector<response_frame> frames);
     void finish(failure result, const std::string& finishReason = {});
-    void enter(phase next, steady_time phaseDeadline);
+    void enterPhase(phase next, steady_time phaseDeadline);
     [[nodiscard]] bool isCurrent(const attempt_id& attempt) const;
     [[nodiscard]] bool isOpen() const;
     [[nodiscard]] bool hasFrames() const;
@@ -147,17 +158,17 @@
     chosen_target m_target;
     bool m_mayHaveStarted = false; ///< of the current attempt: sent, and not proved otherwise
     bool m_hasStarted = false; ///< of the current attempt
-    bool m_anyStarted = false; ///< of all earlier attempts
-    bool m_anyUnknown = false; ///< of all earlier attempts
-    bool m_followsHolder = false; ///< the answer is that of an attempt that another run began
-    claim_holder m_claimed; ///< our claim, or empty
+    bool m_earlierStarted = false; ///< of all earlier attempts
+    bool m_earlierUnknown = false; ///< of all earlier attempts
+    bool m_followsOtherRun = false; ///< the answer is that of an attempt that another run began
+    claim_holder m_claimHolder; ///< our claim, or empty
     claim_holder m_replaces; ///< the holder that was proved not to have run
-    claim_holder m_wanted; ///< the claim that was asked for
+    claim_holder m_requestedClaim; ///< the claim that was asked for
     failure m_lastFailure;
     std::set<instance_id> m_excluded;
     std::optional<response_assembler> m_assembler;
-    std::vector<response_frame> m_held; ///< not streaming: kept until whole
-    std::vector<std::string> m_tokensGiven;
+    std::vector<response_frame> m_bufferedFrames; ///< not streaming: kept until whole
+    std::vector<std::string> m_deliveredTokens;
     bool m_deliveredAny = false;
     std::deque<run_effect> m_effects;
 };
--- a/src/app/entry/entry.cpp
+++ b/src/app/entry/entry.cpp
@@ -95,7 +95,7 @@
     session_callbacks callbacks;
     callbacks.leaseRenewed = [](configuration_version, steady_time) {};
     callbacks.configurationApplied = [this](const configuration::document&, configuration_version) {
-        driveAll(m_runs, [](auto& run, steady_time now) { run.retryNow(now); });
+        driveAll(m_runs, [](auto& run, steady_time now) { run.configurationReceived(now); });
     };
     callbacks.orderReceived = [](const dispatch::target_order&) {};
     callbacks.membershipChanged = [this](const membership::membership_delta& delta) { onMembership(delta); };
@@ -244,7 +244,7 @@
     wanted.claim = { request.workspace, request.idempotencyKey };
     wanted.requestDigest = request.digest;
     wanted.canResume = !request.pipeline.empty();
-    wanted.streams = request.streams;
+    wanted.isStream = request.streams;
     wanted.deadline = request.deadline;
     dispatch::run_options options;
     options.progressTimeout = milliseconds(m_settings.progressTimeoutMs);
@@ -294,14 +294,14 @@
     auto& context = active.context;
     const steady_time now = steadyNow();
     settleAttempt(context, active.run.target().instance, wish.previous);
-    if (wish.previousRan) {
+    if (wish.previousMayHaveRun) {
         telemetry::logEvent(event_code::AttemptLost,
             { { "request", context.request.id }, { "attempt", std::to_string(active.run.attempts()) },
                 { "instance", active.run.target().instance },
                 { "code", std::string(describe(wish.previous.code).name) }, { "reason", wish.previous.reason } },
             telemetry::severity::Warning);
     }
-    if (wish.previousRan && !m_budgets[context.request.workspace].tryTake()) {
+    if (wish.previousMayHaveRun && !m_budgets[context.request.workspace].tryTake()) {
         note(context.request.id, "no retry: the workspace's retry budget is spent");
         active.run.noTarget({ result_code::RetryBudgetSpent, "" }, now);
         return;
@@ -351,9 +351,9 @@
         message.work.model = context.terms.model;
         message.work.version = context.version;
         message.work.prompt = context.request.prompt;
-        for (const auto& token : offer.tokensGiven)
+        for (const auto& token : offer.priorTokens)
             message.work.prompt += token;
-        message.work.maxTokens = context.request.maxTokens - static_cast<std::uint32_t>(offer.tokensGiven.size());
+        message.work.maxTokens = context.request.maxTokens - static_cast<std::uint32_t>(offer.priorTokens.size());
     }
     context.attemptBegun = now;
     context.framesInAttempt = 0;
--- a/src/buckthornrail/dispatch/request_run.cpp
+++ b/src/buckthornrail/dispatch/request_run.cpp
@@ -48,23 +48,23 @@
         finish({ result_code::KeyReused, "" });
         return;
     }
-    if (result.outcome == claim_outcome::Granted && result.holder == m_wanted) {
-        m_claimed = result.holder;
+    if (result.outcome == claim_outcome::Granted && result.holder == m_requestedClaim) {
+        m_claimHolder = result.holder;
         m_replaces = {};
-        offerNow(now);
+        sendOffer(now);
         return;
     }
     // Another run holds the key: its sidecar alone knows what became of it.
-    m_followsHolder = true;
-    m_claimed = result.holder;
+    m_followsOtherRun = true;
+    m_claimHolder = result.holder;
     m_attempt = result.holder.attempt;
     m_target = { result.holder.instance, result.holder.incarnation };
     m_mayHaveStarted = true;
     m_hasStarted = false;
     m_assembler.emplace(m_attempt);
-    m_held.clear();
+    m_bufferedFrames.clear();
     m_effects.emplace_back(send_attach { m_attempt, m_target });
-    enter(phase::Attaching, now + m_options.revokeTimeout);
+    enterPhase(phase::Attaching, now + m_options.revokeTimeout);
 }
 
 void request_run::claimFailed(steady_time now)
@@ -78,7 +78,7 @@
 {
     (void)now;
     if (isCurrent(attempt) && m_phase == phase::Offered)
-        enter(phase::Accepted, m_request.deadline);
+        enterPhase(phase::Accepted, m_request.deadline);
 }
 
 void request_run::refused(const attempt_refused& refusal, steady_time now)
@@ -90,7 +90,7 @@
     if (refusal.code == result_code::StaleConfiguration) {
         m_lastFailure = { refusal.code, refusal.reason };
         m_effects.emplace_back(await_configuration {});
-        enter(phase::Waiting, now + m_options.staleConfigurationWait);
+        enterPhase(phase::AwaitingConfiguration, now + m_options.staleConfigurationWait);
         return;
     }
     retryAfterNotRun({ refusal.code, refusal.reason }, now);
@@ -101,7 +101,7 @@
     if (!isCurrent(attempt) || !isOpen())
         return;
     m_hasStarted = true;
-    enter(phase::Started, progressDeadline(now));
+    enterPhase(phase::Started, progressDeadline(now));
 }
 
 void request_run::frame(const response_frame& frame, steady_time now)
@@ -113,7 +113,7 @@
         return;
     m_phaseDeadline = progressDeadline(now);
     deliver(m_assembler->add(frame));
-    completeIfWhole(now);
+    finishIfComplete(now);
 }
 
 void request_run::ended(const response_end& end, steady_time now)
@@ -124,7 +124,7 @@
     if (m_phase != phase::Started)
         return;
     m_assembler->end(end);
-    completeIfWhole(now);
+    finishIfComplete(now);
 }
 
 void request_run::revokeAnswered(const revoke_reply& reply, steady_time now)
@@ -137,7 +137,7 @@
         return;
     }
     m_hasStarted = m_hasStarted || reply.outcome == revoke_outcome::Started;
-    retryAfterRun(m_lastFailure, now);
+    retryAfterPossibleRun(m_lastFailure, now);
 }
 
 void request_run::attachAnswered(const attach_reply& reply, steady_time now)
@@ -147,14 +147,14 @@
     switch (reply.outcome) {
     case attach_outcome::Attached:
         m_hasStarted = true;
-        enter(phase::Started, progressDeadline(now));
+        enterPhase(phase::Started, progressDeadline(now));
         return;
     case attach_outcome::NotStarted:
         // Proved not run and fenced: the claim may move to an attempt of ours.
         m_mayHaveStarted = false;
-        m_replaces = m_claimed;
-        m_claimed = {};
-        m_followsHolder = false;
+        m_replaces = m_claimHolder;
+        m_claimHolder = {};
+        m_followsOtherRun = false;
         choose();
         return;
     case attach_outcome::Gone:
@@ -182,16 +182,16 @@
     if (m_phase == phase::Offered || m_phase == phase::Accepted)
         revokeCurrent({ result_code::TargetFailed, "the link to the sidecar closed" }, now);
     else if (m_phase == phase::Started && m_request.nonIdempotent)
-        attachAgain(now);
+        reattach(now);
     else if (m_phase == phase::Started)
-        loseAttempt({ result_code::TargetFailed, "the link to the sidecar closed" }, now);
+        abandonAttempt({ result_code::TargetFailed, "the link to the sidecar closed" }, now);
 }
 
-void request_run::retryNow(steady_time now)
+void request_run::configurationReceived(steady_time now)
 {
     (void)now;
     // The sidecar that knew the newer configuration is as good as any other one.
-    if (m_phase == phase::Waiting)
+    if (m_phase == phase::AwaitingConfiguration)
         chooseAgain(m_lastFailure);
 }
 
@@ -200,7 +200,7 @@
     (void)now;
     if (m_phase == phase::Finished)
         return;
-    if (m_mayHaveStarted && !m_followsHolder)
+    if (m_mayHaveStarted && !m_followsOtherRun)
         m_effects.emplace_back(send_revoke { m_attempt, m_target, true });
     finish({ result_code::Cancelled, "" });
 }
@@ -210,7 +210,7 @@
     if (m_phase == phase::Finished || m_phase == phase::Idle)
         return;
     if (now >= m_request.deadline) {
-        if (m_mayHaveStarted && !m_followsHolder)
+        if (m_mayHaveStarted && !m_followsOtherRun)
             m_effects.emplace_back(send_revoke { m_attempt, m_target, true });
         finish({ result_code::DeadlinePassed, "" });
         return;
@@ -225,15 +225,15 @@
         revokeCurrent({ result_code::TargetStalled, "the sidecar did not answer the offer" }, now);
         return;
     case phase::Started:
-        loseAttempt({ result_code::TargetStalled, "the target made no progress" }, now);
+        abandonAttempt({ result_code::TargetStalled, "the target made no progress" }, now);
         return;
     case phase::Revoking:
-        retryAfterRun(m_lastFailure, now);
+        retryAfterPossibleRun(m_lastFailure, now);
         return;
     case phase::Attaching:
         finish({ result_code::OutcomeUnknown, "the sidecar that holds this key can't be reached" });
         return;
-    case phase::Waiting:
+    case phase::AwaitingConfiguration:
         finish(m_lastFailure);
         return;
     default:
@@ -254,17 +254,17 @@
 
 ran_state request_run::ran() const
 {
-    if (m_anyStarted || m_hasStarted)
+    if (m_earlierStarted || m_hasStarted)
         return ran_state::Yes;
-    if (m_anyUnknown || m_mayHaveStarted)
+    if (m_earlierUnknown || m_mayHaveStarted)
         return ran_state::Unknown;
     return ran_state::No;
 }
 
-void request_run::choose(bool previousRan)
+void request_run::choose(bool previousMayHaveRun)
 {
-    enter(phase::Choosing, m_request.deadline);
-    m_effects.emplace_back(choose_target { m_excluded, m_lastFailure, previousRan });
+    enterPhase(phase::Choosing, m_request.deadline);
+    m_effects.emplace_back(choose_target { m_excluded, m_lastFailure, previousMayHaveRun });
 }
 
 void request_run::beginAttempt(steady_time now)
@@ -274,26 +274,26 @@
     m_mayHaveStarted = false;
     m_hasStarted = false;
     m_assembler.emplace(m_attempt);
-    m_held.clear();
+    m_bufferedFrames.clear();
     claimOrOffer(now);
 }
 
 void request_run::claimOrOffer(steady_time now)
 {
     if (!m_request.nonIdempotent) {
-        offerNow(now);
+        sendOffer(now);
         return;
     }
-    m_wanted = { m_attempt, m_target.instance, m_target.incarnation };
-    m_effects.emplace_back(send_claim { m_wanted, m_replaces });
-    enter(phase::Claiming, now + m_options.claimTimeout);
+    m_requestedClaim = { m_attempt, m_target.instance, m_target.incarnation };
+    m_effects.emplace_back(send_claim { m_requestedClaim, m_replaces });
+    enterPhase(phase::Claiming, now + m_options.claimTimeout);
 }
 
-void request_run::offerNow(steady_time now)
+void request_run::sendOffer(steady_time now)
 {
     m_mayHaveStarted = true;
-    enter(phase::Offered, now + m_options.acceptTimeout);
-    m_effects.emplace_back(send_offer { m_attempt, m_target, m_tokensGiven });
+    enterPhase(phase::Offered, now + m_options.acceptTimeout);
+    m_effects.emplace_back(send_offer { m_attempt, m_target, m_deliveredTokens });
 }
 
 void request_run::retryAfterNotRun(const failure& why, steady_time now)
@@ -307,8 +307,8 @@
 {
     m_lastFailure = why;
     // Our own claim names an attempt that is proved not to have run; the next attempt takes its place.
-    if (!m_claimed.attempt.request.empty())
-        m_replaces = std::exchange(m_claimed, {});
+    if (!m_claimHolder.attempt.request.empty())
+        m_replaces = std::exchange(m_claimHolder, {});
     if (m_attemptNumber >= m_options.maxAttempts) {
         finish(why);
         return;
@@ -316,7 +316,7 @@
     choose();
 }
 
-void request_run::retryAfterRun(const failure& why, steady_time now)
+void request_run::retryAfterPossibleRun(const failure& why, steady_time now)
 {
     (void)now;
     m_lastFailure = why;
@@ -324,75 +324,75 @@
         finish({ m_hasStarted ? why.code : result_code::OutcomeUnknown, why.reason });
         return;
     }
-    m_anyStarted = m_anyStarted || m_hasStarted;
-    m_anyUnknown = m_anyUnknown || !m_hasStarted;
+    m_earlierStarted = m_earlierStarted || m_hasStarted;
+    m_earlierUnknown = m_earlierUnknown || !m_hasStarted;
     m_mayHaveStarted = false;
     m_hasStarted = false;
-    const bool canContinue = m_request.canResume || !m_deliveredAny;
+    const bool canRetry = m_request.canResume || !m_deliveredAny;
     m_excluded.insert(m_target.instance);
-    if (!canContinue || m_attemptNumber >= m_options.maxAttempts) {
+    if (!canRetry || m_attemptNumber >= m_options.maxAttempts) {
         finish({ m_deliveredAny ? result_code::AnswerIncomplete : why.code, why.reason });
         return;
     }
     choose(true);
 }
 
-void request_run::loseAttempt(const failure& why, steady_time now)
+void request_run::abandonAttempt(const failure& why, steady_time now)
 {
-    if (!m_followsHolder)
+    if (!m_followsOtherRun)
         m_effects.emplace_back(send_revoke { m_attempt, m_target, true });
-    if (m_request.canResume && !m_request.streams) {
+    if (m_request.canResume && !m_request.isStream) {
         // The tokens of the lost attempt are in order and one's own: they are kept, and the answer goes on after them.
-        for (auto& frame : m_held)
-            m_tokensGiven.push_back(frame.bytes);
-        m_effects.emplace_back(deliver_frames { std::exchange(m_held, {}) });
+        for (auto& frame : m_bufferedFrames)
+            m_deliveredTokens.push_back(frame.bytes);
+        m_effects.emplace_back(deliver_frames { std::exchange(m_bufferedFrames, {}) });
     }
-    retryAfterRun(why, now);
+    retryAfterPossibleRun(why, now);
 }
 
-void request_run::rejectAnswer(steady_time now)
+void request_run::rejectResponse(steady_time now)
 {
     const failure why { result_code::AnswerIncomplete, "count or digest of the answer is wrong" };
-    m_held.clear();
+    m_bufferedFrames.clear();
     if (m_deliveredAny) {
         finish(why);
         return;
     }
-    retryAfterRun(why, now);
+    retryAfterPossibleRun(why, now);
 }
 
-void request_run::attachAgain(steady_time now)
+void request_run::reattach(steady_time now)
 {
     // The sidecar goes on with non-idempotent work when a link closes; repeated frames are dropped.
     m_effects.emplace_back(send_attach { m_attempt, m_target });
-    enter(phase::Attaching, now + m_options.revokeTimeout);
+    enterPhase(phase::Attaching, now + m_options.revokeTimeout);
 }
 
 void request_run::revokeCurrent(const failure& why, steady_time now)
 {
     m_lastFailure = why;
     m_effects.emplace_back(send_revoke { m_attempt, m_target, !m_request.nonIdempotent });
-    enter(phase::Revoking, now + m_options.revokeTimeout);
+    enterPhase(phase::Revoking, now + m_options.revokeTimeout);
 }
 
-void request_run::completeIfWhole(steady_time now)
+void request_run::finishIfComplete(steady_time now)
 {
     switch (m_assembler->state()) {
     case assembly_state::Open:
         return;
     case assembly_state::Complete:
-        if (!m_request.streams)
-            m_effects.emplace_back(deliver_frames { std::exchange(m_held, {}) });
+        if (!m_request.isStream)
+            m_effects.emplace_back(deliver_frames { std::exchange(m_bufferedFrames, {}) });
         finish({ result_code::Ok, "" }, m_assembler->receivedEnd()->finishReason);
         return;
     case assembly_state::Failed: {
         const auto& end = *m_assembler->receivedEnd();
         if (end.code == result_code::Ok)
-            rejectAnswer(now);
+            rejectResponse(now);
         else if (end.code == result_code::TargetRejected)
             finish({ end.code, end.reason });
         else
-            loseAttempt({ end.code, end.reason }, now);
+            abandonAttempt({ end.code, end.reason }, now);
         return;
     }
     }
@@ -402,14 +402,14 @@
 {
     if (frames.empty())
         return;
-    if (!m_request.streams) {
-        std::move(frames.begin(), frames.end(), std::back_inserter(m_held));
+    if (!m_request.isStream) {
+        std::move(frames.begin(), frames.end(), std::back_inserter(m_bufferedFrames));
         return;
     }
     m_deliveredAny = true;
     for (const auto& frame : frames) {
         if (frame.kind == frame_kind::Data)
-            m_tokensGiven.push_back(frame.bytes);
+            m_deliveredTokens.push_back(frame.bytes);
     }
     m_effects.emplace_back(deliver_frames { std::move(frames) });
 }
@@ -420,7 +420,7 @@
     m_effects.emplace_back(finish_run { std::move(result), ran(), finishReason });
 }
 
-void request_run::enter(phase next, steady_time phaseDeadline)
+void request_run::enterPhase(phase next, steady_time phaseDeadline)
 {
     m_phase = next;
     m_phaseDeadline = phaseDeadline;
@@ -432,7 +432,7 @@
         || m_phase == phase::Revoking || m_phase == phase::Attaching;
 }
 
-bool request_run::hasFrames() const { return m_deliveredAny || !m_held.empty(); }
+bool request_run::hasFrames() const { return m_deliveredAny || !m_bufferedFrames.empty(); }
 
 steady_time request_run::progressDeadline(steady_time now) const
 {
--- a/src/buckthornrail/dispatch/request_run_test.cpp
+++ b/src/buckthornrail/dispatch/request_run_test.cpp
@@ -43,7 +43,7 @@
     run.refused({ { "r", 1 }, result_code::StaleConfiguration, "version 2 is known" }, begin);
     next<await_configuration>(run);
     CHECK_FALSE(run.nextEffect());
-    run.retryNow(begin + milliseconds(100));
+    run.configurationReceived(begin + milliseconds(100));
     const auto wish = next<choose_target>(run);
     CHECK(wish.excluded.empty());
     CHECK(wish.previous.code == result_code::StaleConfiguration);
--- a/tests/support/request_world.cpp
+++ b/tests/support/request_world.cpp
@@ -45,7 +45,7 @@
     wanted.claim = { "w", request.key };
     wanted.requestDigest = std::hash<std::string>()(request.prompt);
     wanted.canResume = true;
-    wanted.streams = request.streams;
+    wanted.isStream = request.streams;
     wanted.deadline = m_now + request.timeout;
     auto& runs = m_entries[request.entry].runs;
     runs.emplace(id, open_run { request_run(wanted, {}, m_now), m_callers.size() - 1, "" });
@@ -152,7 +152,7 @@
             for (const auto& [id, open] : m_entries[at].runs)
                 ids.push_back(id);
             for (const auto& id : ids) {
-                m_entries[at].runs.at(id).run.retryNow(m_now);
+                m_entries[at].runs.at(id).run.configurationReceived(m_now);
                 drive(at, id);
             }
         });
@@ -225,9 +225,9 @@
                        message.workspace = "w";
                        message.nonIdempotent = open.run.request().nonIdempotent;
                        message.work.prompt = caller.prompt;
-                       for (const auto& token : offer.tokensGiven)
+                       for (const auto& token : offer.priorTokens)
                            message.work.prompt += token;
-                       message.work.maxTokens = caller.tokens - static_cast<std::uint32_t>(offer.tokensGiven.size());
+                       message.work.maxTokens = caller.tokens - static_cast<std::uint32_t>(offer.priorTokens.size());
                        sendToSidecar(entry, sidecarOf(offer.target), message);
                    },
                    [&](const send_revoke& revoke) {
@@ -247,7 +247,7 @@
                    },
                    [&](const deliver_frames& frames) {
                        for (const auto& frame : frames.frames)
-                           (open.run.request().streams ? caller.record.text : open.buffered) += frame.bytes;
+                           (open.run.request().isStream ? caller.record.text : open.buffered) += frame.bytes;
                    },
                    [&](const await_configuration&) {},
                    [&](const finish_run& last) {
