--- a/include/buckthornrail/dispatch/target_gate.hpp
+++ b/include/buckthornrail/dispatch/target_gate.hpp
@@ -85,7 +85,7 @@
     [[nodiscard]] configuration_version configuration() const { return m_configuration; }
 
 private:
-    struct record {
+    struct attempt_record {
         gate_state state = gate_state::Queued;
         channel_number channel = 0;
         bool nonIdempotent = false;
@@ -98,16 +98,16 @@
     };
 
     [[nodiscard]] std::optional<failure> refusalFor(const attempt_offer& offer, steady_time now) const;
-    [[nodiscard]] double normalizedService(const record& entry) const;
+    [[nodiscard]] double normalizedService(const attempt_record& record) const;
     [[nodiscard]] std::deque<attempt_id>::iterator nextToStart();
-    [[nodiscard]] std::deque<attempt_id>::iterator findEvictionVictim(const record& newcomer);
+    [[nodiscard]] std::deque<attempt_id>::iterator findEvictionVictim(const attempt_record& newcomer);
     void startQueued(steady_time now, std::vector<gate_effect>& effects);
     void refuse(const attempt_id& attempt, failure why, steady_time now, std::vector<gate_effect>& effects);
     void removeFromQueue(const attempt_id& attempt);
-    void setFinalState(const attempt_id& attempt, record& entry, gate_state state, steady_time now);
+    void setFinalState(const attempt_id& attempt, attempt_record& record, gate_state state, steady_time now);
 
     gate_options m_options;
-    std::map<attempt_id, record> m_records;
+    std::map<attempt_id, attempt_record> m_records;
     std::deque<attempt_id> m_queue; ///< in order of arrival
     std::set<attempt_id> m_started; ///< not yet ended
     std::deque<std::pair<steady_time, attempt_id>> m_ended; ///< with the time to forget them, in that order
--- a/src/buckthornrail/dispatch/target_gate.cpp
+++ b/src/buckthornrail/dispatch/target_gate.cpp
@@ -27,17 +27,17 @@
         effects.emplace_back(gate_refuse { offer.attempt, channel, { result_code::WrongIncarnation, "" } });
         return effects;
     }
-    record entry;
-    entry.channel = channel;
-    entry.nonIdempotent = offer.nonIdempotent;
-    entry.workspace = offer.workspace;
-    entry.weight = std::max<std::uint32_t>(offer.weight, 1);
-    entry.priority = offer.priority;
-    entry.startDeadline = now + milliseconds(offer.startWithinMs);
-    entry.finishDeadline = now + milliseconds(offer.finishWithinMs);
+    attempt_record record;
+    record.channel = channel;
+    record.nonIdempotent = offer.nonIdempotent;
+    record.workspace = offer.workspace;
+    record.weight = std::max<std::uint32_t>(offer.weight, 1);
+    record.priority = offer.priority;
+    record.startDeadline = now + milliseconds(offer.startWithinMs);
+    record.finishDeadline = now + milliseconds(offer.finishWithinMs);
     std::optional<failure> refusal = refusalFor(offer, now);
     if (!refusal && running() >= m_options.slots && m_queue.size() >= m_options.queueLimit) {
-        const auto victim = findEvictionVictim(entry);
+        const auto victim = findEvictionVictim(record);
         if (victim == m_queue.end()) {
             refusal = failure { result_code::QueueFull, "" };
         } else {
@@ -45,7 +45,7 @@
             refuse(evicted, { result_code::QueueFull, "work with a better claim came" }, now, effects);
         }
     }
-    auto& kept = m_records.emplace(offer.attempt, std::move(entry)).first->second;
+    auto& kept = m_records.emplace(offer.attempt, std::move(record)).first->second;
     if (refusal) {
         setFinalState(offer.attempt, kept, gate_state::Refused, now);
         effects.emplace_back(gate_refuse { offer.attempt, channel, *refusal });
@@ -67,16 +67,16 @@
         setFinalState(revoke.attempt, m_records[revoke.attempt], gate_state::Refused, now);
         return revoke_outcome::NotStarted;
     }
-    auto& entry = found->second;
-    if (entry.state == gate_state::Refused)
+    auto& record = found->second;
+    if (record.state == gate_state::Refused)
         return revoke_outcome::NotStarted;
-    if (entry.state == gate_state::Queued) {
+    if (record.state == gate_state::Queued) {
         removeFromQueue(revoke.attempt);
-        setFinalState(revoke.attempt, entry, gate_state::Refused, now);
+        setFinalState(revoke.attempt, record, gate_state::Refused, now);
         return revoke_outcome::NotStarted;
     }
-    if (entry.state == gate_state::Started && revoke.cancelStarted && !entry.nonIdempotent && !entry.cancelled) {
-        entry.cancelled = true;
+    if (record.state == gate_state::Started && revoke.cancelStarted && !record.nonIdempotent && !record.cancelled) {
+        record.cancelled = true;
         effects.emplace_back(gate_cancel { revoke.attempt });
     }
     return revoke_outcome::Started;
@@ -115,10 +115,10 @@
             waiting.push_back(attempt);
     }
     for (const auto& attempt : m_started) {
-        auto& entry = m_records.at(attempt);
-        if (entry.channel != channel || entry.nonIdempotent || entry.cancelled)
+        auto& record = m_records.at(attempt);
+        if (record.channel != channel || record.nonIdempotent || record.cancelled)
             continue;
-        entry.cancelled = true;
+        record.cancelled = true;
         effects.emplace_back(gate_cancel { attempt });
     }
     for (const auto& attempt : waiting)
@@ -137,10 +137,10 @@
     for (const auto& attempt : late)
         refuse(attempt, { result_code::StartDeadlinePassed, "" }, now, effects);
     for (const auto& attempt : m_started) {
-        auto& entry = m_records.at(attempt);
-        if (entry.cancelled || now < entry.finishDeadline)
+        auto& record = m_records.at(attempt);
+        if (record.cancelled || now < record.finishDeadline)
             continue;
-        entry.cancelled = true;
+        record.cancelled = true;
         effects.emplace_back(gate_cancel { attempt });
     }
     for (auto* ended : { &m_ended, &m_endedNonIdempotent }) {
@@ -191,9 +191,9 @@
     return std::nullopt;
 }
 
-double target_gate::normalizedService(const record& entry) const
+double target_gate::normalizedService(const attempt_record& record) const
 {
-    const auto found = m_normalizedService.find(entry.workspace);
+    const auto found = m_normalizedService.find(record.workspace);
     return std::max(found == m_normalizedService.end() ? 0 : found->second, m_minNormalizedService);
 }
 
@@ -219,19 +219,19 @@
     return best;
 }
 
-std::deque<attempt_id>::iterator target_gate::findEvictionVictim(const record& newcomer)
+std::deque<attempt_id>::iterator target_gate::findEvictionVictim(const attempt_record& newcomer)
 {
     std::map<std::string, double> waiting; // queued work of each workspace divided by its weight
     for (const auto& attempt : m_queue) {
-        const auto& entry = m_records.at(attempt);
-        waiting[entry.workspace] += 1.0 / entry.weight;
+        const auto& record = m_records.at(attempt);
+        waiting[record.workspace] += 1.0 / record.weight;
     }
     const double own = waiting[newcomer.workspace] + 1.0 / newcomer.weight;
     auto victim = m_queue.end();
     for (auto at = m_queue.begin(); at != m_queue.end(); ++at) {
-        const auto& entry = m_records.at(*at);
-        const bool isLower = entry.priority < newcomer.priority;
-        const bool isOver = entry.priority == newcomer.priority && waiting[entry.workspace] > own;
+        const auto& record = m_records.at(*at);
+        const bool isLower = record.priority < newcomer.priority;
+        const bool isOver = record.priority == newcomer.priority && waiting[record.workspace] > own;
         if (!isLower && !isOver)
             continue;
         if (victim == m_queue.end()) {
@@ -239,7 +239,7 @@
             continue;
         }
         const auto& worst = m_records.at(*victim);
-        const auto key = std::pair { entry.priority, -waiting[entry.workspace] };
+        const auto key = std::pair { record.priority, -waiting[record.workspace] };
         const auto worstKey = std::pair { worst.priority, -waiting[worst.workspace] };
         if (key <= worstKey) // the last to come among equals
             victim = at;
@@ -252,18 +252,18 @@
     while (running() < m_options.slots && !m_queue.empty()) {
         const auto at = nextToStart();
         const attempt_id attempt = *at;
-        auto& entry = m_records.at(attempt);
-        if (now >= entry.startDeadline) {
+        auto& record = m_records.at(attempt);
+        if (now >= record.startDeadline) {
             refuse(attempt, { result_code::StartDeadlinePassed, "" }, now, effects);
             continue;
         }
         m_queue.erase(at);
-        const double served = normalizedService(entry);
+        const double served = normalizedService(record);
         m_minNormalizedService = std::max(m_minNormalizedService, served - 1.0);
-        m_normalizedService[entry.workspace] = served + 1.0 / entry.weight;
-        entry.state = gate_state::Started;
+        m_normalizedService[record.workspace] = served + 1.0 / record.weight;
+        record.state = gate_state::Started;
         m_started.insert(attempt);
-        effects.emplace_back(gate_start { attempt, entry.channel });
+        effects.emplace_back(gate_start { attempt, record.channel });
     }
     if (m_queue.empty() && m_started.empty()) {
         m_normalizedService.clear();
@@ -273,19 +273,19 @@
 
 void target_gate::refuse(const attempt_id& attempt, failure why, steady_time now, std::vector<gate_effect>& effects)
 {
-    auto& entry = m_records.at(attempt);
-    effects.emplace_back(gate_refuse { attempt, entry.channel, std::move(why) });
+    auto& record = m_records.at(attempt);
+    effects.emplace_back(gate_refuse { attempt, record.channel, std::move(why) });
     removeFromQueue(attempt);
-    setFinalState(attempt, entry, gate_state::Refused, now);
+    setFinalState(attempt, record, gate_state::Refused, now);
 }
 
 void target_gate::removeFromQueue(const attempt_id& attempt) { std::erase(m_queue, attempt); }
 
-void target_gate::setFinalState(const attempt_id& attempt, record& entry, gate_state state, steady_time now)
+void target_gate::setFinalState(const attempt_id& attempt, attempt_record& record, gate_state state, steady_time now)
 {
-    entry.state = state;
-    auto& ended = entry.nonIdempotent ? m_endedNonIdempotent : m_ended;
-    const auto retention = entry.nonIdempotent ? m_options.nonIdempotentRetention : m_options.recordRetention;
+    record.state = state;
+    auto& ended = record.nonIdempotent ? m_endedNonIdempotent : m_ended;
+    const auto retention = record.nonIdempotent ? m_options.nonIdempotentRetention : m_options.recordRetention;
     ended.emplace_back(now + retention, attempt);
 }
 
