--- a/include/buckthornrail/dispatch/claim_table.hpp
+++ b/include/buckthornrail/dispatch/claim_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Replicated claims of non-idempotent requests: at most one attempt holds a key.
+/// @brief Replicated table of claims on idempotency keys: at most one attempt holds a key.
 #pragma once
 
 #include "buckthornrail/core/identifiers.hpp"
@@ -11,7 +11,7 @@
 
 namespace buckthornrail::dispatch {
 
-/// Names one non-idempotent request for good.
+/// Identifies a non-idempotent request.
 struct claim_key {
     std::string workspace;
     std::string key; ///< the caller's Idempotency-Key
@@ -21,49 +21,54 @@
 /// The attempt that holds a claim.
 struct claim_holder {
     attempt_id attempt;
-    instance_id instance; ///< sidecar that the attempt is for
+    instance_id instance; ///< sidecar that the attempt is sent to
     incarnation_number incarnation = 0; ///< of that sidecar
     bool operator==(const claim_holder&) const = default;
 };
 
-/// A request for a claim.
+/// Claims a key, or moves its claim from another attempt.
 struct claim_command {
     claim_key key;
-    std::uint64_t requestDigest = 0; ///< tells a resend from a different request under the same key
+    std::uint64_t requestDigest = 0; ///< distinguishes a resend from a different request under the same key
     claim_holder holder;
-    claim_holder replaces; ///< proved not run; empty attempt for a first claim
-    std::uint64_t wallSeconds = 0; ///< the proposer's time of day
-    std::uint64_t retainSeconds = 0;
+    claim_holder replaces; ///< holder that is proven not to have run; empty for a first claim
+    std::uint64_t wallSeconds = 0; ///< the proposer's wall clock, in seconds since the epoch
+    std::uint64_t retainSeconds = 0; ///< the claim expires after this time
 };
 
 enum class claim_outcome : std::uint8_t {
-    Granted, ///< the holder of the command holds it
-    Held, ///< another attempt holds it; the outcome is in its sidecar
-    Reused, ///< the key stands for a different request
+    Granted, ///< the command's holder now holds the key
+    Held, ///< another attempt holds the key; its sidecar knows the outcome
+    Reused, ///< the key belongs to a different request
 };
 
 struct claim_result {
     claim_outcome outcome = claim_outcome::Held;
-    claim_holder holder; ///< who holds it now
+    claim_holder holder; ///< current holder of the key
 };
 
-/// One claim.
+/// Claim on one key.
 struct claim_record {
     claim_key key;
     std::uint64_t requestDigest = 0;
     claim_holder holder;
-    std::uint64_t retainUntil = 0; ///< seconds of the table's clock
+    std::uint64_t retainUntil = 0; ///< in seconds of the table's clock
 };
 
-/// @brief The table. Its clock is the highest time of day that any command brought, the same on every replica.
+/// @brief State machine of the claims. Its clock is the highest wall time of any command so far, so that claims expire
+/// identically on every replica.
 /// @ingroup dispatch
 class claim_table {
 public:
+    /// @brief Advances the clock, removes expired claims, then grants or refuses the command's claim. Repeating a
+    /// granted command has no effect.
     claim_result apply(const claim_command& command);
 
     [[nodiscard]] std::size_t size() const { return m_claims.size(); }
     [[nodiscard]] std::vector<claim_record> records() const;
+    /// @return highest wall time of any command, in seconds
     [[nodiscard]] std::uint64_t clock() const { return m_clock; }
+    /// @brief Replaces the table by the contents of a snapshot.
     void restore(std::vector<claim_record> records, std::uint64_t clock);
 
 private:
--- a/include/buckthornrail/dispatch/order_sequencer.hpp
+++ b/include/buckthornrail/dispatch/order_sequencer.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// @brief A sidecar's handling of orders to its target: one at a time, fenced, without cutting work.
+/// @brief Runs orders at a sidecar's target one at a time, after running work has ended. Does no I/O.
 ///
-/// A target that checks fencing numbers refuses an old order by itself. For one that doesn't the sidecar is the fence:
-/// it sends an order only when the one before has ended, reads the state back, and after a restart first waits until
-/// whatever its earlier incarnation sent must have ended.
+/// A target that checks fencing tokens refuses stale orders itself. For one that doesn't, the sidecar ensures that a
+/// stale order can't take effect after a newer one: it sends an order only after the previous one has ended, reads the
+/// loaded version back, and after a restart first waits until any order of its previous incarnation must have ended.
 #pragma once
 
 #include "buckthornrail/core/clock.hpp"
@@ -17,10 +17,10 @@
 
 namespace buckthornrail::dispatch {
 
-/// Issued by the controllers' log, higher for each order.
+/// Issued through the controllers' replicated log; higher for each order.
 using fencing_token = std::uint64_t;
 
-/// Load this version of this model.
+/// Order to load a version of a model.
 struct target_order {
     fencing_token fence = 0;
     std::string model;
@@ -28,41 +28,51 @@
 };
 
 struct order_options {
-    bool targetChecksFences = true;
-    milliseconds orderTimeout { 10000 }; ///< no call for an order lasts longer
-    milliseconds readBackInterval { 200 };
+    bool targetChecksFences = true; ///< the target refuses orders with a token below the highest it has seen
+    milliseconds orderTimeout { 10000 }; ///< maximum duration of the call that carries an order
+    milliseconds readBackInterval { 200 }; ///< between reads of the loaded version
 };
 
-/// Let no new work start; call workDrained() when none runs.
+/// Accept no new work, and call workDrained() once no work is queued or running.
 struct pause_work { };
+/// Accept new work again.
 struct resume_work { };
+/// Send an order to the target, then call orderCallEnded().
 struct send_order {
     target_order order;
     steady_time deadline {};
 };
-/// Ask the target what it has loaded.
+/// Ask the target what it has loaded, then call stateRead().
 struct read_target_state { };
-/// The order has ended.
+/// Report to the controllers that an order has ended.
 struct report_order {
     target_order order;
     failure outcome;
 };
 using order_effect = std::variant<pause_work, resume_work, send_order, read_target_state, report_order>;
 
+/// @brief State machine of the orders to one target. The owner passes events in and carries out the effects.
 /// @ingroup dispatch
 class order_sequencer {
 public:
     order_sequencer(order_options options, steady_time now);
 
-    /// @brief An order from the controllers; repeated and older ones are ignored.
+    /// @brief Handles an order of the controllers. Repeated and older orders are ignored; a newer one replaces a
+    /// pending one.
     void offer(const target_order& order, steady_time now);
+    /// @brief No work is queued or running since pause_work.
     void workDrained(steady_time now);
-    /// @brief The call for an order has ended. @param refusedAsStale by the target, which knows a higher number
+    /// @brief The call that carried an order has ended.
+    /// @param accepted not used: the loaded version decides on the outcome
+    /// @param refusedAsStale whether the target has refused the order because it has seen a higher fencing token
     void orderCallEnded(fencing_token fence, bool accepted, bool refusedAsStale, steady_time now);
+    /// @brief The target reports the model and version that it has loaded.
     void stateRead(const std::string& model, const std::string& version, steady_time now);
     void tick(steady_time now);
 
+    /// @return the next effect to carry out, if any
     std::optional<order_effect> nextEffect();
+    /// @return highest token of any order so far
     [[nodiscard]] fencing_token highestFence() const { return m_highestFence; }
     [[nodiscard]] bool isIdle() const { return m_phase == phase::Idle; }
 
@@ -78,8 +88,8 @@
     phase m_phase = phase::Idle;
     fencing_token m_highestFence = 0;
     std::optional<target_order> m_current;
-    std::optional<target_order> m_pending; ///< the newest that came meanwhile
-    steady_time m_earlierOrdersDeadline; ///< until then an earlier incarnation's order may still take effect
+    std::optional<target_order> m_pending; ///< newest order that arrived while another was in progress
+    steady_time m_earlierOrdersDeadline; ///< until then an order of the previous incarnation may still take effect
     steady_time m_orderDeadline {};
     steady_time m_readDeadline {};
     std::deque<order_effect> m_effects;
--- a/include/buckthornrail/dispatch/response.hpp
+++ b/include/buckthornrail/dispatch/response.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Checking that an answer is whole and one's own.
+/// @brief Reassembles the response of an attempt and checks that it is complete and belongs to that attempt.
 #pragma once
 
 #include "buckthornrail/dispatch/messages.hpp"
@@ -9,7 +9,8 @@
 
 namespace buckthornrail::dispatch {
 
-/// @brief Running digest over an answer's frames, in order. Both ends compute it.
+/// @brief Running digest over the frames of a response, in order. Sidecar and entry both compute it; a mismatch shows
+/// that frames were lost, mixed up or changed.
 class response_digest {
 public:
     response_digest();
@@ -27,31 +28,32 @@
 };
 
 enum class assembly_state {
-    Open, ///< frames are missing, or the end
-    Complete, ///< count and digest agree
-    Failed, ///< they don't, or the attempt ended in an error
+    Open, ///< frames or the end message are missing
+    Complete, ///< frame count and digest match the end message
+    Failed, ///< they don't match, or the attempt ended with an error
 };
 
-/// @brief Puts the frames of one attempt in order; drops repeated frames and those of other attempts.
+/// @brief Orders the frames of one attempt. Drops duplicates and frames of other attempts.
 /// @ingroup dispatch
 class response_assembler {
 public:
     explicit response_assembler(attempt_id attempt);
 
-    /// @brief Takes a frame. @return the frames that can now be delivered, in order.
+    /// @return the frames that can now be delivered, in order; empty while an earlier one is missing
     std::vector<response_frame> add(const response_frame& frame);
-    /// @brief Takes the end.
+    /// @brief Records the end message; only the first one of the attempt counts.
     void end(const response_end& end);
 
     [[nodiscard]] assembly_state state() const;
+    /// @return the end message; empty until it has arrived
     [[nodiscard]] const std::optional<response_end>& receivedEnd() const { return m_end; }
-    /// @brief Frames dropped as repeated or foreign.
+    /// @brief Number of messages dropped: duplicates, those of other attempts, and frames that exceed the buffer.
     [[nodiscard]] std::uint64_t dropped() const { return m_dropped; }
 
 private:
     attempt_id m_attempt;
-    std::uint32_t m_next = 0;
-    std::map<std::uint32_t, response_frame> m_outOfOrder; ///< bounded by maxOutOfOrderFrames
+    std::uint32_t m_next = 0; ///< sequence number of the next frame to deliver
+    std::map<std::uint32_t, response_frame> m_outOfOrder; ///< by sequence number; at most maxOutOfOrderFrames
     response_digest m_digest;
     std::optional<response_end> m_end;
     std::uint64_t m_dropped = 0;
--- a/include/buckthornrail/dispatch/response_store.hpp
+++ b/include/buckthornrail/dispatch/response_store.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Answers of non-idempotent attempts, kept so that a resent request gets the same answer again.
+/// @brief Responses of non-idempotent attempts, stored so that a resent request receives the same response.
 #pragma once
 
 #include "buckthornrail/dispatch/messages.hpp"
@@ -11,18 +11,20 @@
 
 namespace buckthornrail::dispatch {
 
-/// What is kept of one attempt.
+/// Response of one attempt.
 struct stored_response {
     std::vector<response_frame> frames;
-    std::optional<response_end> end; ///< missing while the attempt runs
-    bool evicted = false; ///< the frames were dropped to stay within the limit
-    std::size_t bytes = 0;
+    std::optional<response_end> end; ///< empty while the attempt runs
+    bool evicted = false; ///< the frames were dropped to stay within the size limit
+    std::size_t bytes = 0; ///< total size of the frames' bodies
 };
 
-/// @brief Bounded by bytes; the oldest ended answers go first. That an attempt ran is never forgotten here.
+/// @brief Evicts the frames of the responses that ended first when the total size exceeds the limit. The record that an
+/// attempt ran stays until drop().
 /// @ingroup dispatch
 class response_store {
 public:
+    /// @param maxBytes limit on the total size of the frames; responses that haven't ended may exceed it
     explicit response_store(std::size_t maxBytes)
         : m_maxBytes(maxBytes)
     {
@@ -31,10 +33,10 @@
     void begin(const attempt_id& attempt);
     void add(const response_frame& frame);
     void end(const response_end& end);
-    /// @brief The attempt never began after all, or its record has lapsed.
+    /// @brief Removes an attempt that was not started after all, or whose record has expired.
     void drop(const attempt_id& attempt);
 
-    /// @return the answer, or nullptr when the attempt was not begun here.
+    /// @return the response; nullptr if the attempt was not started at this sidecar
     [[nodiscard]] const stored_response* find(const attempt_id& attempt) const;
     [[nodiscard]] std::size_t bytes() const { return m_bytes; }
 
@@ -44,7 +46,7 @@
     std::size_t m_maxBytes;
     std::size_t m_bytes = 0;
     std::map<attempt_id, stored_response> m_responses;
-    std::deque<attempt_id> m_ended; ///< oldest first
+    std::deque<attempt_id> m_ended; ///< in the order in which they ended; evicted ones are removed
 };
 
 } // namespace buckthornrail::dispatch
--- a/include/buckthornrail/dispatch/sidecar_core.hpp
+++ b/include/buckthornrail/dispatch/sidecar_core.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A sidecar's side of attempts, without I/O: gate, answers, and those who follow them.
+/// @brief A sidecar's handling of attempts: admission, responses and the channels that receive them. Does no I/O.
 #pragma once
 
 #include "buckthornrail/dispatch/response.hpp"
@@ -10,38 +10,41 @@
 
 namespace buckthornrail::dispatch {
 
-/// What a sidecar tells an entry.
+/// Messages from a sidecar to an entry.
 using sidecar_message = std::variant<attempt_accepted, attempt_refused, attempt_started, response_frame, response_end,
     revoke_reply, attach_reply, load_report>;
 
+/// Send a message over a link.
 struct send_to_channel {
     channel_number channel = 0;
     sidecar_message message;
 };
-/// Hand this attempt to the target; for a stage, open it and call stageOpened() or startFailed().
+/// Send this work to the target, then call ended(). For a stage, open it and call stageOpened() or startFailed().
 struct start_work {
     attempt_id attempt;
     work_order work;
     steady_time deadline {};
 };
-/// Stop this attempt at the target; its end is still to be reported.
+/// Cancel this attempt at the target. ended(), or stageClosed() for a stage, must still be called.
 struct cancel_work {
     attempt_id attempt;
     work_kind kind = work_kind::Completion;
 };
 using sidecar_effect = std::variant<send_to_channel, start_work, cancel_work>;
 
-/// How work at a target ended.
+/// Result of work at a target.
 struct work_outcome {
     result_code code = result_code::Ok;
     std::string reason;
-    std::string finishReason;
-    bool startFailed = false; ///< the target never got the work
+    std::string finishReason; ///< "stop" or "length" for completions
+    bool startFailed = false; ///< the target never received the work
 };
 
+/// @brief The owner passes events in and carries out the effects that nextEffect() returns.
 /// @ingroup dispatch
 class sidecar_core {
 public:
+    /// @param maxStoredBytes limit on the stored responses of non-idempotent attempts
     sidecar_core(instance_id self, gate_options options, std::size_t maxStoredBytes, steady_time now);
 
     void offer(const attempt_offer& offer, channel_number channel, steady_time now);
@@ -50,21 +53,24 @@
     void channelLost(channel_number channel, steady_time now);
     void tick(steady_time now);
 
-    /// @brief A piece of an answer from the target; its sequence number is set here.
+    /// @brief Forwards a frame of the target's response. Sets its sequence number.
     void frame(response_frame frame);
+    /// @brief The target has ended the work of an attempt.
     void ended(const attempt_id& attempt, const work_outcome& outcome, steady_time now);
-    /// @brief A stage is open and waits for steps.
+    /// @brief A stage is open and ready for steps.
     void stageOpened(const attempt_id& attempt);
-    /// @brief A stage is over; no end is sent.
+    /// @brief A stage has ended. Sends no end message.
     void stageClosed(const attempt_id& attempt, steady_time now);
+    /// @brief The work of an attempt could not be started, so that the attempt has not run.
     void startFailed(const attempt_id& attempt, const failure& why, steady_time now);
     void reportLoad(channel_number channel);
 
+    /// @return the next effect to carry out, if any
     std::optional<sidecar_effect> nextEffect();
 
     target_gate& gate() { return m_gate; }
     [[nodiscard]] const target_gate& gate() const { return m_gate; }
-    /// @brief The work of an attempt that was accepted and has not ended, or nullptr.
+    /// @return work of an attempt that was accepted and has not ended, or nullptr
     [[nodiscard]] const work_order* workOf(const attempt_id& attempt) const;
 
 private:
@@ -78,6 +84,7 @@
     void carryOut(const std::vector<gate_effect>& effects);
     void start(const attempt_id& attempt);
     void send(channel_number channel, sidecar_message message);
+    /// @brief Sends to the channels that are attached to an attempt, in addition to the one that offered it.
     void sendToAttached(const attempt_id& attempt, const sidecar_message& message);
     void forget(const attempt_id& attempt);
 
--- a/src/buckthornrail/dispatch/claim_table.cpp
+++ b/src/buckthornrail/dispatch/claim_table.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Granting and moving claims.
+/// @brief Grants, moves and expires claims.
 #include "buckthornrail/dispatch/claim_table.hpp"
 
 #include <algorithm>
@@ -12,7 +12,8 @@
     expire();
     const auto found = m_claims.find(command.key);
     if (found == m_claims.end()) {
-        // A move needs the claim that it moves: when that has lapsed, the proof behind it is out of date as well.
+        // A claim can only be moved while it exists: once it has expired, the proof that its holder has not run may be
+        // outdated as well.
         if (!command.replaces.attempt.request.empty())
             return { claim_outcome::Held, command.replaces };
         claim_record record { command.key, command.requestDigest, command.holder, m_clock + command.retainSeconds };
--- a/src/buckthornrail/dispatch/order_sequencer.cpp
+++ b/src/buckthornrail/dispatch/order_sequencer.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Orders, one at a time.
+/// @brief Runs orders to a target one at a time.
 #include "buckthornrail/dispatch/order_sequencer.hpp"
 
 #include <utility>
@@ -23,7 +23,7 @@
         return;
     }
     if (m_pending)
-        m_effects.emplace_back(report_order { *m_pending, { result_code::StaleFence, "a newer order came" } });
+        m_effects.emplace_back(report_order { *m_pending, { result_code::StaleFence, "superseded by a newer order" } });
     m_pending = order;
 }
 
@@ -43,10 +43,10 @@
     if (m_phase != phase::Sending || fence != m_current->fence)
         return;
     if (refusedAsStale) {
-        finish({ result_code::StaleFence, "the target knows a higher number" }, now);
+        finish({ result_code::StaleFence, "the target has seen a higher fencing token" }, now);
         return;
     }
-    (void)accepted; // what the target has loaded tells more than what it answered
+    (void)accepted; // the loaded version is read back whatever the target has replied
     readBack(now);
 }
 
@@ -65,7 +65,8 @@
 {
     if (m_phase == phase::AwaitingEarlierOrders && now >= m_earlierOrdersDeadline)
         sendOrder(now);
-    // A target that doesn't check numbers may still be at the order: until its deadline no other is sent.
+    // The target may execute the order until its deadline, even after the call failed. If it doesn't check fencing
+    // tokens, no other order may be sent before.
     const bool isOver = now >= m_orderDeadline;
     if (m_phase == phase::Sending && isOver)
         readBack(now);
@@ -113,7 +114,7 @@
     m_current = std::exchange(m_pending, std::nullopt);
     if (m_current) {
         m_phase = phase::Pausing;
-        workDrained(now); // work is paused already
+        workDrained(now); // work is still paused
         return;
     }
     m_phase = phase::Idle;
--- a/src/buckthornrail/dispatch/order_sequencer_test.cpp
+++ b/src/buckthornrail/dispatch/order_sequencer_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Orders to targets that check fencing numbers, and to those that don't.
+/// @brief Orders to targets that check fencing tokens, and to those that don't.
 #include "buckthornrail/dispatch/order_sequencer.hpp"
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A target that takes its time with each order; orders overlap when several are sent at once.
+/// Target that takes some time for each order and detects orders that overlap.
 struct slow_target {
     bool checks = true;
     std::string version = "1";
@@ -22,7 +22,7 @@
     bool overlapped = false;
 };
 
-/// A sidecar's sequencer that may restart, with its target.
+/// Simulates a sidecar that may restart, and its target.
 class order_simulation {
 public:
     order_simulation(bool checks, std::uint64_t seed)
@@ -88,7 +88,7 @@
         if (!target.checks && target.activeOrders > 0)
             target.overlapped = true;
         target.activeOrders += isOld ? 0 : 1;
-        // Up to 900 ms of work; the order timeout is 1,000 ms.
+        // Takes up to 900 ms, less than the order timeout of 1,000 ms.
         m_events.emplace(now + milliseconds(m_random() % 900), [this, incarnation, order, isOld] {
             if (!isOld) {
                 --target.activeOrders;
@@ -110,7 +110,7 @@
 
 } // namespace
 
-TEST_CASE("orders: the highest number wins at every kind of target, across restarts", "[orders][property]")
+TEST_CASE("orders: the highest fencing token wins at every kind of target, across restarts", "[orders][property]")
 {
     rc::prop("schedule", [](std::uint64_t seed, bool checks) {
         order_simulation simulation(checks, seed);
@@ -122,7 +122,7 @@
             else if (step % 8 < 5)
                 simulation.offer(++issued);
             else if (issued > 0)
-                simulation.offer(static_cast<fencing_token>(step) % issued + 1); // an old one, late
+                simulation.offer(static_cast<fencing_token>(step) % issued + 1); // a delayed older order
             simulation.run(step / 8);
         }
         simulation.restart();
@@ -133,7 +133,7 @@
     });
 }
 
-TEST_CASE("orders: work is paused first and resumed after", "[orders]")
+TEST_CASE("orders: work is paused before an order and resumed after it", "[orders]")
 {
     order_sequencer sequencer({}, steady_time {});
     sequencer.offer({ 1, "m", "2" }, steady_time {});
@@ -149,7 +149,7 @@
     CHECK(sequencer.isIdle());
 }
 
-TEST_CASE("orders: a target that never loads the version is reported, and work goes on", "[orders]")
+TEST_CASE("orders: a target that never loads the version is reported, and work resumes", "[orders]")
 {
     order_sequencer sequencer({}, steady_time {});
     sequencer.offer({ 1, "m", "2" }, steady_time {});
--- a/src/buckthornrail/dispatch/request_run.cpp
+++ b/src/buckthornrail/dispatch/request_run.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The life of one request at an entry.
+/// @brief State machine of one request at an entry.
 #include "buckthornrail/dispatch/request_run.hpp"
 
 #include <algorithm>
@@ -18,7 +18,7 @@
 {
     m_phaseDeadline = m_request.deadline;
     if (now >= m_request.deadline) {
-        finish({ result_code::DeadlinePassed, "the timeout is already over" });
+        finish({ result_code::DeadlinePassed, "the deadline had passed before the request was dispatched" });
         return;
     }
     choose();
@@ -54,7 +54,7 @@
         sendOffer(now);
         return;
     }
-    // Another run holds the key: its sidecar alone knows what became of it.
+    // Another run holds the key: only its sidecar knows the outcome.
     m_followsOtherRun = true;
     m_claimHolder = result.holder;
     m_attempt = result.holder.attempt;
@@ -86,7 +86,7 @@
     if (!isCurrent(refusal.attempt) || !isOpen() || hasFrames())
         return;
     m_mayHaveStarted = false;
-    m_hasStarted = false; // the sidecar found that its target never got the work
+    m_hasStarted = false; // the sidecar refuses it after a start if its target never received it
     if (refusal.code == result_code::StaleConfiguration) {
         m_lastFailure = { refusal.code, refusal.reason };
         m_effects.emplace_back(await_configuration {});
@@ -150,7 +150,7 @@
         enterPhase(phase::Started, progressDeadline(now));
         return;
     case attach_outcome::NotStarted:
-        // Proved not run and fenced: the claim may move to an attempt of ours.
+        // Proven not to have run, and a tombstone prevents a later start: the claim may move to this run's attempt.
         m_mayHaveStarted = false;
         m_replaces = m_claimHolder;
         m_claimHolder = {};
@@ -159,10 +159,10 @@
         return;
     case attach_outcome::Gone:
         m_hasStarted = true;
-        finish({ result_code::OutcomeUnknown, "it was run under this key; its answer is no longer kept" });
+        finish({ result_code::OutcomeUnknown, "the request ran under this key, but its response is no longer stored" });
         return;
     case attach_outcome::Unknown:
-        finish({ result_code::OutcomeUnknown, "the sidecar that held this key has restarted" });
+        finish({ result_code::OutcomeUnknown, "the sidecar that ran the attempt holding this key has restarted" });
         return;
     }
 }
@@ -172,7 +172,7 @@
     if (!isCurrent(attempt) || m_phase != phase::Offered)
         return;
     m_mayHaveStarted = false;
-    retryAfterNotRun({ result_code::NoTarget, "the sidecar can't be reached" }, now);
+    retryAfterNotRun({ result_code::NoTarget, "the sidecar is unreachable" }, now);
 }
 
 void request_run::linkLost(const instance_id& instance, steady_time now)
@@ -190,7 +190,7 @@
 void request_run::configurationReceived(steady_time now)
 {
     (void)now;
-    // The sidecar that knew the newer configuration is as good as any other one.
+    // The sidecar that refused because of the newer configuration is not excluded from the next choice.
     if (m_phase == phase::AwaitingConfiguration)
         chooseAgain(m_lastFailure);
 }
@@ -219,10 +219,10 @@
         return;
     switch (m_phase) {
     case phase::Claiming:
-        finish({ result_code::ClaimUnavailable, "no quorum answered in time" });
+        finish({ result_code::ClaimUnavailable, "the controllers did not decide on the claim in time" });
         return;
     case phase::Offered:
-        revokeCurrent({ result_code::TargetStalled, "the sidecar did not answer the offer" }, now);
+        revokeCurrent({ result_code::TargetStalled, "the sidecar did not reply to the offer" }, now);
         return;
     case phase::Started:
         abandonAttempt({ result_code::TargetStalled, "the target made no progress" }, now);
@@ -231,7 +231,7 @@
         retryAfterPossibleRun(m_lastFailure, now);
         return;
     case phase::Attaching:
-        finish({ result_code::OutcomeUnknown, "the sidecar that holds this key can't be reached" });
+        finish({ result_code::OutcomeUnknown, "the sidecar of the attempt that holds this key did not reply" });
         return;
     case phase::AwaitingConfiguration:
         finish(m_lastFailure);
@@ -306,7 +306,7 @@
 void request_run::chooseAgain(const failure& why)
 {
     m_lastFailure = why;
-    // Our own claim names an attempt that is proved not to have run; the next attempt takes its place.
+    // The holder of the claim is proven not to have run, so that the next attempt may replace it.
     if (!m_claimHolder.attempt.request.empty())
         m_replaces = std::exchange(m_claimHolder, {});
     if (m_attemptNumber >= m_options.maxAttempts) {
@@ -342,7 +342,8 @@
     if (!m_followsOtherRun)
         m_effects.emplace_back(send_revoke { m_attempt, m_target, true });
     if (m_request.canResume && !m_request.isStream) {
-        // The tokens of the lost attempt are in order and one's own: they are kept, and the answer goes on after them.
+        // The tokens received so far are in order and belong to this request: they are delivered, and the next attempt
+        // continues after them.
         for (auto& frame : m_bufferedFrames)
             m_deliveredTokens.push_back(frame.bytes);
         m_effects.emplace_back(deliver_frames { std::exchange(m_bufferedFrames, {}) });
@@ -352,7 +353,7 @@
 
 void request_run::rejectResponse(steady_time now)
 {
-    const failure why { result_code::AnswerIncomplete, "count or digest of the answer is wrong" };
+    const failure why { result_code::AnswerIncomplete, "frame count or digest of the response does not match" };
     m_bufferedFrames.clear();
     if (m_deliveredAny) {
         finish(why);
@@ -363,7 +364,7 @@
 
 void request_run::reattach(steady_time now)
 {
-    // The sidecar goes on with non-idempotent work when a link closes; repeated frames are dropped.
+    // The sidecar continues non-idempotent work when a link closes. Frames that were received before are dropped.
     m_effects.emplace_back(send_attach { m_attempt, m_target });
     enterPhase(phase::Attaching, now + m_options.revokeTimeout);
 }
@@ -436,7 +437,7 @@
 
 steady_time request_run::progressDeadline(steady_time now) const
 {
-    // Giving up early on non-idempotent work gains nothing: it can't be tried elsewhere.
+    // Non-idempotent work can't be retried elsewhere, so abandoning it early gains nothing.
     return m_request.nonIdempotent ? m_request.deadline : now + m_options.progressTimeout;
 }
 
--- a/src/buckthornrail/dispatch/request_run_test.cpp
+++ b/src/buckthornrail/dispatch/request_run_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A run's next step after a refusal.
+/// @brief What a run does after a refusal.
 #include "buckthornrail/dispatch/request_run.hpp"
 
 #include <catch2/catch.hpp>
@@ -19,7 +19,7 @@
     return std::get<Effect>(*effect);
 }
 
-/// A run whose first offer, to sidecar "a", is out.
+/// @return a run that has sent its first offer, to sidecar "a"
 request_run offeredRun()
 {
     run_request request;
@@ -35,30 +35,32 @@
 
 } // namespace
 
-// A switch of versions under traffic: entries whose document arrives a heartbeat after a sidecar's must not drop the
-// sidecar that told them so; where two targets serve a model, it is half of what is left.
-TEST_CASE("run: a sidecar that knows a newer configuration may be chosen again once that has come", "[dispatch]")
+// Guards against a loss of capacity during a configuration change under traffic: an entry may receive the new version a
+// heartbeat after a sidecar. If it excluded the sidecar that reports the newer version, a model served by two targets
+// would lose half of its capacity.
+TEST_CASE(
+    "run: a sidecar with a newer configuration may be chosen again once the entry has received that", "[dispatch]")
 {
     auto run = offeredRun();
     run.refused({ { "r", 1 }, result_code::StaleConfiguration, "version 2 is known" }, begin);
     next<await_configuration>(run);
     CHECK_FALSE(run.nextEffect());
     run.configurationReceived(begin + milliseconds(100));
-    const auto wish = next<choose_target>(run);
-    CHECK(wish.excluded.empty());
-    CHECK(wish.previous.code == result_code::StaleConfiguration);
+    const auto choice = next<choose_target>(run);
+    CHECK(choice.excluded.empty());
+    CHECK(choice.previous.code == result_code::StaleConfiguration);
     run.targetChosen({ "a", 1 }, begin + milliseconds(100));
     CHECK(next<send_offer>(run).attempt.number == 2);
 }
 
-TEST_CASE("run: a sidecar that is busy is left out of the next choice", "[dispatch]")
+TEST_CASE("run: a busy sidecar is excluded from the next choice", "[dispatch]")
 {
     auto run = offeredRun();
     run.refused({ { "r", 1 }, result_code::Busy, "" }, begin);
     CHECK(next<choose_target>(run).excluded == std::set<instance_id> { "a" });
 }
 
-TEST_CASE("run: without a newer configuration in time the caller is told that nothing ran", "[dispatch]")
+TEST_CASE("run: if no newer configuration arrives in time, the result states that nothing ran", "[dispatch]")
 {
     auto run = offeredRun();
     run.refused({ { "r", 1 }, result_code::StaleConfiguration, "" }, begin);
--- a/src/buckthornrail/dispatch/response.cpp
+++ b/src/buckthornrail/dispatch/response.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Digest and assembly of answers.
+/// @brief Digest and reassembly of responses.
 #include "buckthornrail/dispatch/response.hpp"
 
 #include <utility>
@@ -8,6 +8,7 @@
 namespace buckthornrail::dispatch {
 namespace {
 
+/// Bounds the memory of a response whose next frame is missing.
 constexpr std::size_t maxOutOfOrderFrames = 4096;
 
 } // namespace
@@ -84,8 +85,8 @@
         return assembly_state::Failed;
     if (m_next < m_end->frameCount)
         return assembly_state::Open;
-    const bool whole = m_next == m_end->frameCount && m_digest.value() == m_end->digest;
-    return whole ? assembly_state::Complete : assembly_state::Failed;
+    const bool isComplete = m_next == m_end->frameCount && m_digest.value() == m_end->digest;
+    return isComplete ? assembly_state::Complete : assembly_state::Failed;
 }
 
 } // namespace buckthornrail::dispatch
--- a/src/buckthornrail/dispatch/response_store.cpp
+++ b/src/buckthornrail/dispatch/response_store.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Keeping and evicting answers.
+/// @brief Storage and eviction of responses.
 #include "buckthornrail/dispatch/response_store.hpp"
 
 namespace buckthornrail::dispatch {
@@ -46,12 +46,12 @@
 void response_store::evict()
 {
     while (m_bytes > m_maxBytes && !m_ended.empty()) {
-        auto& answer = m_responses[m_ended.front()];
+        auto& response = m_responses[m_ended.front()];
         m_ended.pop_front();
-        m_bytes -= answer.bytes;
-        answer.bytes = 0;
-        answer.frames.clear();
-        answer.evicted = true;
+        m_bytes -= response.bytes;
+        response.bytes = 0;
+        response.frames.clear();
+        response.evicted = true;
     }
 }
 
--- a/src/buckthornrail/dispatch/response_test.cpp
+++ b/src/buckthornrail/dispatch/response_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Answers are whole and one's own.
+/// @brief Responses are complete and contain only frames of their attempt.
 #include "buckthornrail/dispatch/response.hpp"
 #include "buckthornrail/dispatch/response_store.hpp"
 
@@ -19,25 +19,25 @@
 
 complete_response makeResponse(const std::string& request, const std::vector<std::string>& texts)
 {
-    complete_response answer;
+    complete_response response;
     response_digest digest;
     for (const auto& text : texts) {
         response_frame frame;
         frame.attempt = { request, 1 };
-        frame.sequence = static_cast<std::uint32_t>(answer.frames.size());
+        frame.sequence = static_cast<std::uint32_t>(response.frames.size());
         frame.bytes = text;
         digest.add(frame);
-        answer.frames.push_back(std::move(frame));
+        response.frames.push_back(std::move(frame));
     }
-    answer.end
+    response.end
         = { { request, 1 }, result_code::Ok, "", static_cast<std::uint32_t>(texts.size()), digest.value(), "stop" };
-    return answer;
+    return response;
 }
 
 } // namespace
 
-TEST_CASE(
-    "answer: whole and one's own under reordering, repeats, loss and mixing of any two requests", "[answer][property]")
+TEST_CASE("response: complete and unmixed under reordering, duplicates, loss and frames of another request",
+    "[response][property]")
 {
     rc::prop("assembly", [](const std::vector<std::string>& own, const std::vector<std::string>& foreign) {
         const auto mine = makeResponse("mine", own);
@@ -64,31 +64,31 @@
             for (const auto& frame : assembler.add(wire[at]))
                 got.push_back(frame.bytes);
         }
-        const bool isWhole = !loses || lost >= own.size();
-        RC_ASSERT((assembler.state() == assembly_state::Complete) == isWhole);
-        if (isWhole)
+        const bool isComplete = !loses || lost >= own.size();
+        RC_ASSERT((assembler.state() == assembly_state::Complete) == isComplete);
+        if (isComplete)
             RC_ASSERT(got == own);
         RC_ASSERT(std::equal(got.begin(), got.end(), own.begin()));
     });
 }
 
-TEST_CASE("answer: a changed byte or a wrong count is noticed", "[answer]")
+TEST_CASE("response: a changed byte or a wrong frame count is detected", "[response]")
 {
-    auto answer = makeResponse("r", { "one", "two" });
+    auto response = makeResponse("r", { "one", "two" });
     response_assembler changed({ "r", 1 });
-    answer.frames[1].bytes = "twO";
-    for (const auto& frame : answer.frames)
+    response.frames[1].bytes = "twO";
+    for (const auto& frame : response.frames)
         changed.add(frame);
-    changed.end(answer.end);
+    changed.end(response.end);
     CHECK(changed.state() == assembly_state::Failed);
     response_assembler shorter({ "r", 1 });
     shorter.add(makeResponse("r", { "one", "two" }).frames[0]);
-    answer.end.frameCount = 1;
-    shorter.end(answer.end);
+    response.end.frameCount = 1;
+    shorter.end(response.end);
     CHECK(shorter.state() == assembly_state::Failed);
 }
 
-TEST_CASE("answer store: the oldest answers give way, but that they ran is kept", "[answer]")
+TEST_CASE("response store: the oldest responses are evicted, but the record that they ran stays", "[response]")
 {
     response_store store(10);
     for (const std::string name : { "a", "b" }) {
--- a/src/buckthornrail/dispatch/sidecar_core.cpp
+++ b/src/buckthornrail/dispatch/sidecar_core.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Attempts at a sidecar.
+/// @brief Handling of attempts at a sidecar.
 #include "buckthornrail/dispatch/sidecar_core.hpp"
 
 #include <utility>
@@ -49,7 +49,7 @@
     }
     const auto state = m_gate.stateOf(attach.attempt);
     if (!state || state == gate_state::Refused) {
-        // A tombstone keeps an attempt that was never offered from being started later.
+        // The tombstone prevents a later start of an attempt whose offer is still in flight.
         std::vector<gate_effect> effects;
         (void)m_gate.revoke({ attach.attempt, attach.incarnation, false }, now, effects);
         reply(attach_outcome::NotStarted);
@@ -60,16 +60,16 @@
         reply(attach_outcome::Attached);
         return;
     }
-    const auto* answer = m_responses.find(attach.attempt);
-    if (answer == nullptr || answer->evicted) {
+    const auto* response = m_responses.find(attach.attempt);
+    if (response == nullptr || response->evicted) {
         reply(attach_outcome::Gone);
         return;
     }
     reply(attach_outcome::Attached);
-    for (const auto& frame : answer->frames)
+    for (const auto& frame : response->frames)
         send(channel, frame);
-    if (answer->end)
-        send(channel, *answer->end);
+    if (response->end)
+        send(channel, *response->end);
     else
         m_attachedChannels[attach.attempt].insert(channel);
 }
--- a/src/buckthornrail/dispatch/target_gate.cpp
+++ b/src/buckthornrail/dispatch/target_gate.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Decisions of the gate.
+/// @brief Admission, fair queueing and expiry of attempts.
 #include "buckthornrail/dispatch/target_gate.hpp"
 
 #include <algorithm>
@@ -17,13 +17,13 @@
     std::vector<gate_effect> effects;
     const auto known = m_records.find(offer.attempt);
     if (known != m_records.end()) {
-        // A repeated offer gets no second start. The first answer stands; only a refused one may be told again.
+        // A repeated offer never starts a second time. The first reply stands; only a refusal is repeated.
         if (known->second.state == gate_state::Refused)
-            effects.emplace_back(gate_refuse { offer.attempt, channel, { result_code::Revoked, "refused before" } });
+            effects.emplace_back(gate_refuse { offer.attempt, channel, { result_code::Revoked, "already refused" } });
         return effects;
     }
     if (offer.incarnation != m_options.incarnation) {
-        // Not remembered: an attempt of another incarnation never starts here.
+        // Needs no record: an attempt for another incarnation never starts here.
         effects.emplace_back(gate_refuse { offer.attempt, channel, { result_code::WrongIncarnation, "" } });
         return effects;
     }
@@ -42,12 +42,13 @@
             refusal = failure { result_code::QueueFull, "" };
         } else {
             const attempt_id evicted = *victim;
-            refuse(evicted, { result_code::QueueFull, "work with a better claim came" }, now, effects);
+            refuse(evicted, { result_code::QueueFull, "evicted from the queue by an attempt with precedence" }, now,
+                effects);
         }
     }
-    auto& kept = m_records.emplace(offer.attempt, std::move(record)).first->second;
+    auto& inserted = m_records.emplace(offer.attempt, std::move(record)).first->second;
     if (refusal) {
-        setFinalState(offer.attempt, kept, gate_state::Refused, now);
+        setFinalState(offer.attempt, inserted, gate_state::Refused, now);
         effects.emplace_back(gate_refuse { offer.attempt, channel, *refusal });
         return effects;
     }
@@ -63,7 +64,7 @@
         return revoke_outcome::Unknown;
     const auto found = m_records.find(revoke.attempt);
     if (found == m_records.end()) {
-        // The offer may still be on its way: the tombstone stops it.
+        // The offer may still be in flight: the tombstone makes it fail.
         setFinalState(revoke.attempt, m_records[revoke.attempt], gate_state::Refused, now);
         return revoke_outcome::NotStarted;
     }
@@ -122,7 +123,7 @@
         effects.emplace_back(gate_cancel { attempt });
     }
     for (const auto& attempt : waiting)
-        refuse(attempt, { result_code::Cancelled, "the link that offered it closed" }, now, effects);
+        refuse(attempt, { result_code::Cancelled, "the link that the offer came over has closed" }, now, effects);
     return effects;
 }
 
@@ -183,7 +184,8 @@
     if (m_configuration == 0 || now >= m_leaseDeadline)
         return failure { result_code::LeaseExpired, "" };
     if (offer.configuration < m_configuration)
-        return failure { result_code::StaleConfiguration, "version " + std::to_string(m_configuration) + " is known" };
+        return failure { result_code::StaleConfiguration,
+            "the sidecar has version " + std::to_string(m_configuration) };
     if (!m_ready)
         return failure { result_code::TargetNotReady, "" };
     if (offer.startWithinMs == 0)
@@ -199,7 +201,7 @@
 
 std::deque<attempt_id>::iterator target_gate::nextToStart()
 {
-    // Highest priority first; then the workspace that has had least for its weight; then arrival.
+    // By priority, then by normalized service of the workspace, then by order of arrival.
     auto best = m_queue.end();
     for (auto at = m_queue.begin(); at != m_queue.end(); ++at) {
         if (best == m_queue.end()) {
@@ -221,7 +223,7 @@
 
 std::deque<attempt_id>::iterator target_gate::findEvictionVictim(const attempt_record& newcomer)
 {
-    std::map<std::string, double> waiting; // queued work of each workspace divided by its weight
+    std::map<std::string, double> waiting; // by workspace: queued attempts divided by its weight
     for (const auto& attempt : m_queue) {
         const auto& record = m_records.at(attempt);
         waiting[record.workspace] += 1.0 / record.weight;
@@ -241,7 +243,7 @@
         const auto& worst = m_records.at(*victim);
         const auto key = std::pair { record.priority, -waiting[record.workspace] };
         const auto worstKey = std::pair { worst.priority, -waiting[worst.workspace] };
-        if (key <= worstKey) // the last to come among equals
+        if (key <= worstKey) // the last to arrive among equals
             victim = at;
     }
     return victim;
--- a/src/buckthornrail/dispatch/target_gate_test.cpp
+++ b/src/buckthornrail/dispatch/target_gate_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The gate: at most one start, refused means never started, fair order.
+/// @brief Attempts start at most once, never after a refusal, and in fair order.
 #include "buckthornrail/dispatch/target_gate.hpp"
 
 #include <catch2/catch.hpp>
@@ -63,7 +63,7 @@
 
 } // namespace
 
-TEST_CASE("gate: an offer starts when a slot is free, and once only", "[gate]")
+TEST_CASE("gate: an attempt starts when a slot is free, and only once", "[gate]")
 {
     auto gate = readyGate(1, 4);
     CHECK(requestsOf<gate_start>(gate.offer(offerOf("a"), entryChannel, begin)) == std::vector<std::string> { "a" });
@@ -74,7 +74,7 @@
     CHECK(gate.finished({ "a", 1 }, begin).empty());
 }
 
-TEST_CASE("gate: a late offer meets the tombstone of its revocation", "[gate]")
+TEST_CASE("gate: an offer that arrives after its revocation is refused", "[gate]")
 {
     auto gate = readyGate(1, 4);
     std::vector<gate_effect> effects;
@@ -83,7 +83,7 @@
     CHECK(gate.running() == 0);
 }
 
-TEST_CASE("gate: revocation tells the truth in every state", "[gate]")
+TEST_CASE("gate: revocation reports the correct outcome in every state", "[gate]")
 {
     auto gate = readyGate(1, 4);
     std::vector<gate_effect> effects;
@@ -108,13 +108,13 @@
     CHECK(effects.empty());
     CHECK(requestsOf<gate_cancel>(gate.channelLost(entryChannel, begin)) == std::vector<std::string> { "a" });
     CHECK(gate.revoke({ { "a", 1 }, self, true }, begin, effects) == revoke_outcome::Started);
-    CHECK(effects.empty()); // cancelled before
+    CHECK(effects.empty()); // already cancelled
 }
 
-TEST_CASE("gate: each reason to refuse is named, and nothing starts", "[gate]")
+TEST_CASE("gate: each reason for a refusal has its code, and nothing starts", "[gate]")
 {
     auto gate = readyGate(1, 1);
-    auto offer = offerOf("other-life");
+    auto offer = offerOf("other-incarnation");
     offer.incarnation = self + 1;
     CHECK(refusalOf(gate.offer(offer, entryChannel, begin)) == result_code::WrongIncarnation);
     gate.renewConfiguration(2, begin + std::chrono::hours(1));
@@ -147,7 +147,7 @@
     CHECK(gate.configuration() == 5);
 }
 
-TEST_CASE("gate: queued work is refused at its start deadline, running work cancelled at its end", "[gate]")
+TEST_CASE("gate: queued work is refused at its start deadline, running work cancelled at its finish deadline", "[gate]")
 {
     auto gate = readyGate(1, 4);
     gate.offer(offerOf("a"), entryChannel, begin);
@@ -156,7 +156,7 @@
     CHECK(requestsOf<gate_cancel>(gate.tick(begin + milliseconds(10001))) == std::vector<std::string> { "a" });
 }
 
-TEST_CASE("gate: a target that never got the work leaves the attempt not run", "[gate]")
+TEST_CASE("gate: an attempt whose work never reached the target has not run", "[gate]")
 {
     auto gate = readyGate(1, 4);
     std::vector<gate_effect> effects;
@@ -167,7 +167,7 @@
     CHECK(gate.running() == 0);
 }
 
-TEST_CASE("gate: ended attempts are forgotten after their retention, non-idempotent ones later", "[gate]")
+TEST_CASE("gate: records of ended attempts expire after their retention, non-idempotent ones later", "[gate]")
 {
     auto gate = readyGate(2, 4);
     auto booking = offerOf("booking");
@@ -184,7 +184,7 @@
     CHECK(gate.takeExpired().empty());
 }
 
-TEST_CASE("gate: a full queue gives way to work with a better claim", "[gate]")
+TEST_CASE("gate: a full queue evicts work in favour of work with precedence", "[gate]")
 {
     auto gate = readyGate(1, 2);
     gate.offer(offerOf("running", "flood"), entryChannel, begin);
@@ -224,8 +224,8 @@
     CHECK(starts["b"] == Approx(100).margin(15));
 }
 
-TEST_CASE(
-    "gate: under any order of events nothing starts twice, nor after it was called not started", "[gate][property]")
+TEST_CASE("gate: under any order of events no attempt starts twice or after it was reported as not started",
+    "[gate][property]")
 {
     rc::prop("gate", [] {
         auto gate = readyGate(2, 2);
