--- a/src/app/sidecar/sidecar.cpp
+++ b/src/app/sidecar/sidecar.cpp
@@ -103,7 +103,7 @@
     callbacks.drainRequested = [this](bool drain) {
         if (m_draining || drain == m_core.gate().isDraining())
             return;
-        m_core.gate().drain(drain);
+        m_core.gate().setDraining(drain);
         telemetry::logEvent(event_code::TargetDraining, { { "drain", drain ? "yes" : "no" }, { "by", "operator" } });
     };
     m_session = std::make_unique<session_client>(
@@ -118,7 +118,7 @@
 {
     m_draining = true;
     m_isReady = false;
-    m_core.gate().drain(true);
+    m_core.gate().setDraining(true);
     m_whenDrained = std::move(done);
     m_session->setState(membership::instance_state::Draining);
     telemetry::logEvent(event_code::TargetDraining, { { "drain", "yes" }, { "by", "signal" } });
@@ -150,7 +150,7 @@
         onOffer(channel, *offer);
     else if (const auto* revoke = std::get_if<dispatch::attempt_revoke>(&message))
         m_core.revoke(*revoke, channel, steadyNow());
-    else if (const auto* attach = std::get_if<dispatch::answer_attach>(&message))
+    else if (const auto* attach = std::get_if<dispatch::response_attach>(&message))
         m_core.attach(*attach, channel, steadyNow());
     else if (const auto* step = std::get_if<execution::stage_step>(&message))
         onStep(*step);
@@ -220,7 +220,7 @@
     auto canceller = std::make_shared<http::call_canceller>();
     m_cancellers[work.attempt] = canceller;
     asio::post(m_pool, [this, work, canceller] {
-        const auto sink = [this](dispatch::answer_frame frame) {
+        const auto sink = [this](dispatch::response_frame frame) {
             m_loop.post([this, frame = std::move(frame)]() mutable {
                 m_core.frame(std::move(frame));
                 carryOut();
@@ -302,7 +302,7 @@
     const steady_time now = steadyNow();
     m_core.tick(now);
     if (m_paused && m_core.gate().running() + m_core.gate().queued() == 0)
-        m_orders.workEnded(now);
+        m_orders.workDrained(now);
     m_orders.tick(now);
     carryOutOrder();
     for (const auto& request : m_guard.expire(now))
--- a/src/app/sidecar/target_adapter.hpp
+++ b/src/app/sidecar/target_adapter.hpp
@@ -2,7 +2,7 @@
 /// @brief Dialects of targets: how each kind is asked for readiness, load and work. Calls block.
 #pragma once
 
-#include "buckthornrail/dispatch/order_keeper.hpp"
+#include "buckthornrail/dispatch/order_sequencer.hpp"
 #include "buckthornrail/dispatch/sidecar_core.hpp"
 #include "buckthornrail/execution/stage_guard.hpp"
 #include "buckthornrail/http/http_client.hpp"
@@ -22,7 +22,7 @@
 using dispatch::work_outcome;
 
 /// Gets the frames of an answer as they come; sequence numbers are set by the caller.
-using frame_sink = std::function<void(dispatch::answer_frame)>;
+using frame_sink = std::function<void(dispatch::response_frame)>;
 
 /// One step of a split request at a layer-range engine.
 struct step_order {
--- a/src/buckthornrail/dispatch/target_gate.cpp
+++ b/src/buckthornrail/dispatch/target_gate.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Decisions of the gate.
+/// @brief Admission, fair queueing and expiry of attempts.
 #include "buckthornrail/dispatch/target_gate.hpp"
 
 #include <algorithm>
@@ -17,43 +17,44 @@
     std::vector<gate_effect> effects;
     const auto known = m_records.find(offer.attempt);
     if (known != m_records.end()) {
-        // A repeated offer gets no second start. The first answer stands; only a refused one may be told again.
+        // A repeated offer never starts a second time. The first reply stands; only a refusal is repeated.
         if (known->second.state == gate_state::Refused)
-            effects.emplace_back(gate_refuse { offer.attempt, channel, { result_code::Revoked, "refused before" } });
+            effects.emplace_back(gate_refuse { offer.attempt, channel, { result_code::Revoked, "already refused" } });
         return effects;
     }
     if (offer.incarnation != m_options.incarnation) {
-        // Not remembered: an attempt of another incarnation never starts here.
+        // Needs no record: an attempt for another incarnation never starts here.
         effects.emplace_back(gate_refuse { offer.attempt, channel, { result_code::WrongIncarnation, "" } });
         return effects;
     }
-    record entry;
-    entry.channel = channel;
-    entry.nonIdempotent = offer.nonIdempotent;
-    entry.workspace = offer.workspace;
-    entry.weight = std::max<std::uint32_t>(offer.weight, 1);
-    entry.priority = offer.priority;
-    entry.startDeadline = now + milliseconds(offer.startWithinMs);
-    entry.finishDeadline = now + milliseconds(offer.finishWithinMs);
+    attempt_record record;
+    record.channel = channel;
+    record.nonIdempotent = offer.nonIdempotent;
+    record.workspace = offer.workspace;
+    record.weight = std::max<std::uint32_t>(offer.weight, 1);
+    record.priority = offer.priority;
+    record.startDeadline = now + milliseconds(offer.startWithinMs);
+    record.finishDeadline = now + milliseconds(offer.finishWithinMs);
     std::optional<failure> refusal = refusalFor(offer, now);
     if (!refusal && running() >= m_options.slots && m_queue.size() >= m_options.queueLimit) {
-        const auto victim = mostOverShare(entry);
+        const auto victim = findEvictionVictim(record);
         if (victim == m_queue.end()) {
             refusal = failure { result_code::QueueFull, "" };
         } else {
             const attempt_id evicted = *victim;
-            refuse(evicted, { result_code::QueueFull, "work with a better claim came" }, now, effects);
+            refuse(evicted, { result_code::QueueFull, "evicted from the queue by an attempt with precedence" }, now,
+                effects);
         }
     }
-    auto& kept = m_records.emplace(offer.attempt, std::move(entry)).first->second;
+    auto& inserted = m_records.emplace(offer.attempt, std::move(record)).first->second;
     if (refusal) {
-        remember(offer.attempt, kept, gate_state::Refused, now);
+        setFinalState(offer.attempt, inserted, gate_state::Refused, now);
         effects.emplace_back(gate_refuse { offer.attempt, channel, *refusal });
         return effects;
     }
     m_queue.push_back(offer.attempt);
     effects.emplace_back(gate_accept { offer.attempt, channel });
-    startWaiting(now, effects);
+    startQueued(now, effects);
     return effects;
 }
 
@@ -63,20 +64,20 @@
         return revoke_outcome::Unknown;
     const auto found = m_records.find(revoke.attempt);
     if (found == m_records.end()) {
-        // The offer may still be on its way: the tombstone stops it.
-        remember(revoke.attempt, m_records[revoke.attempt], gate_state::Refused, now);
+        // The offer may still be in flight: the tombstone makes it fail.
+        setFinalState(revoke.attempt, m_records[revoke.attempt], gate_state::Refused, now);
         return revoke_outcome::NotStarted;
     }
-    auto& entry = found->second;
-    if (entry.state == gate_state::Refused)
+    auto& record = found->second;
+    if (record.state == gate_state::Refused)
         return revoke_outcome::NotStarted;
-    if (entry.state == gate_state::Queued) {
+    if (record.state == gate_state::Queued) {
         removeFromQueue(revoke.attempt);
-        remember(revoke.attempt, entry, gate_state::Refused, now);
+        setFinalState(revoke.attempt, record, gate_state::Refused, now);
         return revoke_outcome::NotStarted;
     }
-    if (entry.state == gate_state::Started && revoke.cancelStarted && !entry.nonIdempotent && !entry.cancelled) {
-        entry.cancelled = true;
+    if (record.state == gate_state::Started && revoke.cancelStarted && !record.nonIdempotent && !record.cancelled) {
+        record.cancelled = true;
         effects.emplace_back(gate_cancel { revoke.attempt });
     }
     return revoke_outcome::Started;
@@ -89,12 +90,12 @@
     if (found == m_records.end() || found->second.state != gate_state::Started)
         return effects;
     m_started.erase(attempt);
-    remember(attempt, found->second, gate_state::Finished, now);
-    startWaiting(now, effects);
+    setFinalState(attempt, found->second, gate_state::Finished, now);
+    startQueued(now, effects);
     return effects;
 }
 
-std::vector<gate_effect> target_gate::notBegun(const attempt_id& attempt, failure why, steady_time now)
+std::vector<gate_effect> target_gate::startFailed(const attempt_id& attempt, failure why, steady_time now)
 {
     std::vector<gate_effect> effects;
     const auto found = m_records.find(attempt);
@@ -102,7 +103,7 @@
         return effects;
     m_started.erase(attempt);
     refuse(attempt, std::move(why), now, effects);
-    startWaiting(now, effects);
+    startQueued(now, effects);
     return effects;
 }
 
@@ -115,14 +116,14 @@
             waiting.push_back(attempt);
     }
     for (const auto& attempt : m_started) {
-        auto& entry = m_records.at(attempt);
-        if (entry.channel != channel || entry.nonIdempotent || entry.cancelled)
+        auto& record = m_records.at(attempt);
+        if (record.channel != channel || record.nonIdempotent || record.cancelled)
             continue;
-        entry.cancelled = true;
+        record.cancelled = true;
         effects.emplace_back(gate_cancel { attempt });
     }
     for (const auto& attempt : waiting)
-        refuse(attempt, { result_code::Cancelled, "the link that offered it closed" }, now, effects);
+        refuse(attempt, { result_code::Cancelled, "the link that the offer came over has closed" }, now, effects);
     return effects;
 }
 
@@ -137,20 +138,20 @@
     for (const auto& attempt : late)
         refuse(attempt, { result_code::StartDeadlinePassed, "" }, now, effects);
     for (const auto& attempt : m_started) {
-        auto& entry = m_records.at(attempt);
-        if (entry.cancelled || now < entry.finishDeadline)
+        auto& record = m_records.at(attempt);
+        if (record.cancelled || now < record.finishDeadline)
             continue;
-        entry.cancelled = true;
+        record.cancelled = true;
         effects.emplace_back(gate_cancel { attempt });
     }
     for (auto* ended : { &m_ended, &m_endedNonIdempotent }) {
         while (!ended->empty() && now >= ended->front().first) {
             m_records.erase(ended->front().second);
-            m_forgotten.push_back(ended->front().second);
+            m_expired.push_back(ended->front().second);
             ended->pop_front();
         }
     }
-    startWaiting(now, effects);
+    startQueued(now, effects);
     return effects;
 }
 
@@ -183,7 +184,8 @@
     if (m_configuration == 0 || now >= m_leaseDeadline)
         return failure { result_code::LeaseExpired, "" };
     if (offer.configuration < m_configuration)
-        return failure { result_code::StaleConfiguration, "version " + std::to_string(m_configuration) + " is known" };
+        return failure { result_code::StaleConfiguration,
+            "the sidecar has version " + std::to_string(m_configuration) };
     if (!m_ready)
         return failure { result_code::TargetNotReady, "" };
     if (offer.startWithinMs == 0)
@@ -191,15 +193,15 @@
     return std::nullopt;
 }
 
-double target_gate::servedShare(const record& entry) const
+double target_gate::normalizedService(const attempt_record& record) const
 {
-    const auto found = m_served.find(entry.workspace);
-    return std::max(found == m_served.end() ? 0 : found->second, m_servedFloor);
+    const auto found = m_normalizedService.find(record.workspace);
+    return std::max(found == m_normalizedService.end() ? 0 : found->second, m_minNormalizedService);
 }
 
-std::deque<attempt_id>::iterator target_gate::next()
+std::deque<attempt_id>::iterator target_gate::nextToStart()
 {
-    // Highest priority first; then the workspace that has had least for its weight; then arrival.
+    // By priority, then by normalized service of the workspace, then by order of arrival.
     auto best = m_queue.end();
     for (auto at = m_queue.begin(); at != m_queue.end(); ++at) {
         if (best == m_queue.end()) {
@@ -213,25 +215,25 @@
                 best = at;
             continue;
         }
-        if (servedShare(candidate) < servedShare(leading))
+        if (normalizedService(candidate) < normalizedService(leading))
             best = at;
     }
     return best;
 }
 
-std::deque<attempt_id>::iterator target_gate::mostOverShare(const record& newcomer)
+std::deque<attempt_id>::iterator target_gate::findEvictionVictim(const attempt_record& newcomer)
 {
-    std::map<std::string, double> waiting; // queued work of each workspace divided by its weight
+    std::map<std::string, double> waiting; // by workspace: queued attempts divided by its weight
     for (const auto& attempt : m_queue) {
-        const auto& entry = m_records.at(attempt);
-        waiting[entry.workspace] += 1.0 / entry.weight;
+        const auto& record = m_records.at(attempt);
+        waiting[record.workspace] += 1.0 / record.weight;
     }
     const double own = waiting[newcomer.workspace] + 1.0 / newcomer.weight;
     auto victim = m_queue.end();
     for (auto at = m_queue.begin(); at != m_queue.end(); ++at) {
-        const auto& entry = m_records.at(*at);
-        const bool isLower = entry.priority < newcomer.priority;
-        const bool isOver = entry.priority == newcomer.priority && waiting[entry.workspace] > own;
+        const auto& record = m_records.at(*at);
+        const bool isLower = record.priority < newcomer.priority;
+        const bool isOver = record.priority == newcomer.priority && waiting[record.workspace] > own;
         if (!isLower && !isOver)
             continue;
         if (victim == m_queue.end()) {
@@ -239,53 +241,53 @@
             continue;
         }
         const auto& worst = m_records.at(*victim);
-        const auto key = std::pair { entry.priority, -waiting[entry.workspace] };
+        const auto key = std::pair { record.priority, -waiting[record.workspace] };
         const auto worstKey = std::pair { worst.priority, -waiting[worst.workspace] };
-        if (key <= worstKey) // the last to come among equals
+        if (key <= worstKey) // the last to arrive among equals
             victim = at;
     }
     return victim;
 }
 
-void target_gate::startWaiting(steady_time now, std::vector<gate_effect>& effects)
+void target_gate::startQueued(steady_time now, std::vector<gate_effect>& effects)
 {
     while (running() < m_options.slots && !m_queue.empty()) {
-        const auto at = next();
+        const auto at = nextToStart();
         const attempt_id attempt = *at;
-        auto& entry = m_records.at(attempt);
-        if (now >= entry.startDeadline) {
+        auto& record = m_records.at(attempt);
+        if (now >= record.startDeadline) {
             refuse(attempt, { result_code::StartDeadlinePassed, "" }, now, effects);
             continue;
         }
         m_queue.erase(at);
-        const double served = servedShare(entry);
-        m_servedFloor = std::max(m_servedFloor, served - 1.0);
-        m_served[entry.workspace] = served + 1.0 / entry.weight;
-        entry.state = gate_state::Started;
+        const double served = normalizedService(record);
+        m_minNormalizedService = std::max(m_minNormalizedService, served - 1.0);
+        m_normalizedService[record.workspace] = served + 1.0 / record.weight;
+        record.state = gate_state::Started;
         m_started.insert(attempt);
-        effects.emplace_back(gate_start { attempt, entry.channel });
+        effects.emplace_back(gate_start { attempt, record.channel });
     }
     if (m_queue.empty() && m_started.empty()) {
-        m_served.clear();
-        m_servedFloor = 0;
+        m_normalizedService.clear();
+        m_minNormalizedService = 0;
     }
 }
 
 void target_gate::refuse(const attempt_id& attempt, failure why, steady_time now, std::vector<gate_effect>& effects)
 {
-    auto& entry = m_records.at(attempt);
-    effects.emplace_back(gate_refuse { attempt, entry.channel, std::move(why) });
+    auto& record = m_records.at(attempt);
+    effects.emplace_back(gate_refuse { attempt, record.channel, std::move(why) });
     removeFromQueue(attempt);
-    remember(attempt, entry, gate_state::Refused, now);
+    setFinalState(attempt, record, gate_state::Refused, now);
 }
 
 void target_gate::removeFromQueue(const attempt_id& attempt) { std::erase(m_queue, attempt); }
 
-void target_gate::remember(const attempt_id& attempt, record& entry, gate_state state, steady_time now)
+void target_gate::setFinalState(const attempt_id& attempt, attempt_record& record, gate_state state, steady_time now)
 {
-    entry.state = state;
-    auto& ended = entry.nonIdempotent ? m_endedNonIdempotent : m_ended;
-    const auto retention = entry.nonIdempotent ? m_options.nonIdempotentRetention : m_options.recordRetention;
+    record.state = state;
+    auto& ended = record.nonIdempotent ? m_endedNonIdempotent : m_ended;
+    const auto retention = record.nonIdempotent ? m_options.nonIdempotentRetention : m_options.recordRetention;
     ended.emplace_back(now + retention, attempt);
 }
 
--- a/tests/support/request_world.cpp
+++ b/tests/support/request_world.cpp
@@ -45,7 +45,7 @@
     wanted.claim = { "w", request.key };
     wanted.requestDigest = std::hash<std::string>()(request.prompt);
     wanted.canResume = true;
-    wanted.streams = request.streams;
+    wanted.isStream = request.streams;
     wanted.deadline = m_now + request.timeout;
     auto& runs = m_entries[request.entry].runs;
     runs.emplace(id, open_run { request_run(wanted, {}, m_now), m_callers.size() - 1, "" });
@@ -139,7 +139,7 @@
 void request_world::drainSidecar(std::size_t sidecar)
 {
     m_sidecars[sidecar].draining = true;
-    m_sidecars[sidecar].core->gate().drain(true);
+    m_sidecars[sidecar].core->gate().setDraining(true);
 }
 
 void request_world::newConfiguration()
@@ -152,7 +152,7 @@
             for (const auto& [id, open] : m_entries[at].runs)
                 ids.push_back(id);
             for (const auto& id : ids) {
-                m_entries[at].runs.at(id).run.retryNow(m_now);
+                m_entries[at].runs.at(id).run.configurationReceived(m_now);
                 drive(at, id);
             }
         });
@@ -225,9 +225,9 @@
                        message.workspace = "w";
                        message.nonIdempotent = open.run.request().nonIdempotent;
                        message.work.prompt = caller.prompt;
-                       for (const auto& token : offer.tokensGiven)
+                       for (const auto& token : offer.priorTokens)
                            message.work.prompt += token;
-                       message.work.maxTokens = caller.tokens - static_cast<std::uint32_t>(offer.tokensGiven.size());
+                       message.work.maxTokens = caller.tokens - static_cast<std::uint32_t>(offer.priorTokens.size());
                        sendToSidecar(entry, sidecarOf(offer.target), message);
                    },
                    [&](const send_revoke& revoke) {
@@ -243,11 +243,11 @@
                    [&](const send_attach& attach) {
                        m_entries[entry].followers.emplace(attach.attempt.request, open.run.request().id);
                        sendToSidecar(entry, sidecarOf(attach.target),
-                           answer_attach { attach.attempt, attach.target.incarnation });
+                           response_attach { attach.attempt, attach.target.incarnation });
                    },
                    [&](const deliver_frames& frames) {
                        for (const auto& frame : frames.frames)
-                           (open.run.request().streams ? caller.record.text : open.buffered) += frame.bytes;
+                           (open.run.request().isStream ? caller.record.text : open.buffered) += frame.bytes;
                    },
                    [&](const await_configuration&) {},
                    [&](const finish_run& last) {
@@ -349,7 +349,7 @@
                        revoke.incarnation = known(revoke.incarnation);
                        core.revoke(revoke, channel, m_now);
                    },
-                   [&](answer_attach attach) {
+                   [&](response_attach attach) {
                        attach.incarnation = known(attach.incarnation);
                        core.attach(attach, channel, m_now);
                    },
@@ -377,7 +377,7 @@
                    [&](const attempt_started& one) {
                        withAttempt(entry, one.attempt, [&](request_run& run) { run.started(one.attempt, m_now); });
                    },
-                   [&](answer_frame one) {
+                   [&](response_frame one) {
                        if (missing == missing_protection::Ownership && !m_entries[entry].runs.empty()) {
                            auto& open = m_entries[entry].runs.begin()->second;
                            if (isForeign(open, one.attempt))
@@ -385,13 +385,13 @@
                        }
                        withAttempt(entry, one.attempt, [&](request_run& run) { run.frame(one, m_now); });
                    },
-                   [&](const answer_end& one) {
+                   [&](const response_end& one) {
                        auto end = one;
                        if (missing == missing_protection::Digests) {
                            withAttempt(entry, one.attempt, [&](request_run& run) {
                                // Claims that whatever has come is the whole answer.
                                end.frameCount = 0;
-                               end.digest = answer_digest().value();
+                               end.digest = response_digest().value();
                                run.ended(end, m_now);
                            });
                            return;
