--- a/include/buckthornrail/core/standstill_watch.hpp
+++ b/include/buckthornrail/core/stall_watch.hpp
@@ -7,10 +7,10 @@
 namespace buckthornrail {
 
 /// @brief Looked at several times a second, and before anything that rests on what others told a while ago.
-class standstill_watch {
+class stall_watch {
 public:
     /// @return for how long nothing was looked at, when that is too long for a process at work; 0 otherwise
-    milliseconds look(steady_time now)
+    milliseconds check(steady_time now)
     {
         const bool isFirst = m_lookedAt == steady_time {};
         const milliseconds gap = isFirst ? milliseconds(0) : between(m_lookedAt, now);
--- a/src/app/gateway/gateway.cpp
+++ b/src/app/gateway/gateway.cpp
@@ -211,7 +211,7 @@
 void gateway_role::checkForStall()
 {
     const auto now = steadyNow();
-    const auto gap = m_stallWatch.look(now);
+    const auto gap = m_stallWatch.check(now);
     if (gap == milliseconds(0))
         return;
     telemetry::logEvent(event_code::ProcessStoodStill,
--- a/src/app/gateway/gateway.hpp
+++ b/src/app/gateway/gateway.hpp
@@ -4,7 +4,7 @@
 
 #include "app/gateway/gateway_call.hpp"
 #include "app/gateway/gateway_session.hpp"
-#include "buckthornrail/core/standstill_watch.hpp"
+#include "buckthornrail/core/stall_watch.hpp"
 
 #include <set>
 
@@ -91,7 +91,7 @@
     steady_time m_earliestStop {}; ///< the load balancer still routes callers here until then
     bool m_hasClosedIdle = false;
     std::unique_ptr<periodic_task> m_stopCheck;
-    standstill_watch m_stallWatch;
+    stall_watch m_stallWatch;
     periodic_task m_stallCheck;
 };
 
--- a/src/app/registry/registry.hpp
+++ b/src/app/registry/registry.hpp
@@ -6,7 +6,7 @@
 #include "app/registry/layer_orders.hpp"
 #include "app/registry/registry_state.hpp"
 #include "app/registry/target_watch.hpp"
-#include "buckthornrail/core/standstill_watch.hpp"
+#include "buckthornrail/core/stall_watch.hpp"
 
 #include <set>
 
@@ -172,7 +172,7 @@
     steady_time m_bootstrapAt {};
     steady_time m_nextConfirmAt {}; ///< no quorum round starts before
     confirmation_round m_round;
-    standstill_watch m_standstill;
+    stall_watch m_standstill;
     std::unique_ptr<periodic_task> m_ticker;
 };
 
