--- a/include/buckthornrail/core/event_code.hpp
+++ b/include/buckthornrail/core/event_code.hpp
@@ -80,7 +80,7 @@
 struct event_info {
     event_code code;
     std::string_view name;
-    std::string_view meaning;
+    std::string_view description;
 };
 
 /// @brief The whole catalogue, in order of number.
--- a/include/buckthornrail/core/recent_set.hpp
+++ b/include/buckthornrail/core/recent_set.hpp
@@ -17,7 +17,7 @@
     }
 
     /// @brief Notes a value. @return true when it was noted before and is still remembered
-    bool note(const Value& value)
+    bool testAndInsert(const Value& value)
     {
         if (!m_known.insert(value).second)
             return true;
--- a/include/buckthornrail/core/request_fingerprint.hpp
+++ b/include/buckthornrail/core/request_fingerprint.hpp
@@ -22,6 +22,6 @@
 std::string text(const request_fingerprint& one);
 
 /// @return nothing when the text isn't that of a fingerprint
-std::optional<request_fingerprint> readFingerprint(std::string_view digits);
+std::optional<request_fingerprint> parseFingerprint(std::string_view digits);
 
 } // namespace buckthornrail
--- a/include/buckthornrail/core/result_code.hpp
+++ b/include/buckthornrail/core/result_code.hpp
@@ -71,7 +71,7 @@
     std::string_view name; ///< snake case, stable
     int httpStatus; ///< status that a caller sees
     int retryAfterSeconds; ///< 0: coming back does not help
-    std::string_view sentence; ///< what happened, for a person
+    std::string_view message; ///< what happened, for a person
 };
 
 /// @brief The whole catalogue, in order of number.
--- a/include/buckthornrail/http/error_answer.hpp
+++ b/include/buckthornrail/http/error_answer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The one form of error answers: JSON with numbered code, name, sentence, reason and `ran`.
+/// @brief The one form of error answers: JSON with numbered code, name, message, reason and `ran`.
 #pragma once
 
 #include "buckthornrail/http/http_server.hpp"
--- a/include/buckthornrail/settings/settings.hpp
+++ b/include/buckthornrail/settings/settings.hpp
@@ -102,7 +102,7 @@
     std::uint32_t low = 0; ///< Number
     std::uint32_t high = 0; ///< Number
     std::string_view choices; ///< Choice: names, parted by '|'
-    std::string_view meaning;
+    std::string_view description;
 };
 
 /// @brief The table of all keys.
--- a/src/app/controller/controller_state.cpp
+++ b/src/app/controller/controller_state.cpp
@@ -71,7 +71,7 @@
         result.claim = m_claims.apply(*claim);
         return result;
     }
-    if (!m_recentIds.note(value.id))
+    if (!m_recentIds.testAndInsert(value.id))
         result.outcome = applyOnce(value.body, result);
     return result;
 }
--- a/src/app/registry/registry_quarantine.cpp
+++ b/src/app/registry/registry_quarantine.cpp
@@ -176,7 +176,7 @@
     if (name == allEntries) {
         for (const auto& [fingerprint, entry] : m_state.quarantine().entries())
             change.cleared.push_back(fingerprint);
-    } else if (const auto fingerprint = readFingerprint(name)) {
+    } else if (const auto fingerprint = parseFingerprint(name)) {
         if (m_state.quarantine().find(*fingerprint) == nullptr) {
             refuse(notFound, "no quarantine entry has this fingerprint");
             return;
--- a/src/buckthornrail/core/request_fingerprint.cpp
+++ b/src/buckthornrail/core/request_fingerprint.cpp
@@ -26,7 +26,7 @@
     return digits;
 }
 
-std::optional<request_fingerprint> readFingerprint(std::string_view digits)
+std::optional<request_fingerprint> parseFingerprint(std::string_view digits)
 {
     if (digits.size() != request_fingerprint::size * digitsPerByte)
         return std::nullopt;
--- a/src/buckthornrail/gateway/fingerprint_request_test.cpp
+++ b/src/buckthornrail/gateway/fingerprint_request_test.cpp
@@ -24,12 +24,12 @@
 {
     rc::prop("any fingerprint", [](const std::string& body) {
         const auto one = fingerprintOf({ "POST", "h", "/", "", body });
-        RC_ASSERT(readFingerprint(text(one)) == one);
+        RC_ASSERT(parseFingerprint(text(one)) == one);
     });
     const std::string digits = text(fingerprintOf({ "POST", "h", "/", "", "" }));
     CHECK(digits.size() == 32);
-    CHECK_FALSE(readFingerprint(digits.substr(1)).has_value());
-    CHECK_FALSE(readFingerprint(digits + "0").has_value());
-    CHECK_FALSE(readFingerprint("+" + digits.substr(1)).has_value());
-    CHECK_FALSE(readFingerprint("g" + digits.substr(1)).has_value());
+    CHECK_FALSE(parseFingerprint(digits.substr(1)).has_value());
+    CHECK_FALSE(parseFingerprint(digits + "0").has_value());
+    CHECK_FALSE(parseFingerprint("+" + digits.substr(1)).has_value());
+    CHECK_FALSE(parseFingerprint("g" + digits.substr(1)).has_value());
 }
--- a/src/buckthornrail/http/error_answer.cpp
+++ b/src/buckthornrail/http/error_answer.cpp
@@ -9,7 +9,7 @@
 std::string errorBody(const failure& why, ran_state ran)
 {
     const auto& row = describe(why.code);
-    nlohmann::json error = { { "code", static_cast<int>(why.code) }, { "name", row.name }, { "message", row.sentence },
+    nlohmann::json error = { { "code", static_cast<int>(why.code) }, { "name", row.name }, { "message", row.message },
         { "ran", nameOf(ran) } };
     if (!why.reason.empty())
         error["reason"] = why.reason;
--- a/src/buckthornrail/routing/route_table.cpp
+++ b/src/buckthornrail/routing/route_table.cpp
@@ -128,7 +128,7 @@
         averages.add(target->record.target.accelerator, target->msPerUnit);
     const double maxWaitMs = std::chrono::duration<double, std::milli>(query.startDeadline - now).count();
     // A prefix not seen before is in no target's cache; affinity would only divert the request from the fastest target.
-    const bool isRecurring = query.prefixHash != 0 && m_recentPrefixes.note(query.prefixHash);
+    const bool isRecurring = query.prefixHash != 0 && m_recentPrefixes.testAndInsert(query.prefixHash);
     std::vector<candidate> candidates;
     std::vector<target_state*> candidateTargets;
     for (auto* target : targets) {
--- a/tests/docs_test.cpp
+++ b/tests/docs_test.cpp
@@ -41,7 +41,7 @@
     for (const auto& row : resultTable()) {
         std::ostringstream line;
         line << "| " << static_cast<int>(row.code) << " | " << row.name << " | " << row.httpStatus << " | "
-             << (row.retryAfterSeconds == 0 ? "-" : std::to_string(row.retryAfterSeconds)) << " | " << row.sentence
+             << (row.retryAfterSeconds == 0 ? "-" : std::to_string(row.retryAfterSeconds)) << " | " << row.message
              << " |\n";
         INFO(line.str());
         CHECK(text.find(line.str()) != std::string::npos);
@@ -55,7 +55,7 @@
     const auto text = page("EVENTS.md");
     for (const auto& row : eventTable()) {
         std::ostringstream line;
-        line << "| " << static_cast<int>(row.code) << " | " << row.name << " | " << row.meaning << " |\n";
+        line << "| " << static_cast<int>(row.code) << " | " << row.name << " | " << row.description << " |\n";
         INFO(line.str());
         CHECK(text.find(line.str()) != std::string::npos);
     }
@@ -72,7 +72,7 @@
         const auto at = text.find(line.str());
         REQUIRE(at != std::string::npos);
         const std::string row = text.substr(at, text.find('\n', at) - at);
-        CHECK(row.find(std::string(rule.meaning)) != std::string::npos);
+        CHECK(row.find(std::string(rule.description)) != std::string::npos);
     }
     CHECK(rowsOf(text) == settings::settingRules().size() + headRows);
 }
--- a/tools/print_tables.cpp
+++ b/tools/print_tables.cpp
@@ -16,7 +16,7 @@
     std::cout << "| number | name | HTTP | Retry-After, s | meaning |\n|---|---|---|---|---|\n";
     for (const auto& row : resultTable()) {
         std::cout << "| " << static_cast<int>(row.code) << " | " << row.name << " | " << row.httpStatus << " | "
-                  << (row.retryAfterSeconds == 0 ? "-" : std::to_string(row.retryAfterSeconds)) << " | " << row.sentence
+                  << (row.retryAfterSeconds == 0 ? "-" : std::to_string(row.retryAfterSeconds)) << " | " << row.message
                   << " |\n";
     }
 }
@@ -25,7 +25,7 @@
 {
     std::cout << "| number | name | meaning |\n|---|---|---|\n";
     for (const auto& row : eventTable())
-        std::cout << "| " << static_cast<int>(row.code) << " | " << row.name << " | " << row.meaning << " |\n";
+        std::cout << "| " << static_cast<int>(row.code) << " | " << row.name << " | " << row.description << " |\n";
 }
 
 std::string rolesOf(std::uint8_t roles)
@@ -81,7 +81,7 @@
     for (const auto& rule : settings::settingRules()) {
         std::cout << "| [" << rule.section << "] " << rule.key << " | " << rolesOf(rule.roles) << " | "
                   << rolesOf(rule.requiredBy) << " | " << valuesOf(rule) << " | " << defaultOf(rule) << " | "
-                  << rule.meaning << " |\n";
+                  << rule.description << " |\n";
     }
 }
 
