--- a/include/buckthornrail/configuration/configuration_store.hpp
+++ b/include/buckthornrail/configuration/configuration_store.hpp
@@ -74,7 +74,7 @@
     tl::expected<void, failure> restore(store_state state);
 
 private:
-    change_result remember(change_result result);
+    change_result recordResult(change_result result);
 
     store_state m_state; ///< its text is kept in m_tree
     document_tree m_tree;
--- a/include/buckthornrail/configuration/document.hpp
+++ b/include/buckthornrail/configuration/document.hpp
@@ -47,16 +47,16 @@
 };
 
 /// A call of a plain service that must run at most once.
-struct route_mark {
+struct request_pattern {
     std::string method;
     std::string pathPrefix;
-    bool operator==(const route_mark&) const = default;
+    bool operator==(const request_pattern&) const = default;
 };
 
 /// A plain service.
 struct service {
     std::vector<std::string> workspaces; ///< empty: all
-    std::vector<route_mark> nonIdempotent;
+    std::vector<request_pattern> nonIdempotent;
     bool operator==(const service&) const = default;
 };
 
--- a/include/buckthornrail/configuration/document_tree.hpp
+++ b/include/buckthornrail/configuration/document_tree.hpp
@@ -22,11 +22,11 @@
     tl::expected<void, failure> assign(const std::string& text);
 
     /// @brief Applies a patch and validates the whole document. @return InvalidDocument, and nothing changed
-    tl::expected<void, failure> patchChecked(const std::string& patch);
+    tl::expected<void, failure> patchAndValidate(const std::string& patch);
 
     /// @brief Applies a patch that the controllers have validated; only what it touches is read again.
     /// @return InvalidDocument when it doesn't fit; the tree is then not to be used any more
-    tl::expected<void, failure> patchTrusted(const std::string& patch);
+    tl::expected<void, failure> patchPrevalidated(const std::string& patch);
 
     [[nodiscard]] std::string text() const;
     [[nodiscard]] const document& current() const { return m_document; }
--- a/src/app/entry/admission.cpp
+++ b/src/app/entry/admission.cpp
@@ -42,7 +42,7 @@
     const auto& service = found->second;
     if (!mayUse(service.workspaces, request.workspace))
         return refuse(result_code::UnknownWorkspace, "the workspace may not use this service");
-    const auto isMarked = [&](const configuration::route_mark& mark) {
+    const auto isMarked = [&](const configuration::request_pattern& mark) {
         return mark.method == request.call.method && request.call.path.starts_with(mark.pathPrefix);
     };
     admission_terms terms;
--- a/src/buckthornrail/configuration/configuration_store.cpp
+++ b/src/buckthornrail/configuration/configuration_store.cpp
@@ -29,19 +29,19 @@
         result.code = result_code::VersionConflict;
         result.reason = "the change is based on version " + std::to_string(change.base) + ", version "
             + std::to_string(m_state.version) + " is current";
-        return remember(std::move(result));
+        return recordResult(std::move(result));
     }
-    if (auto patched = m_tree.patchChecked(change.patch); !patched) {
+    if (auto patched = m_tree.patchAndValidate(change.patch); !patched) {
         result.code = patched.error().code;
         result.reason = patched.error().reason;
-        return remember(std::move(result));
+        return recordResult(std::move(result));
     }
     m_text.clear();
     result.version = ++m_state.version;
     m_state.history.push_back({ m_state.version, change.changeId, change.author, change.wallSeconds, change.patch });
     if (m_state.history.size() > maxHistory)
         m_state.history.erase(m_state.history.begin());
-    return remember(std::move(result));
+    return recordResult(std::move(result));
 }
 
 std::optional<change_result> configuration_store::resultOf(const std::string& changeId) const
@@ -94,7 +94,7 @@
     return {};
 }
 
-change_result configuration_store::remember(change_result result)
+change_result configuration_store::recordResult(change_result result)
 {
     m_state.results.push_back(result);
     if (m_state.results.size() > maxResults)
@@ -110,7 +110,7 @@
         return tl::make_unexpected(failure { result_code::VersionConflict,
             "a delta from version " + std::to_string(update.from) + " doesn't fit version "
                 + std::to_string(m_version) });
-    auto applied = update.from == 0 ? m_tree.assign(update.text) : m_tree.patchTrusted(update.text);
+    auto applied = update.from == 0 ? m_tree.assign(update.text) : m_tree.patchPrevalidated(update.text);
     if (!applied)
         return tl::make_unexpected(applied.error());
     m_version = update.to;
--- a/src/buckthornrail/configuration/document.cpp
+++ b/src/buckthornrail/configuration/document.cpp
@@ -17,7 +17,7 @@
 constexpr std::uint32_t maxWeight = 1000;
 constexpr std::uint32_t maxLayers = 1000;
 constexpr std::uint32_t maxInFlightLimit = 1'000'000;
-constexpr std::uint32_t fullShare = 100;
+constexpr std::uint32_t percentTotal = 100;
 constexpr std::size_t maxNameLength = 128;
 constexpr int maxDepth = 16;
 
@@ -59,7 +59,7 @@
 
     std::uint32_t number(const std::string& name, std::uint32_t low, std::uint32_t high, std::uint32_t fallback)
     {
-        const json* field = take(name);
+        const json* field = consume(name);
         if (field == nullptr)
             return fallback;
         if (!field->is_number_integer())
@@ -74,7 +74,7 @@
 
     std::string text(const std::string& name)
     {
-        const json* field = take(name);
+        const json* field = consume(name);
         if (field == nullptr)
             reject(pathOf(name), "is missing");
         if (!field->is_string() || field->get_ref<const std::string&>().empty())
@@ -84,7 +84,7 @@
 
     request_priority priority(const std::string& name, request_priority fallback)
     {
-        const json* field = take(name);
+        const json* field = consume(name);
         if (field == nullptr)
             return fallback;
         const auto value
@@ -98,7 +98,7 @@
     const json& list(const std::string& name)
     {
         static const json empty = json::array();
-        const json* field = take(name);
+        const json* field = consume(name);
         if (field == nullptr)
             return empty;
         if (!field->is_array())
@@ -109,7 +109,7 @@
     const json& object(const std::string& name)
     {
         static const json empty = json::object();
-        const json* field = take(name);
+        const json* field = consume(name);
         if (field == nullptr)
             return empty;
         if (!field->is_object())
@@ -117,10 +117,10 @@
         return *field;
     }
 
-    void refuseUnknown() const
+    void rejectUnknownFields() const
     {
         for (const auto& item : m_value.items()) {
-            if (!m_taken.contains(item.key()))
+            if (!m_consumed.contains(item.key()))
                 reject(pathOf(item.key()), "is not a known field");
         }
     }
@@ -128,16 +128,16 @@
     [[nodiscard]] std::string pathOf(const std::string& name) const { return m_path + "/" + escapePointer(name); }
 
 private:
-    const json* take(const std::string& name)
+    const json* consume(const std::string& name)
     {
-        m_taken.insert(name);
+        m_consumed.insert(name);
         const auto found = m_value.find(name);
         return found == m_value.end() ? nullptr : &*found;
     }
 
     const json& m_value;
     std::string m_path;
-    std::set<std::string> m_taken;
+    std::set<std::string> m_consumed;
 };
 
 void checkName(const std::string& name, const std::string& path)
@@ -158,14 +158,14 @@
         object_reader reader(list[at], path + "/" + std::to_string(at));
         share one;
         one.name = reader.text(nameField);
-        one.percent = reader.number("share", 0, fullShare, fullShare);
-        reader.refuseUnknown();
+        one.percent = reader.number("share", 0, percentTotal, percentTotal);
+        reader.rejectUnknownFields();
         if (!names.insert(one.name).second)
             reject(reader.pathOf(nameField), "stands twice");
         sum += one.percent;
         shares.push_back(std::move(one));
     }
-    if (!shares.empty() && sum != fullShare)
+    if (!shares.empty() && sum != percentTotal)
         reject(path, "shares add up to " + std::to_string(sum) + ", not 100");
     return shares;
 }
@@ -194,7 +194,7 @@
     one.weight = reader.number("weight", 1, maxWeight, one.weight);
     one.maxPriority = reader.priority("max_priority", one.maxPriority);
     one.maxInFlight = reader.number("max_in_flight", 0, maxInFlightLimit, one.maxInFlight);
-    reader.refuseUnknown();
+    reader.rejectUnknownFields();
     return one;
 }
 
@@ -203,7 +203,7 @@
     object_reader reader(value, path);
     model one;
     one.layers = reader.number("layers", 1, maxLayers, one.layers);
-    reader.refuseUnknown();
+    reader.rejectUnknownFields();
     return one;
 }
 
@@ -220,7 +220,7 @@
     one.pools = readShares(reader.list("pools"), reader.pathOf("pools"), "pool");
     one.workspaces = readWorkspaceNames(reader.list("workspaces"), reader.pathOf("workspaces"), all);
     one.priority = reader.priority("priority", one.priority);
-    reader.refuseUnknown();
+    reader.rejectUnknownFields();
     return one;
 }
 
@@ -229,18 +229,18 @@
     object_reader reader(value, path);
     service one;
     one.workspaces = readWorkspaceNames(reader.list("workspaces"), reader.pathOf("workspaces"), all);
-    const json& marks = reader.list("non_idempotent");
-    for (std::size_t at = 0; at < marks.size(); ++at) {
-        object_reader markReader(marks[at], reader.pathOf("non_idempotent") + "/" + std::to_string(at));
-        route_mark mark;
-        mark.method = markReader.text("method");
-        mark.pathPrefix = markReader.text("path_prefix");
-        if (mark.pathPrefix.front() != '/')
-            reject(markReader.pathOf("path_prefix"), "must begin with '/'");
-        markReader.refuseUnknown();
-        one.nonIdempotent.push_back(std::move(mark));
+    const json& patterns = reader.list("non_idempotent");
+    for (std::size_t at = 0; at < patterns.size(); ++at) {
+        object_reader patternReader(patterns[at], reader.pathOf("non_idempotent") + "/" + std::to_string(at));
+        request_pattern pattern;
+        pattern.method = patternReader.text("method");
+        pattern.pathPrefix = patternReader.text("path_prefix");
+        if (pattern.pathPrefix.front() != '/')
+            reject(patternReader.pathOf("path_prefix"), "must begin with '/'");
+        patternReader.rejectUnknownFields();
+        one.nonIdempotent.push_back(std::move(pattern));
     }
-    reader.refuseUnknown();
+    reader.rejectUnknownFields();
     return one;
 }
 
@@ -269,7 +269,7 @@
     readNamed(reader, "services", [&](const auto& name, const auto& value, const auto& path) {
         all.services[name] = readService(value, path, all);
     });
-    reader.refuseUnknown();
+    reader.rejectUnknownFields();
     return all;
 }
 
@@ -303,7 +303,7 @@
 };
 
 /// @return the entries, or nothing when a whole section or more is touched.
-std::optional<std::set<touched_entry>> touchedBy(const json& patch)
+std::optional<std::set<touched_entry>> touchedEntries(const json& patch)
 {
     std::set<touched_entry> entries;
     for (const auto& step : patch) {
@@ -348,7 +348,7 @@
 }
 
 /// Runs a function and turns what it throws into an error.
-template <typename Function> auto caught(Function function) -> tl::expected<decltype(function()), failure>
+template <typename Function> auto catchFailure(Function function) -> tl::expected<decltype(function()), failure>
 {
     try {
         if constexpr (std::is_void_v<decltype(function())>) {
@@ -376,7 +376,7 @@
 
 tl::expected<document, failure> parseDocument(std::string_view text)
 {
-    return caught([text] { return readDocument(parseStrictly(text)); });
+    return catchFailure([text] { return readDocument(parseStrictly(text)); });
 }
 
 std::string formatDocument(const document& value)
@@ -395,10 +395,10 @@
             { "priority", nameIn(priorityNames, one.priority) } };
     }
     for (const auto& [name, one] : value.services) {
-        json marks = json::array();
-        for (const auto& mark : one.nonIdempotent)
-            marks.push_back({ { "method", mark.method }, { "path_prefix", mark.pathPrefix } });
-        root["services"][name] = { { "workspaces", one.workspaces }, { "non_idempotent", marks } };
+        json patterns = json::array();
+        for (const auto& pattern : one.nonIdempotent)
+            patterns.push_back({ { "method", pattern.method }, { "path_prefix", pattern.pathPrefix } });
+        root["services"][name] = { { "workspaces", one.workspaces }, { "non_idempotent", patterns } };
     }
     return root.dump();
 }
@@ -432,28 +432,28 @@
 
 tl::expected<void, failure> document_tree::assign(const std::string& text)
 {
-    return caught([&] {
+    return catchFailure([&] {
         json root = parseStrictly(text);
         m_document = readDocument(root);
         m_tree->root = std::move(root);
     });
 }
 
-tl::expected<void, failure> document_tree::patchChecked(const std::string& patch)
+tl::expected<void, failure> document_tree::patchAndValidate(const std::string& patch)
 {
-    return caught([&] {
+    return catchFailure([&] {
         json root = m_tree->root.patch(json::parse(patch));
         m_document = readDocument(root);
         m_tree->root = std::move(root);
     });
 }
 
-tl::expected<void, failure> document_tree::patchTrusted(const std::string& patch)
+tl::expected<void, failure> document_tree::patchPrevalidated(const std::string& patch)
 {
-    return caught([&] {
+    return catchFailure([&] {
         const json steps = json::parse(patch);
         m_tree->root.patch_inplace(steps);
-        const auto touched = touchedBy(steps);
+        const auto touched = touchedEntries(steps);
         if (!touched) {
             m_document = readDocument(m_tree->root);
             return;
