--- a/src/buckthornrail/configuration/document.cpp
+++ b/src/buckthornrail/configuration/document.cpp
@@ -170,7 +170,7 @@
     return shares;
 }
 
-std::vector<std::string> readWorkspaceNames(const json& list, const std::string& path, const document& all)
+std::vector<std::string> readWorkspaceNames(const json& list, const std::string& path, const document& parsed)
 {
     std::vector<std::string> names;
     for (std::size_t at = 0; at < list.size(); ++at) {
@@ -178,7 +178,7 @@
         if (!list[at].is_string())
             reject(place, "must be the name of a workspace");
         const auto& name = list[at].get_ref<const std::string&>();
-        if (!all.workspaces.contains(name))
+        if (!parsed.workspaces.contains(name))
             reject(place, "no workspace is called '" + name + "'");
         if (std::find(names.begin(), names.end(), name) != names.end())
             reject(place, "stands twice");
@@ -207,28 +207,28 @@
     return one;
 }
 
-pipeline readPipeline(const json& value, const std::string& path, const document& all)
+pipeline readPipeline(const json& value, const std::string& path, const document& parsed)
 {
     object_reader reader(value, path);
     pipeline one;
     one.model = reader.text("model");
-    if (!all.models.contains(one.model))
+    if (!parsed.models.contains(one.model))
         reject(reader.pathOf("model"), "no model is called '" + one.model + "'");
     one.versions = readShares(reader.list("versions"), reader.pathOf("versions"), "version");
     if (one.versions.empty())
         reject(reader.pathOf("versions"), "at least one version is needed");
     one.pools = readShares(reader.list("pools"), reader.pathOf("pools"), "pool");
-    one.workspaces = readWorkspaceNames(reader.list("workspaces"), reader.pathOf("workspaces"), all);
+    one.workspaces = readWorkspaceNames(reader.list("workspaces"), reader.pathOf("workspaces"), parsed);
     one.priority = reader.priority("priority", one.priority);
     reader.rejectUnknownFields();
     return one;
 }
 
-service readService(const json& value, const std::string& path, const document& all)
+service readService(const json& value, const std::string& path, const document& parsed)
 {
     object_reader reader(value, path);
     service one;
-    one.workspaces = readWorkspaceNames(reader.list("workspaces"), reader.pathOf("workspaces"), all);
+    one.workspaces = readWorkspaceNames(reader.list("workspaces"), reader.pathOf("workspaces"), parsed);
     const json& patterns = reader.list("non_idempotent");
     for (std::size_t at = 0; at < patterns.size(); ++at) {
         object_reader patternReader(patterns[at], reader.pathOf("non_idempotent") + "/" + std::to_string(at));
@@ -256,21 +256,21 @@
 
 document readDocument(const json& root)
 {
-    document all;
+    document parsed;
     object_reader reader(root, "");
     readNamed(reader, "workspaces", [&](const auto& name, const auto& value, const auto& path) {
-        all.workspaces[name] = readWorkspace(value, path);
+        parsed.workspaces[name] = readWorkspace(value, path);
     });
     readNamed(reader, "models",
-        [&](const auto& name, const auto& value, const auto& path) { all.models[name] = readModel(value, path); });
+        [&](const auto& name, const auto& value, const auto& path) { parsed.models[name] = readModel(value, path); });
     readNamed(reader, "pipelines", [&](const auto& name, const auto& value, const auto& path) {
-        all.pipelines[name] = readPipeline(value, path, all);
+        parsed.pipelines[name] = readPipeline(value, path, parsed);
     });
     readNamed(reader, "services", [&](const auto& name, const auto& value, const auto& path) {
-        all.services[name] = readService(value, path, all);
+        parsed.services[name] = readService(value, path, parsed);
     });
     reader.rejectUnknownFields();
-    return all;
+    return parsed;
 }
 
 /// Parses JSON and refuses an object that names a field twice, which the parser alone would let pass.
@@ -331,18 +331,18 @@
         entries[touched.name] = read(*found, "/" + touched.section + "/" + escapePointer(touched.name));
 }
 
-void refreshEntry(document& all, const json& root, const touched_entry& touched)
+void refreshEntry(document& parsed, const json& root, const touched_entry& touched)
 {
     if (touched.section == "workspaces")
-        refresh(all.workspaces, root, touched, readWorkspace);
+        refresh(parsed.workspaces, root, touched, readWorkspace);
     else if (touched.section == "models")
-        refresh(all.models, root, touched, readModel);
+        refresh(parsed.models, root, touched, readModel);
     else if (touched.section == "pipelines")
-        refresh(all.pipelines, root, touched,
-            [&all](const json& value, const std::string& path) { return readPipeline(value, path, all); });
+        refresh(parsed.pipelines, root, touched,
+            [&parsed](const json& value, const std::string& path) { return readPipeline(value, path, parsed); });
     else if (touched.section == "services")
-        refresh(all.services, root, touched,
-            [&all](const json& value, const std::string& path) { return readService(value, path, all); });
+        refresh(parsed.services, root, touched,
+            [&parsed](const json& value, const std::string& path) { return readService(value, path, parsed); });
     else
         reject("/" + touched.section, "is not a known field");
 }
