--- a/include/buckthornrail/settings/settings.hpp
+++ b/include/buckthornrail/settings/settings.hpp
@@ -48,9 +48,9 @@
     std::uint32_t claimRetentionSeconds = 3600;
 
     std::string gatewayAddress;
-    double repeatRatio = 0.2; ///< repeats for each request, over all gateways
-    std::uint32_t repeatSlack = 100; ///< repeats in a window besides
-    std::uint32_t repeatWindowSeconds = 10;
+    double retryRatio = 0.2; ///< repeats for each request, over all gateways
+    std::uint32_t retrySlack = 100; ///< repeats in a window besides
+    std::uint32_t retryWindowSeconds = 10;
     std::uint32_t graceSeconds = 8; ///< from SIGTERM to the end of the process
 
     std::string bootstrap = "false";
@@ -89,7 +89,7 @@
 using setting_member = std::variant<std::string settings::*, std::uint32_t settings::*,
     std::vector<std::string> settings::*, double settings::*>;
 
-enum class value_form : std::uint8_t { Text, Address, AddressList, Number, Choice, Fraction };
+enum class setting_type : std::uint8_t { Text, Address, AddressList, Number, Choice, Fraction };
 
 /// One key: where it stands, which roles know it, and what values it takes.
 struct setting_rule {
@@ -97,7 +97,7 @@
     std::string_view key;
     std::uint8_t roles = 0; ///< sum of process_role values
     std::uint8_t requiredBy = 0; ///< the same
-    value_form form = value_form::Text;
+    setting_type type = setting_type::Text;
     setting_member member;
     std::uint32_t low = 0; ///< Number
     std::uint32_t high = 0; ///< Number
@@ -124,7 +124,7 @@
     const std::string& text, const std::string& file, process_role role);
 
 /// @brief A settings file's bytes; nothing when it can't be opened.
-std::optional<std::string> readText(const std::string& file);
+std::optional<std::string> readFile(const std::string& file);
 
 /// @brief Reads a settings file.
 tl::expected<settings, std::vector<settings_fault>> loadSettings(const std::string& file, process_role role);
--- a/src/app/gateway/gateway.cpp
+++ b/src/app/gateway/gateway.cpp
@@ -31,9 +31,9 @@
 gateway::shared_retry_budget_options budgetOptions(const settings::settings& settings)
 {
     gateway::shared_retry_budget_options options;
-    options.ratio = settings.repeatRatio;
-    options.slack = settings.repeatSlack;
-    options.window = std::chrono::seconds(settings.repeatWindowSeconds);
+    options.ratio = settings.retryRatio;
+    options.slack = settings.retrySlack;
+    options.window = std::chrono::seconds(settings.retryWindowSeconds);
     options.slackFrom = steadyNow() + options.window;
     return options;
 }
--- a/src/app/shared/settings_watch.cpp
+++ b/src/app/shared/settings_watch.cpp
@@ -14,7 +14,7 @@
     std::function<void(const settings::settings&)> changed)
     : m_file(first.sourceFile)
     , m_role(role)
-    , m_text(settings::readText(m_file).value_or(""))
+    , m_text(settings::readFile(m_file).value_or(""))
     , m_changed(std::move(changed))
     , m_reads(loop, readPeriod, [this] { read(false); })
 {
@@ -22,7 +22,7 @@
 
 void settings_watch::read(bool asked)
 {
-    auto text = settings::readText(m_file);
+    auto text = settings::readFile(m_file);
     const bool isNew = text && *text != m_text;
     if (!isNew && !asked)
         return;
--- a/src/buckthornrail/settings/settings.cpp
+++ b/src/buckthornrail/settings/settings.cpp
@@ -15,112 +15,113 @@
 namespace buckthornrail::settings {
 namespace {
 
-constexpr std::uint8_t onEntry = static_cast<std::uint8_t>(process_role::Entry);
-constexpr std::uint8_t onSidecar = static_cast<std::uint8_t>(process_role::Sidecar);
-constexpr std::uint8_t onController = static_cast<std::uint8_t>(process_role::Controller);
-constexpr std::uint8_t onDaemons = onEntry | onSidecar;
-constexpr std::uint8_t onAll = onDaemons | onController;
-constexpr std::uint8_t onGateway = static_cast<std::uint8_t>(process_role::Gateway);
-constexpr std::uint8_t onRegistry = static_cast<std::uint8_t>(process_role::Registry);
-constexpr std::uint8_t onDirect = onGateway | onRegistry;
-constexpr std::uint8_t onEvery = onAll | onDirect;
+constexpr std::uint8_t entryRole = static_cast<std::uint8_t>(process_role::Entry);
+constexpr std::uint8_t sidecarRole = static_cast<std::uint8_t>(process_role::Sidecar);
+constexpr std::uint8_t controllerRole = static_cast<std::uint8_t>(process_role::Controller);
+constexpr std::uint8_t entryAndSidecar = entryRole | sidecarRole;
+constexpr std::uint8_t entrySidecarController = entryAndSidecar | controllerRole;
+constexpr std::uint8_t gatewayRole = static_cast<std::uint8_t>(process_role::Gateway);
+constexpr std::uint8_t registryRole = static_cast<std::uint8_t>(process_role::Registry);
+constexpr std::uint8_t gatewayAndRegistry = gatewayRole | registryRole;
+constexpr std::uint8_t allRoles = entrySidecarController | gatewayAndRegistry;
 constexpr std::uint32_t maxPort = 65535;
-constexpr std::uint32_t hour = 3'600'000;
+constexpr std::uint32_t oneHourMs = 3'600'000;
 
-using form = value_form;
+using type = setting_type;
 
 constexpr std::array rules {
-    setting_rule { "instance", "id", onEvery, onEvery, form::Text, &settings::id, 0, 0, "", "Unique name." },
-    setting_rule { "instance", "failure_domain", onEvery, onEvery, form::Text, &settings::failureDomain, 0, 0, "",
+    setting_rule { "instance", "id", allRoles, allRoles, type::Text, &settings::id, 0, 0, "", "Unique name." },
+    setting_rule { "instance", "failure_domain", allRoles, allRoles, type::Text, &settings::failureDomain, 0, 0, "",
         "Failure domain that the instance stands in." },
-    setting_rule { "instance", "log_level", onEvery, 0, form::Choice, &settings::logLevel, 0, 0, "info|warning|error",
+    setting_rule { "instance", "log_level", allRoles, 0, type::Choice, &settings::logLevel, 0, 0, "info|warning|error",
         "Least severe log lines that are written." },
-    setting_rule { "link", "address", onSidecar | onController | onRegistry, onSidecar | onController | onRegistry,
-        form::Address, &settings::linkAddress, 0, 0, "", "Where other processes reach this one." },
-    setting_rule { "link", "announce", onSidecar | onController | onRegistry, 0, form::Address,
+    setting_rule { "link", "address", sidecarRole | controllerRole | registryRole,
+        sidecarRole | controllerRole | registryRole, type::Address, &settings::linkAddress, 0, 0, "",
+        "Where other processes reach this one." },
+    setting_rule { "link", "announce", sidecarRole | controllerRole | registryRole, 0, type::Address,
         &settings::announcedAddress, 0, 0, "", "The address to give to others, when it isn't the one listened on." },
-    setting_rule { "http", "address", onEvery, onEvery, form::Address, &settings::httpAddress, 0, 0, "",
+    setting_rule { "http", "address", allRoles, allRoles, type::Address, &settings::httpAddress, 0, 0, "",
         "Callers (entry), operators (controller), health and metrics (all)." },
-    setting_rule {
-        "http", "threads", onAll, 0, form::Number, &settings::httpThreads, 2, 4096, "", "HTTP calls served at once." },
-    setting_rule { "http", "token_file", onAll, 0, form::Text, &settings::tokenFile, 0, 0, "",
+    setting_rule { "http", "threads", entrySidecarController, 0, type::Number, &settings::httpThreads, 2, 4096, "",
+        "HTTP calls served at once." },
+    setting_rule { "http", "token_file", entrySidecarController, 0, type::Text, &settings::tokenFile, 0, 0, "",
         "File with the operators' token; without one only loopback may operate." },
-    setting_rule { "controllers", "addresses", onEvery, onEvery, form::AddressList, &settings::controllers, 0, 0, "",
+    setting_rule { "controllers", "addresses", allRoles, allRoles, type::AddressList, &settings::controllers, 0, 0, "",
         "Link addresses of controllers, parted by commas; of all, but for gateways and registries, which find the "
         "others." },
-    setting_rule { "controllers", "heartbeat_ms", onDaemons | onGateway, 0, form::Number, &settings::heartbeatMs, 50,
-        10000, "", "Period of heartbeats to a controller." },
-    setting_rule { "controllers", "lease_ms", onAll, 0, form::Number, &settings::leaseMs, 500, 60000, "",
-        "Without a confirmed heartbeat for so long a daemon takes no new work and counts as lost." },
-    setting_rule { "entry", "strategy", onEntry, 0, form::Choice, &settings::strategy, 0, 0,
+    setting_rule { "controllers", "heartbeat_ms", entryAndSidecar | gatewayRole, 0, type::Number,
+        &settings::heartbeatMs, 50, 10000, "", "Period of heartbeats to a controller." },
+    setting_rule { "controllers", "lease_ms", entrySidecarController, 0, type::Number, &settings::leaseMs, 500, 60000,
+        "", "Without a confirmed heartbeat for so long a daemon takes no new work and counts as lost." },
+    setting_rule { "entry", "strategy", entryRole, 0, type::Choice, &settings::strategy, 0, 0,
         "random|round_robin|least_outstanding|finish_estimate", "How one of several targets is picked." },
-    setting_rule { "entry", "default_timeout_ms", onEntry, 0, form::Number, &settings::defaultTimeoutMs, 1, hour, "",
-        "For requests that name no timeout." },
-    setting_rule { "entry", "max_timeout_ms", onEntry, 0, form::Number, &settings::maxTimeoutMs, 1, 480000, "",
+    setting_rule { "entry", "default_timeout_ms", entryRole, 0, type::Number, &settings::defaultTimeoutMs, 1, oneHourMs,
+        "", "For requests that name no timeout." },
+    setting_rule { "entry", "max_timeout_ms", entryRole, 0, type::Number, &settings::maxTimeoutMs, 1, 480000, "",
         "Longest timeout that a request may name." },
-    setting_rule { "entry", "max_body_bytes", onEntry, 0, form::Number, &settings::maxBodyBytes, 1, 16U << 20U, "",
+    setting_rule { "entry", "max_body_bytes", entryRole, 0, type::Number, &settings::maxBodyBytes, 1, 16U << 20U, "",
         "Largest request body." },
-    setting_rule { "entry", "body_timeout_ms", onEntry, 0, form::Number, &settings::bodyTimeoutMs, 100, hour, "",
+    setting_rule { "entry", "body_timeout_ms", entryRole, 0, type::Number, &settings::bodyTimeoutMs, 100, oneHourMs, "",
         "Longest time for a request body to arrive." },
-    setting_rule { "entry", "progress_timeout_ms", onEntry, 0, form::Number, &settings::progressTimeoutMs, 100, hour,
-        "", "A started answer silent for so long is taken up by another target." },
-    setting_rule { "entry", "claim_retention_s", onEntry, 0, form::Number, &settings::claimRetentionSeconds, 60, 3600,
+    setting_rule { "entry", "progress_timeout_ms", entryRole, 0, type::Number, &settings::progressTimeoutMs, 100,
+        oneHourMs, "", "A started answer silent for so long is taken up by another target." },
+    setting_rule { "entry", "claim_retention_s", entryRole, 0, type::Number, &settings::claimRetentionSeconds, 60, 3600,
         "", "How long an Idempotency-Key stands." },
-    setting_rule { "controllers", "link_port", onDirect, 0, form::Number, &settings::linkPort, 1, maxPort, "",
+    setting_rule { "controllers", "link_port", gatewayAndRegistry, 0, type::Number, &settings::linkPort, 1, maxPort, "",
         "Port of the controllers' links, where it isn't the one in the addresses." },
-    setting_rule { "link", "keep_alive_ms", onDirect, 0, form::Number, &settings::linkKeepAliveMs, 50, 60000, "",
-        "Period of pings on links; one silent for three of them is closed." },
-    setting_rule { "link", "open_timeout_ms", onDirect, 0, form::Number, &settings::linkOpenTimeoutMs, 20, 60000, "",
-        "A dialled link that isn't open by then is dialled anew." },
-    setting_rule { "gateway", "address", onGateway, onGateway, form::Address, &settings::gatewayAddress, 0, 0, "",
+    setting_rule { "link", "keep_alive_ms", gatewayAndRegistry, 0, type::Number, &settings::linkKeepAliveMs, 50, 60000,
+        "", "Period of pings on links; one silent for three of them is closed." },
+    setting_rule { "link", "open_timeout_ms", gatewayAndRegistry, 0, type::Number, &settings::linkOpenTimeoutMs, 20,
+        60000, "", "A dialled link that isn't open by then is dialled anew." },
+    setting_rule { "gateway", "address", gatewayRole, gatewayRole, type::Address, &settings::gatewayAddress, 0, 0, "",
         "Where callers connect." },
-    setting_rule { "gateway", "repeat_ratio", onGateway, 0, form::Fraction, &settings::repeatRatio, 0, 100, "",
+    setting_rule { "gateway", "repeat_ratio", gatewayRole, 0, type::Fraction, &settings::retryRatio, 0, 100, "",
         "Repeats for each request that targets of a service may get, from all gateways together." },
-    setting_rule { "gateway", "repeat_slack", onGateway, 0, form::Number, &settings::repeatSlack, 0, 1'000'000, "",
+    setting_rule { "gateway", "repeat_slack", gatewayRole, 0, type::Number, &settings::retrySlack, 0, 1'000'000, "",
         "Repeats in a window besides, from all gateways together." },
-    setting_rule { "gateway", "repeat_window_s", onGateway, 0, form::Number, &settings::repeatWindowSeconds, 1, 3600,
+    setting_rule { "gateway", "repeat_window_s", gatewayRole, 0, type::Number, &settings::retryWindowSeconds, 1, 3600,
         "", "The window." },
-    setting_rule { "gateway", "grace_s", onGateway, 0, form::Number, &settings::graceSeconds, 1, 3600, "",
+    setting_rule { "gateway", "grace_s", gatewayRole, 0, type::Number, &settings::graceSeconds, 1, 3600, "",
         "Time from SIGTERM to the end, for requests in flight." },
-    setting_rule { "registry", "bootstrap", onRegistry, 0, form::Choice, &settings::bootstrap, 0, 0, "true|false",
+    setting_rule { "registry", "bootstrap", registryRole, 0, type::Choice, &settings::bootstrap, 0, 0, "true|false",
         "Whether the system starts for the first time: the first of the addresses then forms the log." },
-    setting_rule { "registry", "target_heartbeat_ms", onRegistry, 0, form::Number, &settings::targetHeartbeatMs, 50,
+    setting_rule { "registry", "target_heartbeat_ms", registryRole, 0, type::Number, &settings::targetHeartbeatMs, 50,
         60000, "", "Period of the targets' heartbeats." },
-    setting_rule { "target", "kind", onSidecar, onSidecar, form::Choice, &settings::targetKind, 0, 0,
+    setting_rule { "target", "kind", sidecarRole, sidecarRole, type::Choice, &settings::targetKind, 0, 0,
         "openai|kserve|layer_range|plain_service", "Dialect of the target." },
-    setting_rule { "target", "address", onSidecar, onSidecar, form::Address, &settings::targetAddress, 0, 0, "",
+    setting_rule { "target", "address", sidecarRole, sidecarRole, type::Address, &settings::targetAddress, 0, 0, "",
         "HTTP address of the target." },
-    setting_rule { "target", "model", onSidecar, 0, form::Text, &settings::model, 0, 0, "",
+    setting_rule { "target", "model", sidecarRole, 0, type::Text, &settings::model, 0, 0, "",
         "Model that it serves; not for a plain service." },
     setting_rule {
-        "target", "version", onSidecar, 0, form::Text, &settings::version, 0, 0, "", "Version of the model." },
+        "target", "version", sidecarRole, 0, type::Text, &settings::version, 0, 0, "", "Version of the model." },
     setting_rule {
-        "target", "service", onSidecar, 0, form::Text, &settings::service, 0, 0, "", "Name of a plain service." },
-    setting_rule { "target", "pool", onSidecar, 0, form::Text, &settings::pool, 0, 0, "",
+        "target", "service", sidecarRole, 0, type::Text, &settings::service, 0, 0, "", "Name of a plain service." },
+    setting_rule { "target", "pool", sidecarRole, 0, type::Text, &settings::pool, 0, 0, "",
         "Label that pipelines share work out by." },
-    setting_rule { "target", "accelerator", onSidecar, 0, form::Text, &settings::accelerator, 0, 0, "",
+    setting_rule { "target", "accelerator", sidecarRole, 0, type::Text, &settings::accelerator, 0, 0, "",
         "Kind of accelerator, for people." },
-    setting_rule { "target", "first_layer", onSidecar, 0, form::Number, &settings::firstLayer, 0, 999, "",
+    setting_rule { "target", "first_layer", sidecarRole, 0, type::Number, &settings::firstLayer, 0, 999, "",
         "First layer of a layer_range target." },
-    setting_rule { "target", "end_layer", onSidecar, 0, form::Number, &settings::endLayer, 0, 1000, "",
+    setting_rule { "target", "end_layer", sidecarRole, 0, type::Number, &settings::endLayer, 0, 1000, "",
         "One after its last layer." },
-    setting_rule { "target", "slots", onSidecar, 0, form::Number, &settings::slots, 1, 1024, "",
+    setting_rule { "target", "slots", sidecarRole, 0, type::Number, &settings::slots, 1, 1024, "",
         "Requests that the target runs at once." },
-    setting_rule { "target", "queue_limit", onSidecar, 0, form::Number, &settings::queueLimit, 0, 4096, "",
+    setting_rule { "target", "queue_limit", sidecarRole, 0, type::Number, &settings::queueLimit, 0, 4096, "",
         "Requests that wait at the sidecar." },
-    setting_rule { "target", "probe_ms", onSidecar, 0, form::Number, &settings::probeMs, 50, 60000, "",
+    setting_rule { "target", "probe_ms", sidecarRole, 0, type::Number, &settings::probeMs, 50, 60000, "",
         "Period of readiness probes." },
-    setting_rule { "target", "fencing", onSidecar, 0, form::Choice, &settings::targetFencing, 0, 0, "checked|ignored",
+    setting_rule { "target", "fencing", sidecarRole, 0, type::Choice, &settings::targetFencing, 0, 0, "checked|ignored",
         "Whether the target refuses orders with an old fencing number." },
-    setting_rule { "target", "order_timeout_ms", onSidecar, 0, form::Number, &settings::orderTimeoutMs, 100, hour, "",
-        "Longest time for an order, such as loading a version." },
-    setting_rule { "target", "answer_keep_bytes", onSidecar, 0, form::Number, &settings::answerKeepBytes, 0,
+    setting_rule { "target", "order_timeout_ms", sidecarRole, 0, type::Number, &settings::orderTimeoutMs, 100,
+        oneHourMs, "", "Longest time for an order, such as loading a version." },
+    setting_rule { "target", "answer_keep_bytes", sidecarRole, 0, type::Number, &settings::answerKeepBytes, 0,
         256U << 20U, "", "Memory for answers of non-idempotent requests that may be asked for again." },
-    setting_rule { "storage", "folder", onController | onRegistry, onController | onRegistry, form::Text,
+    setting_rule { "storage", "folder", controllerRole | registryRole, controllerRole | registryRole, type::Text,
         &settings::dataFolder, 0, 0, "", "Data folder; belongs to this controller alone." },
-    setting_rule { "storage", "snapshot_entries", onController | onRegistry, 0, form::Number,
+    setting_rule { "storage", "snapshot_entries", controllerRole | registryRole, 0, type::Number,
         &settings::snapshotEntries, 10, 1'000'000, "", "Log entries after which a snapshot is saved." },
-    setting_rule { "storage", "election_timeout_ms", onController | onRegistry, 0, form::Number,
+    setting_rule { "storage", "election_timeout_ms", controllerRole | registryRole, 0, type::Number,
         &settings::electionTimeoutMs, 100, 60000, "",
         "Least time without a leader before an election; the most is twice as long." },
 };
@@ -131,7 +132,7 @@
     std::string value;
 };
 
-int collect(void* user, const char* section, const char* key, const char* value)
+int collectEntry(void* user, const char* section, const char* key, const char* value)
 {
     static_cast<std::vector<raw_value>*>(user)->push_back({ section, key, value });
     return 1;
@@ -161,17 +162,17 @@
     return static_cast<std::uint32_t>(number);
 }
 
-tl::expected<void, std::string> store(const setting_rule& rule, const std::string& text, settings& out)
+tl::expected<void, std::string> assignValue(const setting_rule& rule, const std::string& text, settings& out)
 {
-    switch (rule.form) {
-    case form::Number: {
+    switch (rule.type) {
+    case type::Number: {
         const auto number = readNumber(rule, text);
         if (!number)
             return tl::make_unexpected(number.error());
         out.*std::get<std::uint32_t settings::*>(rule.member) = *number;
         return {};
     }
-    case form::Fraction: {
+    case type::Fraction: {
         double fraction = 0;
         const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), fraction);
         if (error != std::errc() || end != text.data() + text.size())
@@ -182,7 +183,7 @@
         out.*std::get<double settings::*>(rule.member) = fraction;
         return {};
     }
-    case form::AddressList: {
+    case type::AddressList: {
         auto parts = splitList(text, ',');
         for (const auto& part : parts) {
             if (auto valid = checkAddress(part); !valid)
@@ -191,17 +192,17 @@
         out.*std::get<std::vector<std::string> settings::*>(rule.member) = std::move(parts);
         return {};
     }
-    case form::Address:
+    case type::Address:
         if (auto valid = checkAddress(text); !valid)
             return valid;
         break;
-    case form::Choice: {
+    case type::Choice: {
         const auto choices = splitList(rule.choices, '|');
         if (std::find(choices.begin(), choices.end(), text) == choices.end())
             return tl::make_unexpected("'" + text + "' is not one of " + std::string(rule.choices));
         break;
     }
-    case form::Text:
+    case type::Text:
         if (text.empty())
             return tl::make_unexpected("must not be empty");
         break;
@@ -211,7 +212,7 @@
 }
 
 /// Faults that lie between two keys.
-void checkTogether(
+void checkKeyCombinations(
     const settings& values, process_role role, const std::string& file, std::vector<settings_fault>& faults)
 {
     if (role == process_role::Entry && values.defaultTimeoutMs > values.maxTimeoutMs)
@@ -253,7 +254,7 @@
 {
     std::vector<settings_fault> faults;
     std::vector<raw_value> raw;
-    const int badLine = ini_parse_string(text.c_str(), collect, &raw);
+    const int badLine = ini_parse_string(text.c_str(), collectEntry, &raw);
     if (badLine != 0)
         faults.push_back({ file, "", "", "line " + std::to_string(badLine) + " can't be read" });
     settings values;
@@ -273,7 +274,7 @@
             faults.push_back({ file, item.section, item.key, "stands twice" });
             continue;
         }
-        if (auto stored = store(*rule, item.value, values); !stored)
+        if (auto stored = assignValue(*rule, item.value, values); !stored)
             faults.push_back({ file, item.section, item.key, stored.error() });
     }
     for (const auto& rule : rules) {
@@ -281,7 +282,7 @@
         if (needed && !seen.contains({ std::string(rule.section), std::string(rule.key) }))
             faults.push_back({ file, std::string(rule.section), std::string(rule.key), "is missing" });
     }
-    checkTogether(values, role, file, faults);
+    checkKeyCombinations(values, role, file, faults);
     if (!faults.empty())
         return tl::make_unexpected(std::move(faults));
     if (values.linkPort != 0) {
@@ -291,7 +292,7 @@
     return values;
 }
 
-std::optional<std::string> readText(const std::string& file)
+std::optional<std::string> readFile(const std::string& file)
 {
     std::ifstream stream(file);
     if (!stream)
@@ -303,7 +304,7 @@
 
 tl::expected<settings, std::vector<settings_fault>> loadSettings(const std::string& file, process_role role)
 {
-    const auto text = readText(file);
+    const auto text = readFile(file);
     if (!text)
         return tl::make_unexpected(std::vector<settings_fault> { { file, "", "", "can't be opened" } });
     return parseSettings(*text, file, role);
--- a/tools/print_tables.cpp
+++ b/tools/print_tables.cpp
@@ -55,21 +55,21 @@
 
 std::string valuesOf(const settings::setting_rule& rule)
 {
-    switch (rule.form) {
-    case settings::value_form::Address:
+    switch (rule.type) {
+    case settings::setting_type::Address:
         return "IP:port";
-    case settings::value_form::AddressList:
+    case settings::setting_type::AddressList:
         return "IP:port, ...";
-    case settings::value_form::Fraction:
-    case settings::value_form::Number:
+    case settings::setting_type::Fraction:
+    case settings::setting_type::Number:
         return std::to_string(rule.low) + " to " + std::to_string(rule.high);
-    case settings::value_form::Choice: {
+    case settings::setting_type::Choice: {
         std::string choices(rule.choices);
         for (auto at = choices.find('|'); at != std::string::npos; at = choices.find('|'))
             choices.replace(at, 1, ", ");
         return choices;
     }
-    case settings::value_form::Text:
+    case settings::setting_type::Text:
         break;
     }
     return "text";
