--- a/include/buckthornrail/telemetry/log.hpp
+++ b/include/buckthornrail/telemetry/log.hpp
@@ -14,14 +14,14 @@
 enum class severity { Info, Warning, Error };
 
 /// Bounds of the log's volume.
-struct log_bounds {
+struct log_limits {
     std::size_t linesPerSecond = 400; ///< more are counted and left out
     std::size_t pendingBytes = 256U << 10U; ///< that a reader who is too slow may leave; the same
 };
 
 /// @brief Starts logging to standard output. Lines are written by flushLog(), never blocking.
 /// @param level "info", "warning" or "error"
-void startLog(const std::string& level, const log_bounds& bounds = {});
+void startLog(const std::string& level, const log_limits& limits = {});
 
 /// @brief Writes what has gathered, as far as the reader takes it. Call it often; callable from any thread.
 void flushLog();
--- a/src/buckthornrail/telemetry/log.cpp
+++ b/src/buckthornrail/telemetry/log.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Log lines: gathered in memory within bounds, written to standard output without waiting for its reader.
+/// @brief Log lines: gathered in memory within limits, written to standard output without waiting for its reader.
 ///
 /// glog writes to standard error or files and blocks on a reader that doesn't read; here neither is wanted.
 #include "buckthornrail/telemetry/log.hpp"
@@ -25,29 +25,29 @@
 /// What has not been written yet.
 class line_buffer {
 public:
-    void start(severity least, const log_bounds& bounds)
+    void start(severity minLevel, const log_limits& limits)
     {
         const std::scoped_lock lock(m_mutex);
-        m_least = least;
-        m_bounds = bounds;
+        m_minLevel = minLevel;
+        m_limits = limits;
         m_started = true;
     }
 
     void add(severity level, const std::string& text)
     {
         const std::scoped_lock lock(m_mutex);
-        if (level < m_least)
+        if (level < m_minLevel)
             return;
         const auto now = boot_clock::now();
-        if (now >= m_secondEnds) {
-            m_secondEnds = now + std::chrono::seconds(1);
+        if (now >= m_secondEnd) {
+            m_secondEnd = now + std::chrono::seconds(1);
             m_linesThisSecond = 0;
-            tellDropped();
+            reportDropped();
         }
         ++m_linesThisSecond;
         // Warnings and errors are few; they go before the bound of lines, not before that of memory.
-        const bool overRate = level == severity::Info && m_linesThisSecond > m_bounds.linesPerSecond;
-        if (overRate || m_pending.size() + text.size() > m_bounds.pendingBytes) {
+        const bool overRate = level == severity::Info && m_linesThisSecond > m_limits.linesPerSecond;
+        if (overRate || m_pending.size() + text.size() > m_limits.pendingBytes) {
             ++m_dropped;
             return;
         }
@@ -77,7 +77,7 @@
         m_pending += '\n';
     }
 
-    void tellDropped()
+    void reportDropped()
     {
         if (m_dropped == 0)
             return;
@@ -105,13 +105,13 @@
     }
 
     std::mutex m_mutex;
-    severity m_least = severity::Info;
-    log_bounds m_bounds;
+    severity m_minLevel = severity::Info;
+    log_limits m_limits;
     bool m_started = false;
     std::string m_pending;
     std::size_t m_dropped = 0;
     std::size_t m_linesThisSecond = 0;
-    boot_clock::time_point m_secondEnds {};
+    boot_clock::time_point m_secondEnd {};
 };
 
 line_buffer& lines()
@@ -138,9 +138,9 @@
 
 } // namespace
 
-void startLog(const std::string& level, const log_bounds& bounds)
+void startLog(const std::string& level, const log_limits& limits)
 {
-    lines().start(level == "error" ? severity::Error : level == "warning" ? severity::Warning : severity::Info, bounds);
+    lines().start(level == "error" ? severity::Error : level == "warning" ? severity::Warning : severity::Info, limits);
 }
 
 void flushLog() { lines().flush(); }
