--- a/include/buckthornrail/core/stall_watch.hpp
+++ b/include/buckthornrail/core/stall_watch.hpp
@@ -12,17 +12,17 @@
     /// @return for how long nothing was looked at, when that is too long for a process at work; 0 otherwise
     milliseconds check(steady_time now)
     {
-        const bool isFirst = m_lookedAt == steady_time {};
-        const milliseconds gap = isFirst ? milliseconds(0) : between(m_lookedAt, now);
-        m_lookedAt = now;
-        return gap >= longestGap ? gap : milliseconds(0);
+        const bool isFirst = m_checkedAt == steady_time {};
+        const milliseconds gap = isFirst ? milliseconds(0) : between(m_checkedAt, now);
+        m_checkedAt = now;
+        return gap >= stallThreshold ? gap : milliseconds(0);
     }
 
 private:
     /// Others take a silence of about as long for the end of a session.
-    static constexpr milliseconds longestGap { 1000 };
+    static constexpr milliseconds stallThreshold { 1000 };
 
-    steady_time m_lookedAt {};
+    steady_time m_checkedAt {};
 };
 
 } // namespace buckthornrail
