--- a/include/buckthornrail/core/clock.hpp
+++ b/include/buckthornrail/core/clock.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Time as the cores see it: a point on the boot clock that the caller passes in.
+/// @brief The boot clock. State machines read no clock: their callers pass in the time.
 #pragma once
 
 #include <chrono>
@@ -7,14 +7,14 @@
 
 namespace buckthornrail {
 
-/// Monotonic, and goes on while the machine is suspended. The usual steady clock stands still then: whoever wakes would
-/// take leases, sessions and tables that are long over for fresh.
+/// Monotonic clock that keeps counting while the machine is suspended. std::chrono::steady_clock stops then: after a
+/// resume, leases, sessions and tables that have long expired would be taken for current ones.
 struct boot_clock {
     using duration = std::chrono::nanoseconds;
     using rep = duration::rep;
     using period = duration::period;
     using time_point = std::chrono::time_point<boot_clock>;
-    static constexpr bool is_steady = true; // NOLINT(readability-identifier-naming): as the standard asks of clocks
+    static constexpr bool is_steady = true; // NOLINT(readability-identifier-naming): required of clocks by the standard
 
     static time_point now() noexcept
     {
@@ -24,12 +24,13 @@
     }
 };
 
-/// Point in time on the boot clock. State keeps deadlines of this type, never durations.
+/// Point in time on the boot clock, not on std::chrono::steady_clock. State holds deadlines of this type, never
+/// durations.
 using steady_time = boot_clock::time_point;
 
 using std::chrono::milliseconds;
 
-/// @brief Whole milliseconds from one point in time to a later one.
+/// @brief Time from one point in time to another, truncated to milliseconds; negative if `to` is earlier.
 [[nodiscard]] inline milliseconds between(steady_time from, steady_time to)
 {
     return std::chrono::duration_cast<milliseconds>(to - from);
--- a/include/buckthornrail/core/enum_names.hpp
+++ b/include/buckthornrail/core/enum_names.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tables that give each enumerator its name, and lookups in both directions.
+/// @brief Tables of enumerator names, and lookups in both directions.
 #pragma once
 
 #include <array>
@@ -8,14 +8,14 @@
 
 namespace buckthornrail {
 
-/// One row of a table of names.
+/// Row of a table of names.
 template <typename Enum> struct enum_name {
     Enum value;
     std::string_view name;
 };
 
-/// @brief Name of an enumerator.
-/// @return the name, or "unknown" when the table has no such row.
+/// @brief Looks up the name of an enumerator.
+/// @return the name, or "unknown" if the table doesn't contain it
 template <typename Enum, std::size_t Size>
 constexpr std::string_view nameIn(const std::array<enum_name<Enum>, Size>& table, Enum value)
 {
@@ -26,8 +26,8 @@
     return "unknown";
 }
 
-/// @brief Enumerator of a name.
-/// @return the enumerator, or nothing when no row has that name.
+/// @brief Looks up the enumerator of a name.
+/// @return the enumerator, or nothing if the table doesn't contain the name
 template <typename Enum, std::size_t Size>
 constexpr std::optional<Enum> valueIn(const std::array<enum_name<Enum>, Size>& table, std::string_view name)
 {
--- a/include/buckthornrail/core/event_code.hpp
+++ b/include/buckthornrail/core/event_code.hpp
@@ -8,7 +8,7 @@
 
 namespace buckthornrail {
 
-/// Every event has one number for good; numbers are never used again.
+/// Numbers are permanent: they are never changed, nor reused after an event is removed.
 enum class event_code : std::uint16_t {
     ProcessStarted = 100,
     ProcessStopping = 101,
@@ -76,17 +76,17 @@
     MessageRejected = 702,
 };
 
-/// One row of the catalogue.
+/// Row of the catalogue.
 struct event_info {
     event_code code;
-    std::string_view name;
-    std::string_view description;
+    std::string_view name; ///< as written in log lines
+    std::string_view description; ///< what happened, and the fields of the log line
 };
 
-/// @brief The whole catalogue, in order of number.
+/// @brief The whole catalogue, sorted by number.
 std::span<const event_info> eventTable();
 
-/// @brief Row of an event.
+/// @brief Looks up the row of an event; an unknown code yields the first row.
 const event_info& describe(event_code code);
 
 } // namespace buckthornrail
--- a/include/buckthornrail/core/log_field.hpp
+++ b/include/buckthornrail/core/log_field.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A named value of a log line.
+/// @brief Named value of a log line.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace buckthornrail {
 
-/// One "name=value" of a log line.
+/// Written as "name=value".
 struct log_field {
     std::string_view name;
     std::string value;
--- a/include/buckthornrail/core/priority.hpp
+++ b/include/buckthornrail/core/priority.hpp
@@ -8,7 +8,7 @@
 
 namespace buckthornrail {
 
-/// A higher class starts first.
+/// Requests of a higher class start first.
 enum class request_priority : std::uint8_t { Low, Normal, High };
 
 inline constexpr std::array priorityNames {
--- a/include/buckthornrail/core/recent_set.hpp
+++ b/include/buckthornrail/core/recent_set.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A bounded memory of what came lately.
+/// @brief Bounded set of recent values, for detecting duplicates.
 #pragma once
 
 #include <cstddef>
@@ -8,7 +8,7 @@
 
 namespace buckthornrail {
 
-/// @brief Remembers the latest values, a bounded number of them, in order of their first coming.
+/// @brief Set of limited size that evicts the oldest value. A repeated value keeps its place in the order.
 template <typename Value> class recent_set {
 public:
     explicit recent_set(std::size_t limit)
@@ -16,7 +16,7 @@
     {
     }
 
-    /// @brief Notes a value. @return true when it was noted before and is still remembered
+    /// @brief Inserts a value, evicting the oldest one if the set is full. @return true if the set contained it already
     bool testAndInsert(const Value& value)
     {
         if (!m_known.insert(value).second)
@@ -29,10 +29,10 @@
         return false;
     }
 
-    /// @brief What is remembered, oldest first.
+    /// @brief All values, oldest first.
     [[nodiscard]] const std::deque<Value>& values() const { return m_order; }
 
-    /// @brief Replaces what is remembered.
+    /// @brief Replaces all values. @param values oldest first
     void assign(std::deque<Value> values)
     {
         m_known = std::set<Value>(values.begin(), values.end());
--- a/include/buckthornrail/core/request_fingerprint.hpp
+++ b/include/buckthornrail/core/request_fingerprint.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What makes two requests the same, whatever ids they come under.
+/// @brief Fingerprint of a request: equal for equal requests, regardless of their ids.
 #pragma once
 
 #include <array>
@@ -11,17 +11,17 @@
 
 namespace buckthornrail {
 
-/// A digest of what a caller asks for. Strong enough that no caller can find a request with another's.
+/// Digest of the contents of a request. No caller can craft a request with the fingerprint of another one.
 struct request_fingerprint {
     static constexpr std::size_t size = 16;
     std::array<std::uint8_t, size> bytes {};
     auto operator<=>(const request_fingerprint&) const = default;
 };
 
-/// @brief Hexadecimal digits, for logs, operators and messages.
+/// @brief Formats a fingerprint as hexadecimal digits.
 std::string text(const request_fingerprint& one);
 
-/// @return nothing when the text isn't that of a fingerprint
+/// @brief Reads a fingerprint formatted by text(). @return nothing if the digits aren't valid
 std::optional<request_fingerprint> parseFingerprint(std::string_view digits);
 
 } // namespace buckthornrail
--- a/include/buckthornrail/core/result_code.hpp
+++ b/include/buckthornrail/core/result_code.hpp
@@ -10,7 +10,7 @@
 
 namespace buckthornrail {
 
-/// Every result has one number for good; numbers are never used again.
+/// Numbers are permanent: they are never changed, nor reused after a code is removed.
 enum class result_code : std::uint16_t {
     Ok = 0,
     MalformedRequest = 1001,
@@ -65,38 +65,38 @@
     UnsupportedProtocol = 7002,
 };
 
-/// One row of the catalogue.
+/// Row of the catalogue.
 struct result_info {
     result_code code;
-    std::string_view name; ///< snake case, stable
-    int httpStatus; ///< status that a caller sees
-    int retryAfterSeconds; ///< 0: coming back does not help
-    std::string_view message; ///< what happened, for a person
+    std::string_view name; ///< snake case; as stable as the number
+    int httpStatus; ///< status of the response to the caller
+    int retryAfterSeconds; ///< value of Retry-After; 0: no such header, as a retry does not help
+    std::string_view message; ///< for humans
 };
 
-/// @brief The whole catalogue, in order of number.
+/// @brief The whole catalogue, sorted by number.
 std::span<const result_info> resultTable();
 
-/// @brief Row of a code; an unknown number gives the row of MalformedMessage.
+/// @brief Looks up the row of a code; an unknown one yields the row of MalformedMessage.
 const result_info& describe(result_code code);
 
-/// @brief Code with that number, if there is one.
+/// @brief Looks up a code by number. @return nothing if the catalogue doesn't contain it
 std::optional<result_code> resultFromNumber(std::uint16_t number);
 
-/// Whether a request was run anywhere.
+/// Whether any target has started to run a request.
 enum class ran_state {
-    No, ///< proved: no target began it
-    Yes, ///< a target began it
-    Unknown, ///< can't be known
+    No, ///< proven: no target has started it
+    Yes, ///< a target has started it
+    Unknown, ///< can't be determined
 };
 
-/// @brief Name of a ran_state: "no", "yes", "unknown".
+/// @return "no", "yes" or "unknown"
 std::string_view nameOf(ran_state ran);
 
-/// A result with its explanation.
+/// A result code with details.
 struct failure {
     result_code code = result_code::Ok;
-    std::string reason; ///< detail for a person; may be empty
+    std::string reason; ///< details for humans; may be empty
 };
 
 } // namespace buckthornrail
--- a/include/buckthornrail/core/revision_delta.hpp
+++ b/include/buckthornrail/core/revision_delta.hpp
@@ -1,17 +1,17 @@
 /// @file
-/// @brief What a receiver of a table lacks, where each record bears the table's revision at its last change.
+/// @brief Deltas of a table whose records contain the table's revision at their last change.
 #pragma once
 
 #include <cstdint>
 
 namespace buckthornrail {
 
-/// @brief Collects the records that changed after a revision, or all of them where that can't be told.
-/// @tparam Delta has from, to, full and records
-/// @param records map of records with a member `revision`
-/// @param since revision that the receiver holds; 0: none
-/// @param revision the table's own
-/// @param pruned deltas from before this revision are not complete
+/// @brief Collects the records that changed after a revision, or all of them if the changes since can't be determined.
+/// @tparam Delta has the members from, to, full and records
+/// @param records map whose values have a member `revision`
+/// @param since the receiver's revision; 0: none
+/// @param revision the table's current revision
+/// @param pruned deltas from an earlier revision would be incomplete, as records have been pruned since
 template <typename Delta, typename Records>
 Delta changesSince(const Records& records, std::uint64_t since, std::uint64_t revision, std::uint64_t pruned)
 {
--- a/include/buckthornrail/core/stall_watch.hpp
+++ b/include/buckthornrail/core/stall_watch.hpp
@@ -1,15 +1,15 @@
 /// @file
-/// @brief Finds out that a process has stood still: its machine was suspended, or it was stopped.
+/// @brief Detects that the process did not run for a while: its machine was suspended, or it was stopped.
 #pragma once
 
 #include "buckthornrail/core/clock.hpp"
 
 namespace buckthornrail {
 
-/// @brief Looked at several times a second, and before anything that rests on what others told a while ago.
+/// @brief Call check() several times a second, and before acting on data that was received earlier.
 class stall_watch {
 public:
-    /// @return for how long nothing was looked at, when that is too long for a process at work; 0 otherwise
+    /// @return time since the previous call if it is too long for a running process, else 0
     milliseconds check(steady_time now)
     {
         const bool isFirst = m_checkedAt == steady_time {};
@@ -19,7 +19,7 @@
     }
 
 private:
-    /// Others take a silence of about as long for the end of a session.
+    /// Peers end a session after a silence of about this length.
     static constexpr milliseconds stallThreshold { 1000 };
 
     steady_time m_checkedAt {};
--- a/src/buckthornrail/core/request_fingerprint.cpp
+++ b/src/buckthornrail/core/request_fingerprint.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Fingerprints as text.
+/// @brief Formats and parses fingerprints.
 #include "buckthornrail/core/request_fingerprint.hpp"
 
 #include <charconv>
