--- a/include/buckthornrail/configuration/configuration_store.hpp
+++ b/include/buckthornrail/configuration/configuration_store.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The replicated configuration: versions, change ids, deltas.
+/// @brief The replicated configuration: its versions, and idempotent changes and deltas between them.
 #pragma once
 
 #include "buckthornrail/configuration/document_tree.hpp"
@@ -9,24 +9,24 @@
 
 namespace buckthornrail::configuration {
 
-/// An operator's change.
+/// An operator's change of the configuration.
 struct change_command {
-    std::string changeId; ///< drawn by the operator's client; a resend carries the same one
-    configuration_version base = 0; ///< version that the change was made from
+    std::string changeId; ///< drawn by the operator's client; a resend has the same id
+    configuration_version base = 0; ///< version that the change is based on
     std::string author;
-    std::uint64_t wallSeconds = 0; ///< time of day, for the history
-    std::string patch; ///< JSON Patch (RFC 6902) from the base to the new document
+    std::uint64_t wallSeconds = 0; ///< wall clock, seconds since the epoch; for the history
+    std::string patch; ///< JSON Patch (RFC 6902) from the base document to the new one
 };
 
-/// What became of a change; a resend gets the same answer.
+/// Result of a change. A resend of the change gets the same result.
 struct change_result {
     std::string changeId;
     result_code code = result_code::Ok;
     std::string reason;
-    configuration_version version = 0; ///< Ok: the new version; else the current one
+    configuration_version version = 0; ///< the new version if Ok, else the current one
 };
 
-/// A change in the history.
+/// An accepted change in the history.
 struct change_record {
     configuration_version version = 0;
     std::string changeId;
@@ -35,14 +35,14 @@
     std::string patch;
 };
 
-/// What a receiver is sent.
+/// Update of a receiver: a whole document or a delta.
 struct configuration_update {
-    configuration_version from = 0; ///< 0: `text` is the whole document, else a patch from that version
+    configuration_version from = 0; ///< 0: `text` is the whole document; else it is a JSON Patch from this version
     configuration_version to = 0;
     std::string text;
 };
 
-/// Everything that a snapshot keeps.
+/// Contents of a snapshot.
 struct store_state {
     configuration_version version = 0;
     std::string text;
@@ -50,19 +50,20 @@
     std::vector<change_result> results;
 };
 
-/// @brief The patch that turns one document text into another, both valid JSON.
+/// @brief Computes the JSON Patch (RFC 6902) from one document text to another. Both must be valid JSON.
 std::string makePatch(const std::string& from, const std::string& to);
 
-/// @brief Deterministic: every controller applies the same changes in the same order.
+/// @brief Versioned configuration document. Deterministic, as every controller applies the same changes in the same
+/// order.
 /// @ingroup configuration
 class configuration_store {
 public:
-    /// @brief Applies a change, or gives the first answer again.
+    /// @brief Applies a change. @return its result; for a resent change, the result of the first time
     change_result apply(const change_command& change);
 
-    /// @brief The answer that a change id got, if it is still kept.
+    /// @brief Result of an earlier change, if it is still kept.
     [[nodiscard]] std::optional<change_result> resultOf(const std::string& changeId) const;
-    /// @brief What a receiver at `held` lacks; nothing when it is current.
+    /// @brief Update for a receiver that holds a version; nothing if that is the current one.
     [[nodiscard]] std::optional<configuration_update> updateFor(configuration_version held) const;
 
     [[nodiscard]] configuration_version version() const { return m_state.version; }
@@ -70,21 +71,24 @@
     [[nodiscard]] const document& current() const { return m_tree.current(); }
     [[nodiscard]] const std::vector<change_record>& history() const { return m_state.history; }
     [[nodiscard]] store_state state() const;
-    /// @return InvalidDocument when the state's text can't be read.
+    /// @brief Replaces the whole state.
+    /// @return InvalidDocument if the text of the state can't be parsed; nothing is changed then
     tl::expected<void, failure> restore(store_state state);
 
 private:
     change_result recordResult(change_result result);
 
-    store_state m_state; ///< its text is kept in m_tree
+    store_state m_state; ///< except its text, which m_tree holds
     document_tree m_tree;
-    mutable std::string m_text; ///< of the tree, made when asked for; empty: not made
+    mutable std::string m_text; ///< cached text of m_tree; empty: not cached
 };
 
-/// @brief A receiver's copy. It takes only higher versions. After an error it needs a whole document.
+/// @brief A receiver's copy of the configuration. Ignores updates to older versions. After an error it needs a whole
+/// document.
 class configuration_view {
 public:
-    /// @return true when a higher version is now held; false when it was old; an error when a delta doesn't fit.
+    /// @return true if the version has increased, false if the update is outdated; VersionConflict if the delta starts
+    /// from another version, InvalidDocument if it can't be applied
     tl::expected<bool, failure> apply(const configuration_update& update);
     [[nodiscard]] configuration_version version() const { return m_version; }
     [[nodiscard]] const document& current() const { return m_tree.current(); }
--- a/include/buckthornrail/configuration/document_tree.hpp
+++ b/include/buckthornrail/configuration/document_tree.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A document that is changed by patches: its JSON tree and its typed form, kept in step.
+/// @brief Document that is changed by JSON Patches, held both as a JSON tree and in typed form.
 #pragma once
 
 #include "buckthornrail/configuration/document.hpp"
@@ -18,14 +18,14 @@
     document_tree& operator=(document_tree&&) noexcept;
     ~document_tree();
 
-    /// @brief Replaces everything. @return InvalidDocument, and nothing changed
+    /// @brief Replaces the whole document. @return InvalidDocument; nothing is changed then
     tl::expected<void, failure> assign(const std::string& text);
 
-    /// @brief Applies a patch and validates the whole document. @return InvalidDocument, and nothing changed
+    /// @brief Applies a patch and validates the whole document. @return InvalidDocument; nothing is changed then
     tl::expected<void, failure> patchAndValidate(const std::string& patch);
 
-    /// @brief Applies a patch that the controllers have validated; only what it touches is read again.
-    /// @return InvalidDocument when it doesn't fit; the tree is then not to be used any more
+    /// @brief Applies a patch that the controllers have validated. Only the entries that it changes are parsed again.
+    /// @return InvalidDocument if it can't be applied; the tree must not be used any more then
     tl::expected<void, failure> patchPrevalidated(const std::string& patch);
 
     [[nodiscard]] std::string text() const;
--- a/src/buckthornrail/configuration/configuration_store.cpp
+++ b/src/buckthornrail/configuration/configuration_store.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Versions of the configuration.
+/// @brief Applies changes to the configuration and builds deltas between its versions.
 #include "buckthornrail/configuration/configuration_store.hpp"
 
 #include <algorithm>
@@ -10,8 +10,8 @@
 
 using nlohmann::json;
 
-constexpr std::size_t maxHistory = 256; ///< versions that a delta can start from
-constexpr std::size_t maxResults = 4096; ///< change ids whose answer is kept
+constexpr std::size_t maxHistory = 256; ///< accepted changes that are kept for deltas
+constexpr std::size_t maxResults = 4096; ///< results that are kept for resent changes
 
 } // namespace
 
@@ -63,7 +63,7 @@
         return configuration_update { 0, m_state.version, text() };
     std::string steps;
     for (const auto& record : m_state.history) {
-        const std::string inner = record.patch.substr(1, record.patch.size() - 2); // without the list's brackets
+        const std::string inner = record.patch.substr(1, record.patch.size() - 2); // without the brackets of the array
         if (record.version > held && !inner.empty())
             steps += (steps.empty() ? "" : ",") + inner;
     }
@@ -108,7 +108,7 @@
         return false;
     if (update.from != 0 && update.from != m_version)
         return tl::make_unexpected(failure { result_code::VersionConflict,
-            "a delta from version " + std::to_string(update.from) + " doesn't fit version "
+            "a delta from version " + std::to_string(update.from) + " can't be applied to version "
                 + std::to_string(m_version) });
     auto applied = update.from == 0 ? m_tree.assign(update.text) : m_tree.patchPrevalidated(update.text);
     if (!applied)
--- a/src/buckthornrail/configuration/configuration_test.cpp
+++ b/src/buckthornrail/configuration/configuration_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The document's checks, racing and resent changes, deltas and snapshots.
+/// @brief Validation of documents, conflicting and resent changes, deltas and snapshots.
 #include "buckthornrail/configuration/configuration_store.hpp"
 
 #include <catch2/catch.hpp>
@@ -30,7 +30,7 @@
     return parsed ? std::string() : parsed.error().reason;
 }
 
-/// The reason after one field was replaced.
+/// The reason why a document is rejected after one field is replaced.
 std::string reasonWith(const std::string& pointer, const json& value)
 {
     json changed = validDocument();
@@ -54,7 +54,7 @@
 
 } // namespace
 
-TEST_CASE("document: read, written and read again", "[configuration]")
+TEST_CASE("document: parsing the formatted document yields an equal one", "[configuration]")
 {
     const auto parsed = parseDocument(validDocument().dump());
     REQUIRE(parsed);
@@ -63,14 +63,14 @@
     CHECK(parseDocument(formatDocument(*parsed)) == *parsed);
 }
 
-TEST_CASE("document: each fault is named with the path of its field", "[configuration]")
+TEST_CASE("document: each error names the path of the invalid field", "[configuration]")
 {
-    CHECK(reasonWith("/pipelines/p/model", "x") == "/pipelines/p/model: no model is called 'x'");
+    CHECK(reasonWith("/pipelines/p/model", "x") == "/pipelines/p/model: model 'x' is not defined");
     CHECK(reasonWith("/pipelines/p/versions/0/share", 41) == "/pipelines/p/versions: shares add up to 101, not 100");
-    CHECK(
-        reasonWith("/pipelines/p/versions", json::array()) == "/pipelines/p/versions: at least one version is needed");
-    CHECK(reasonWith("/pipelines/p/versions/1/version", "1") == "/pipelines/p/versions/1/version: stands twice");
-    CHECK(reasonWith("/pipelines/p/workspaces/0", "z") == "/pipelines/p/workspaces/0: no workspace is called 'z'");
+    CHECK(reasonWith("/pipelines/p/versions", json::array())
+        == "/pipelines/p/versions: must contain at least one version");
+    CHECK(reasonWith("/pipelines/p/versions/1/version", "1") == "/pipelines/p/versions/1/version: is listed twice");
+    CHECK(reasonWith("/pipelines/p/workspaces/0", "z") == "/pipelines/p/workspaces/0: workspace 'z' is not defined");
     CHECK(reasonWith("/pipelines/p/priority", "top") == "/pipelines/p/priority: must be one of low, normal, high");
     CHECK(reasonWith("/pipelines/p/colour", 1) == "/pipelines/p/colour: is not a known field");
     CHECK(reasonWith("/models/m/layers", 0) == "/models/m/layers: must be from 1 to 1000");
@@ -78,18 +78,18 @@
     CHECK(reasonWith("/models/m/layers", 18446744073709551615ULL) == "/models/m/layers: must be from 1 to 1000");
     CHECK(reasonWith("/workspaces/a/weight", "2") == "/workspaces/a/weight: must be a whole number");
     CHECK(reasonWith("/workspaces/a", 3) == "/workspaces/a: must be an object");
-    CHECK(reasonWith("/workspaces/a b", json::object()).starts_with("/workspaces/a b: a name has"));
+    CHECK(reasonWith("/workspaces/a b", json::object()).starts_with("/workspaces/a b: a name must consist of"));
     CHECK(reasonWith("/services/s/non_idempotent/0/path_prefix", "b")
         == "/services/s/non_idempotent/0/path_prefix: must begin with '/'");
     CHECK(reasonWith("/extra", 1) == "/extra: is not a known field");
     CHECK(reasonOf(json::array()) == "/: must be an object");
     CHECK(parseDocument("{").error().code == result_code::InvalidDocument);
-    CHECK(
-        parseDocument(R"({"models":{"m":{},"m":{}}})").error().reason == "/: the field 'm' stands twice in one object");
+    CHECK(parseDocument(R"({"models":{"m":{},"m":{}}})").error().reason == "/: duplicate field 'm' in one object");
     CHECK(parseDocument(std::string(1000, '[')).error().reason == "/: is nested too deeply");
 }
 
-TEST_CASE("store: one of two racing changes wins, and a resent one gets its first answer", "[configuration]")
+TEST_CASE(
+    "store: one of two conflicting changes is accepted, and a resent one gets its first result", "[configuration]")
 {
     configuration_store store;
     const auto first = changeTo(store, withWorkspaces(1), 0, "first");
@@ -104,7 +104,7 @@
     CHECK(store.history().size() == 1);
 }
 
-TEST_CASE("store: a change that doesn't fit or isn't valid leaves everything as it was", "[configuration]")
+TEST_CASE("store: a change that can't be applied or is invalid changes nothing", "[configuration]")
 {
     configuration_store store;
     CHECK(store.apply({ "a", 0, "", 0, "[{\"op\":\"remove\",\"path\":\"/nothing\"}]" }).code
@@ -114,7 +114,8 @@
     CHECK(store.version() == 0);
 }
 
-TEST_CASE("view: any receiver ends at the store's document, and never goes back", "[configuration][property]")
+TEST_CASE("view: any receiver converges to the store's document, and its version never decreases",
+    "[configuration][property]")
 {
     rc::prop("receivers", [] {
         configuration_store store;
@@ -143,7 +144,7 @@
     });
 }
 
-TEST_CASE("store: a receiver far behind gets the whole document, a near one a delta", "[configuration]")
+TEST_CASE("store: a receiver that is far behind gets the whole document, another one a delta", "[configuration]")
 {
     configuration_store store;
     for (int at = 0; at < 400; ++at)
--- a/src/buckthornrail/configuration/document.cpp
+++ b/src/buckthornrail/configuration/document.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Reading, checking and writing the configuration document.
+/// @brief Parses, validates and formats the configuration document.
 #include "buckthornrail/configuration/document.hpp"
 
 #include "buckthornrail/configuration/document_tree.hpp"
@@ -21,7 +21,7 @@
 constexpr std::size_t maxNameLength = 128;
 constexpr int maxDepth = 16;
 
-/// Thrown within this file and turned into an error at its edge.
+/// Thrown within this file; the public functions return it as a failure.
 struct invalid_field {
     std::string path;
     std::string reason;
@@ -46,7 +46,7 @@
     return escaped;
 }
 
-/// One JSON object whose fields are taken one by one; what is left over is an unknown field.
+/// Reads the fields of one JSON object. Fields that were not read are unknown ones.
 class object_reader {
 public:
     object_reader(const json& value, std::string path)
@@ -78,7 +78,7 @@
         if (field == nullptr)
             reject(pathOf(name), "is missing");
         if (!field->is_string() || field->get_ref<const std::string&>().empty())
-            reject(pathOf(name), "must be a text that isn't empty");
+            reject(pathOf(name), "must be a non-empty string");
         return field->get<std::string>();
     }
 
@@ -94,7 +94,7 @@
         return *value;
     }
 
-    /// The field, or an empty value of its kind when it is missing.
+    /// @return the array, or an empty one if the field is missing
     const json& list(const std::string& name)
     {
         static const json empty = json::array();
@@ -102,10 +102,11 @@
         if (field == nullptr)
             return empty;
         if (!field->is_array())
-            reject(pathOf(name), "must be a list");
+            reject(pathOf(name), "must be an array");
         return *field;
     }
 
+    /// @return the object, or an empty one if the field is missing
     const json& object(const std::string& name)
     {
         static const json empty = json::object();
@@ -128,6 +129,7 @@
     [[nodiscard]] std::string pathOf(const std::string& name) const { return m_path + "/" + escapePointer(name); }
 
 private:
+    /// @return the field, or nullptr if it is missing
     const json* consume(const std::string& name)
     {
         m_consumed.insert(name);
@@ -146,7 +148,7 @@
         return std::isalnum(symbol) != 0 || symbol == '-' || symbol == '_' || symbol == '.';
     };
     if (name.empty() || name.size() > maxNameLength || !std::all_of(name.begin(), name.end(), isAllowed))
-        reject(path, "a name has 1 to 128 letters, digits, '-', '_' or '.'");
+        reject(path, "a name must consist of 1 to 128 letters, digits, '-', '_' or '.'");
 }
 
 std::vector<share> readShares(const json& list, const std::string& path, const std::string& nameField)
@@ -161,7 +163,7 @@
         one.percent = reader.number("share", 0, percentTotal, percentTotal);
         reader.rejectUnknownFields();
         if (!names.insert(one.name).second)
-            reject(reader.pathOf(nameField), "stands twice");
+            reject(reader.pathOf(nameField), "is listed twice");
         sum += one.percent;
         shares.push_back(std::move(one));
     }
@@ -179,9 +181,9 @@
             reject(place, "must be the name of a workspace");
         const auto& name = list[at].get_ref<const std::string&>();
         if (!parsed.workspaces.contains(name))
-            reject(place, "no workspace is called '" + name + "'");
+            reject(place, "workspace '" + name + "' is not defined");
         if (std::find(names.begin(), names.end(), name) != names.end())
-            reject(place, "stands twice");
+            reject(place, "is listed twice");
         names.push_back(name);
     }
     return names;
@@ -213,10 +215,10 @@
     pipeline one;
     one.model = reader.text("model");
     if (!parsed.models.contains(one.model))
-        reject(reader.pathOf("model"), "no model is called '" + one.model + "'");
+        reject(reader.pathOf("model"), "model '" + one.model + "' is not defined");
     one.versions = readShares(reader.list("versions"), reader.pathOf("versions"), "version");
     if (one.versions.empty())
-        reject(reader.pathOf("versions"), "at least one version is needed");
+        reject(reader.pathOf("versions"), "must contain at least one version");
     one.pools = readShares(reader.list("pools"), reader.pathOf("pools"), "pool");
     one.workspaces = readWorkspaceNames(reader.list("workspaces"), reader.pathOf("workspaces"), parsed);
     one.priority = reader.priority("priority", one.priority);
@@ -244,7 +246,7 @@
     return one;
 }
 
-/// Calls read(name, value, path) for each member of an object of named things.
+/// Calls read(name, value, path) for each entry of a section, after checking its name.
 template <typename Reader> void readNamed(object_reader& reader, const std::string& field, Reader read)
 {
     for (const auto& item : reader.object(field).items()) {
@@ -273,7 +275,7 @@
     return parsed;
 }
 
-/// Parses JSON and refuses an object that names a field twice, which the parser alone would let pass.
+/// Parses JSON and rejects duplicate fields in an object, which the parser accepts.
 json parseStrictly(std::string_view text)
 {
     std::vector<std::set<std::string>> open;
@@ -291,18 +293,18 @@
     };
     json root = json::parse(text, watch);
     if (!repeated.empty())
-        reject("", "the field '" + repeated + "' stands twice in one object");
+        reject("", "duplicate field '" + repeated + "' in one object");
     return root;
 }
 
-/// One named entry of the document that a patch touches.
+/// Named entry of the document that a patch changes.
 struct touched_entry {
     std::string section;
     std::string name;
     auto operator<=>(const touched_entry&) const = default;
 };
 
-/// @return the entries, or nothing when a whole section or more is touched.
+/// @return the entries that a patch changes, or nothing if it replaces a whole section or the document
 std::optional<std::set<touched_entry>> touchedEntries(const json& patch)
 {
     std::set<touched_entry> entries;
@@ -319,7 +321,7 @@
     return entries;
 }
 
-/// Reads one entry again, or erases it.
+/// Parses one entry again, or erases it if it has been removed.
 template <typename Entries, typename Reader>
 void refresh(Entries& entries, const json& root, const touched_entry& touched, Reader read)
 {
@@ -347,7 +349,7 @@
         reject("/" + touched.section, "is not a known field");
 }
 
-/// Runs a function and turns what it throws into an error.
+/// Calls a function and returns what it throws as a failure.
 template <typename Function> auto catchFailure(Function function) -> tl::expected<decltype(function()), failure>
 {
     try {
@@ -458,7 +460,7 @@
             m_document = readDocument(m_tree->root);
             return;
         }
-        // Pipelines and services name models and workspaces, so these are read first.
+        // Pipelines and services refer to models and workspaces, so these are parsed first.
         for (const char* section : { "workspaces", "models", "pipelines", "services" }) {
             for (const auto& entry : *touched) {
                 if (entry.section == section)
