--- a/include/buckthornrail/telemetry/log.hpp
+++ b/include/buckthornrail/telemetry/log.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Log lines with numbered events. Catalogue: docs/EVENTS.md.
+/// @brief Event log of the process. Catalogue of events: docs/EVENTS.md.
 #pragma once
 
 #include "buckthornrail/core/event_code.hpp"
@@ -13,20 +13,22 @@
 
 enum class severity { Info, Warning, Error };
 
-/// Bounds of the log's volume.
+/// Limits of the log's volume. Lines beyond them are counted and dropped.
 struct log_limits {
-    std::size_t linesPerSecond = 400; ///< more are counted and left out
-    std::size_t pendingBytes = 256U << 10U; ///< that a reader who is too slow may leave; the same
+    std::size_t linesPerSecond = 400; ///< of severity Info
+    std::size_t pendingBytes = 256U << 10U; ///< lines that the reader of standard output has not accepted yet
 };
 
-/// @brief Starts logging to standard output. Lines are written by flushLog(), never blocking.
-/// @param level "info", "warning" or "error"
+/// @brief Starts buffering of log lines, which flushLog() writes to standard output. Until then, each line is
+/// written at once.
+/// @param level minimum severity: "info", "warning" or "error"
 void startLog(const std::string& level, const log_limits& limits = {});
 
-/// @brief Writes what has gathered, as far as the reader takes it. Call it often; callable from any thread.
+/// @brief Writes the buffered lines as far as standard output accepts them without blocking. Call it often; callable
+/// from any thread.
 void flushLog();
 
-/// @brief Writes "E<number> <name> field=value ...".
+/// @brief Logs "E<number> <name> field=value ...". Never blocks; callable from any thread.
 void logEvent(event_code event, std::initializer_list<log_field> fields, severity level = severity::Info);
 
 } // namespace buckthornrail::telemetry
--- a/include/buckthornrail/telemetry/metrics.hpp
+++ b/include/buckthornrail/telemetry/metrics.hpp
@@ -15,12 +15,13 @@
     metrics& operator=(const metrics&) = delete;
     ~metrics();
 
-    /// @brief Adds to a counter; callable from any thread. @param label value of its one label "kind"; may be empty
+    /// @brief Adds to a counter; callable from any thread. @param label value of its label "kind"; empty: no label
     void count(const std::string& name, const std::string& label = {}, double amount = 1);
+    /// @brief Sets a gauge; callable from any thread.
     void gauge(const std::string& name, double value);
-    /// @brief Adds a sample in milliseconds to a histogram.
+    /// @brief Adds a sample in milliseconds to a histogram; callable from any thread.
     void observeMs(const std::string& name, double milliseconds);
-    /// @brief All of them as text.
+    /// @brief Formats all metrics as Prometheus text.
     [[nodiscard]] std::string text() const;
 
 private:
--- a/src/buckthornrail/telemetry/log.cpp
+++ b/src/buckthornrail/telemetry/log.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// @brief Log lines: gathered in memory within limits, written to standard output without waiting for its reader.
+/// @brief Event log: buffers lines within limits and writes them to standard output without blocking.
 ///
-/// glog writes to standard error or files and blocks on a reader that doesn't read; here neither is wanted.
+/// glog is not used, as it writes to standard error or files and blocks if the reader stalls.
 #include "buckthornrail/telemetry/log.hpp"
 
 #include "buckthornrail/core/clock.hpp"
@@ -18,11 +18,11 @@
 namespace buckthornrail::telemetry {
 namespace {
 
-/// A pipe that polls as writable takes so many bytes without blocking (POSIX).
+/// A pipe that polls as writable accepts this many bytes without blocking (POSIX).
 constexpr std::size_t bytesPerWrite = 4096;
 constexpr std::array severityLetters { 'I', 'W', 'E' };
 
-/// What has not been written yet.
+/// Lines that have not been written yet. Thread-safe.
 class line_buffer {
 public:
     void start(severity minLevel, const log_limits& limits)
@@ -45,7 +45,7 @@
             reportDropped();
         }
         ++m_linesThisSecond;
-        // Warnings and errors are few; they go before the bound of lines, not before that of memory.
+        // Warnings and errors are rare: they are exempt from the limit of lines, but not from that of memory.
         const bool overRate = level == severity::Info && m_linesThisSecond > m_limits.linesPerSecond;
         if (overRate || m_pending.size() + text.size() > m_limits.pendingBytes) {
             ++m_dropped;
@@ -98,7 +98,7 @@
             const std::size_t size = std::min(bytesPerWrite, m_pending.size() - done);
             const ssize_t count = ::write(STDOUT_FILENO, m_pending.data() + done, size);
             if (count <= 0)
-                break; // nobody reads any more; the bound of memory limits what gathers
+                break; // the reader has gone; pendingBytes limits the buffer
             done += static_cast<std::size_t>(count);
         }
         m_pending.erase(0, done);
@@ -120,7 +120,7 @@
     return buffer;
 }
 
-/// Quotes a value that would not read as one word.
+/// Appends a value, in quotes if it would not parse as one word.
 void appendQuoted(std::string& out, const std::string& value)
 {
     if (!value.empty() && value.find_first_of(" \"\n\r") == std::string::npos) {
--- a/src/buckthornrail/telemetry/metrics.cpp
+++ b/src/buckthornrail/telemetry/metrics.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Metrics by prometheus-cpp.
+/// @brief Implements metrics with prometheus-cpp.
 #include "buckthornrail/telemetry/metrics.hpp"
 
 #include <map>
@@ -13,7 +13,8 @@
 namespace buckthornrail::telemetry {
 
 struct metrics::implementation {
-    /// The registry's own look-up takes a lock and builds maps; what was found once is kept.
+    /// Looks up a metric and creates it on first use. Cached, as the registry's own lookup takes a lock and builds
+    /// maps.
     template <typename Metric, typename Make>
     Metric& find(std::map<std::pair<std::string, std::string>, Metric*>& known, const std::string& name,
         const std::string& label, Make make)
