--- a/src/buckthornrail/configuration/configuration_store.cpp
+++ b/src/buckthornrail/configuration/configuration_store.cpp
@@ -57,17 +57,18 @@
 {
     if (held == m_state.version)
         return std::nullopt;
-    const bool reaches = held != 0 && held < m_state.version && !m_state.history.empty()
+    const bool isInHistory = held != 0 && held < m_state.version && !m_state.history.empty()
         && m_state.history.front().version <= held + 1;
-    if (!reaches)
+    if (!isInHistory)
         return configuration_update { 0, m_state.version, text() };
-    std::string steps;
+    std::string operations;
     for (const auto& record : m_state.history) {
-        const std::string inner = record.patch.substr(1, record.patch.size() - 2); // without the brackets of the array
-        if (record.version > held && !inner.empty())
-            steps += (steps.empty() ? "" : ",") + inner;
+        const std::string patchOperations
+            = record.patch.substr(1, record.patch.size() - 2); // without the brackets of the array
+        if (record.version > held && !patchOperations.empty())
+            operations += (operations.empty() ? "" : ",") + patchOperations;
     }
-    return configuration_update { held, m_state.version, "[" + steps + "]" };
+    return configuration_update { held, m_state.version, "[" + operations + "]" };
 }
 
 const std::string& configuration_store::text() const
--- a/src/buckthornrail/configuration/document.cpp
+++ b/src/buckthornrail/configuration/document.cpp
@@ -176,14 +176,14 @@
 {
     std::vector<std::string> names;
     for (std::size_t at = 0; at < list.size(); ++at) {
-        const std::string place = path + "/" + std::to_string(at);
+        const std::string itemPath = path + "/" + std::to_string(at);
         if (!list[at].is_string())
-            reject(place, "must be the name of a workspace");
+            reject(itemPath, "must be the name of a workspace");
         const auto& name = list[at].get_ref<const std::string&>();
         if (!parsed.workspaces.contains(name))
-            reject(place, "workspace '" + name + "' is not defined");
+            reject(itemPath, "workspace '" + name + "' is not defined");
         if (std::find(names.begin(), names.end(), name) != names.end())
-            reject(place, "is listed twice");
+            reject(itemPath, "is listed twice");
         names.push_back(name);
     }
     return names;
@@ -278,22 +278,22 @@
 /// Parses JSON and rejects duplicate fields in an object, which the parser accepts.
 json parseStrictly(std::string_view text)
 {
-    std::vector<std::set<std::string>> open;
-    std::string repeated;
-    const auto watch = [&](int depth, json::parse_event_t event, json& parsed) {
+    std::vector<std::set<std::string>> openObjects;
+    std::string duplicate;
+    const auto callback = [&](int depth, json::parse_event_t event, json& parsed) {
         if (depth > maxDepth)
             reject("", "is nested too deeply");
         if (event == json::parse_event_t::object_start)
-            open.emplace_back();
+            openObjects.emplace_back();
         if (event == json::parse_event_t::object_end)
-            open.pop_back();
-        if (event == json::parse_event_t::key && !open.back().insert(parsed.get<std::string>()).second)
-            repeated = parsed.get<std::string>();
+            openObjects.pop_back();
+        if (event == json::parse_event_t::key && !openObjects.back().insert(parsed.get<std::string>()).second)
+            duplicate = parsed.get<std::string>();
         return true;
     };
-    json root = json::parse(text, watch);
-    if (!repeated.empty())
-        reject("", "duplicate field '" + repeated + "' in one object");
+    json root = json::parse(text, callback);
+    if (!duplicate.empty())
+        reject("", "duplicate field '" + duplicate + "' in one object");
     return root;
 }
 
@@ -308,8 +308,8 @@
 std::optional<std::set<touched_entry>> touchedEntries(const json& patch)
 {
     std::set<touched_entry> entries;
-    for (const auto& step : patch) {
-        const auto pointer = json::json_pointer(step.at("path").get<std::string>());
+    for (const auto& operation : patch) {
+        const auto pointer = json::json_pointer(operation.at("path").get<std::string>());
         auto parts = pointer;
         std::vector<std::string> names;
         for (; !parts.empty(); parts.pop_back())
@@ -359,10 +359,10 @@
         } else {
             return function();
         }
-    } catch (const invalid_field& fault) {
-        return tl::make_unexpected(failure { result_code::InvalidDocument, fault.path + ": " + fault.reason });
-    } catch (const json::exception& fault) {
-        return tl::make_unexpected(failure { result_code::InvalidDocument, std::string("not JSON: ") + fault.what() });
+    } catch (const invalid_field& error) {
+        return tl::make_unexpected(failure { result_code::InvalidDocument, error.path + ": " + error.reason });
+    } catch (const json::exception& error) {
+        return tl::make_unexpected(failure { result_code::InvalidDocument, std::string("not JSON: ") + error.what() });
     }
 }
 
@@ -453,9 +453,9 @@
 tl::expected<void, failure> document_tree::patchPrevalidated(const std::string& patch)
 {
     return catchFailure([&] {
-        const json steps = json::parse(patch);
-        m_tree->root.patch_inplace(steps);
-        const auto touched = touchedEntries(steps);
+        const json operations = json::parse(patch);
+        m_tree->root.patch_inplace(operations);
+        const auto touched = touchedEntries(operations);
         if (!touched) {
             m_document = readDocument(m_tree->root);
             return;
--- a/src/buckthornrail/core/request_fingerprint.cpp
+++ b/src/buckthornrail/core/request_fingerprint.cpp
@@ -10,7 +10,7 @@
 constexpr int hexadecimal = 16;
 constexpr std::size_t digitsPerByte = 2;
 constexpr unsigned bitsPerDigit = 4;
-constexpr unsigned lowDigit = 0xF;
+constexpr unsigned digitMask = 0xF;
 constexpr std::string_view digitNames = "0123456789abcdef";
 
 } // namespace
@@ -21,7 +21,7 @@
     digits.reserve(request_fingerprint::size * digitsPerByte);
     for (const unsigned byte : one.bytes) {
         digits += digitNames[byte >> bitsPerDigit];
-        digits += digitNames[byte & lowDigit];
+        digits += digitNames[byte & digitMask];
     }
     return digits;
 }
@@ -30,15 +30,15 @@
 {
     if (digits.size() != request_fingerprint::size * digitsPerByte)
         return std::nullopt;
-    request_fingerprint read;
-    for (auto& byte : read.bytes) {
+    request_fingerprint parsed;
+    for (auto& byte : parsed.bytes) {
         const char* const begin = digits.data();
-        const auto [end, fault] = std::from_chars(begin, begin + digitsPerByte, byte, hexadecimal);
-        if (fault != std::errc() || end != begin + digitsPerByte)
+        const auto [end, error] = std::from_chars(begin, begin + digitsPerByte, byte, hexadecimal);
+        if (error != std::errc() || end != begin + digitsPerByte)
             return std::nullopt;
         digits.remove_prefix(digitsPerByte);
     }
-    return read;
+    return parsed;
 }
 
 } // namespace buckthornrail
--- a/src/buckthornrail/telemetry/log.cpp
+++ b/src/buckthornrail/telemetry/log.cpp
@@ -46,8 +46,8 @@
         }
         ++m_linesThisSecond;
         // Warnings and errors are rare: they are exempt from the limit of lines, but not from that of memory.
-        const bool overRate = level == severity::Info && m_linesThisSecond > m_limits.linesPerSecond;
-        if (overRate || m_pending.size() + text.size() > m_limits.pendingBytes) {
+        const bool isOverRate = level == severity::Info && m_linesThisSecond > m_limits.linesPerSecond;
+        if (isOverRate || m_pending.size() + text.size() > m_limits.pendingBytes) {
             ++m_dropped;
             return;
         }
@@ -69,10 +69,10 @@
     {
         const auto wall = std::chrono::system_clock::now().time_since_epoch();
         const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(wall).count();
-        std::array<char, 40> stamp {};
-        std::snprintf(stamp.data(), stamp.size(), "%c %lld.%03lld ", severityLetters[static_cast<std::size_t>(level)],
+        std::array<char, 40> prefix {};
+        std::snprintf(prefix.data(), prefix.size(), "%c %lld.%03lld ", severityLetters[static_cast<std::size_t>(level)],
             static_cast<long long>(ms / 1000), static_cast<long long>(ms % 1000));
-        m_pending += stamp.data();
+        m_pending += prefix.data();
         m_pending += text;
         m_pending += '\n';
     }
@@ -90,18 +90,18 @@
 
     void flushLocked()
     {
-        std::size_t done = 0;
-        while (done < m_pending.size()) {
+        std::size_t written = 0;
+        while (written < m_pending.size()) {
             pollfd output { STDOUT_FILENO, POLLOUT, 0 };
             if (::poll(&output, 1, 0) <= 0 || (output.revents & POLLOUT) == 0)
                 break;
-            const std::size_t size = std::min(bytesPerWrite, m_pending.size() - done);
-            const ssize_t count = ::write(STDOUT_FILENO, m_pending.data() + done, size);
+            const std::size_t size = std::min(bytesPerWrite, m_pending.size() - written);
+            const ssize_t count = ::write(STDOUT_FILENO, m_pending.data() + written, size);
             if (count <= 0)
                 break; // the reader has gone; pendingBytes limits the buffer
-            done += static_cast<std::size_t>(count);
+            written += static_cast<std::size_t>(count);
         }
-        m_pending.erase(0, done);
+        m_pending.erase(0, written);
     }
 
     std::mutex m_mutex;
