--- a/src/app/gateway/gateway.cpp
+++ b/src/app/gateway/gateway.cpp
@@ -31,9 +31,9 @@
 gateway::shared_retry_budget_options budgetOptions(const settings::settings& settings)
 {
     gateway::shared_retry_budget_options options;
-    options.ratio = settings.repeatRatio;
-    options.slack = settings.repeatSlack;
-    options.window = std::chrono::seconds(settings.repeatWindowSeconds);
+    options.ratio = settings.retryRatio;
+    options.slack = settings.retrySlack;
+    options.window = std::chrono::seconds(settings.retryWindowSeconds);
     options.slackFrom = steadyNow() + options.window;
     return options;
 }
@@ -211,7 +211,7 @@
 void gateway_role::checkForStall()
 {
     const auto now = steadyNow();
-    const auto gap = m_stallWatch.look(now);
+    const auto gap = m_stallWatch.check(now);
     if (gap == milliseconds(0))
         return;
     telemetry::logEvent(event_code::ProcessStoodStill,
--- a/src/buckthornrail/configuration/configuration_store.cpp
+++ b/src/buckthornrail/configuration/configuration_store.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Versions of the configuration.
+/// @brief Applies changes to the configuration and builds deltas between its versions.
 #include "buckthornrail/configuration/configuration_store.hpp"
 
 #include <algorithm>
@@ -10,8 +10,8 @@
 
 using nlohmann::json;
 
-constexpr std::size_t maxHistory = 256; ///< versions that a delta can start from
-constexpr std::size_t maxResults = 4096; ///< change ids whose answer is kept
+constexpr std::size_t maxHistory = 256; ///< accepted changes that are kept for deltas
+constexpr std::size_t maxResults = 4096; ///< results that are kept for resent changes
 
 } // namespace
 
@@ -29,19 +29,19 @@
         result.code = result_code::VersionConflict;
         result.reason = "the change is based on version " + std::to_string(change.base) + ", version "
             + std::to_string(m_state.version) + " is current";
-        return remember(std::move(result));
+        return recordResult(std::move(result));
     }
-    if (auto patched = m_tree.patchChecked(change.patch); !patched) {
+    if (auto patched = m_tree.patchAndValidate(change.patch); !patched) {
         result.code = patched.error().code;
         result.reason = patched.error().reason;
-        return remember(std::move(result));
+        return recordResult(std::move(result));
     }
     m_text.clear();
     result.version = ++m_state.version;
     m_state.history.push_back({ m_state.version, change.changeId, change.author, change.wallSeconds, change.patch });
     if (m_state.history.size() > maxHistory)
         m_state.history.erase(m_state.history.begin());
-    return remember(std::move(result));
+    return recordResult(std::move(result));
 }
 
 std::optional<change_result> configuration_store::resultOf(const std::string& changeId) const
@@ -57,17 +57,18 @@
 {
     if (held == m_state.version)
         return std::nullopt;
-    const bool reaches = held != 0 && held < m_state.version && !m_state.history.empty()
+    const bool isInHistory = held != 0 && held < m_state.version && !m_state.history.empty()
         && m_state.history.front().version <= held + 1;
-    if (!reaches)
+    if (!isInHistory)
         return configuration_update { 0, m_state.version, text() };
-    std::string steps;
+    std::string operations;
     for (const auto& record : m_state.history) {
-        const std::string inner = record.patch.substr(1, record.patch.size() - 2); // without the list's brackets
-        if (record.version > held && !inner.empty())
-            steps += (steps.empty() ? "" : ",") + inner;
+        const std::string patchOperations
+            = record.patch.substr(1, record.patch.size() - 2); // without the brackets of the array
+        if (record.version > held && !patchOperations.empty())
+            operations += (operations.empty() ? "" : ",") + patchOperations;
     }
-    return configuration_update { held, m_state.version, "[" + steps + "]" };
+    return configuration_update { held, m_state.version, "[" + operations + "]" };
 }
 
 const std::string& configuration_store::text() const
@@ -94,7 +95,7 @@
     return {};
 }
 
-change_result configuration_store::remember(change_result result)
+change_result configuration_store::recordResult(change_result result)
 {
     m_state.results.push_back(result);
     if (m_state.results.size() > maxResults)
@@ -108,9 +109,9 @@
         return false;
     if (update.from != 0 && update.from != m_version)
         return tl::make_unexpected(failure { result_code::VersionConflict,
-            "a delta from version " + std::to_string(update.from) + " doesn't fit version "
+            "a delta from version " + std::to_string(update.from) + " can't be applied to version "
                 + std::to_string(m_version) });
-    auto applied = update.from == 0 ? m_tree.assign(update.text) : m_tree.patchTrusted(update.text);
+    auto applied = update.from == 0 ? m_tree.assign(update.text) : m_tree.patchPrevalidated(update.text);
     if (!applied)
         return tl::make_unexpected(applied.error());
     m_version = update.to;
--- a/src/buckthornrail/configuration/document.cpp
+++ b/src/buckthornrail/configuration/document.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Reading, checking and writing the configuration document.
+/// @brief Parses, validates and formats the configuration document.
 #include "buckthornrail/configuration/document.hpp"
 
 #include "buckthornrail/configuration/document_tree.hpp"
@@ -17,11 +17,11 @@
 constexpr std::uint32_t maxWeight = 1000;
 constexpr std::uint32_t maxLayers = 1000;
 constexpr std::uint32_t maxInFlightLimit = 1'000'000;
-constexpr std::uint32_t fullShare = 100;
+constexpr std::uint32_t percentTotal = 100;
 constexpr std::size_t maxNameLength = 128;
 constexpr int maxDepth = 16;
 
-/// Thrown within this file and turned into an error at its edge.
+/// Thrown within this file; the public functions return it as a failure.
 struct invalid_field {
     std::string path;
     std::string reason;
@@ -46,7 +46,7 @@
     return escaped;
 }
 
-/// One JSON object whose fields are taken one by one; what is left over is an unknown field.
+/// Reads the fields of one JSON object. Fields that were not read are unknown ones.
 class object_reader {
 public:
     object_reader(const json& value, std::string path)
@@ -59,7 +59,7 @@
 
     std::uint32_t number(const std::string& name, std::uint32_t low, std::uint32_t high, std::uint32_t fallback)
     {
-        const json* field = take(name);
+        const json* field = consume(name);
         if (field == nullptr)
             return fallback;
         if (!field->is_number_integer())
@@ -74,17 +74,17 @@
 
     std::string text(const std::string& name)
     {
-        const json* field = take(name);
+        const json* field = consume(name);
         if (field == nullptr)
             reject(pathOf(name), "is missing");
         if (!field->is_string() || field->get_ref<const std::string&>().empty())
-            reject(pathOf(name), "must be a text that isn't empty");
+            reject(pathOf(name), "must be a non-empty string");
         return field->get<std::string>();
     }
 
     request_priority priority(const std::string& name, request_priority fallback)
     {
-        const json* field = take(name);
+        const json* field = consume(name);
         if (field == nullptr)
             return fallback;
         const auto value
@@ -94,22 +94,23 @@
         return *value;
     }
 
-    /// The field, or an empty value of its kind when it is missing.
+    /// @return the array, or an empty one if the field is missing
     const json& list(const std::string& name)
     {
         static const json empty = json::array();
-        const json* field = take(name);
+        const json* field = consume(name);
         if (field == nullptr)
             return empty;
         if (!field->is_array())
-            reject(pathOf(name), "must be a list");
+            reject(pathOf(name), "must be an array");
         return *field;
     }
 
+    /// @return the object, or an empty one if the field is missing
     const json& object(const std::string& name)
     {
         static const json empty = json::object();
-        const json* field = take(name);
+        const json* field = consume(name);
         if (field == nullptr)
             return empty;
         if (!field->is_object())
@@ -117,10 +118,10 @@
         return *field;
     }
 
-    void refuseUnknown() const
+    void rejectUnknownFields() const
     {
         for (const auto& item : m_value.items()) {
-            if (!m_taken.contains(item.key()))
+            if (!m_consumed.contains(item.key()))
                 reject(pathOf(item.key()), "is not a known field");
         }
     }
@@ -128,16 +129,17 @@
     [[nodiscard]] std::string pathOf(const std::string& name) const { return m_path + "/" + escapePointer(name); }
 
 private:
-    const json* take(const std::string& name)
+    /// @return the field, or nullptr if it is missing
+    const json* consume(const std::string& name)
     {
-        m_taken.insert(name);
+        m_consumed.insert(name);
         const auto found = m_value.find(name);
         return found == m_value.end() ? nullptr : &*found;
     }
 
     const json& m_value;
     std::string m_path;
-    std::set<std::string> m_taken;
+    std::set<std::string> m_consumed;
 };
 
 void checkName(const std::string& name, const std::string& path)
@@ -146,7 +148,7 @@
         return std::isalnum(symbol) != 0 || symbol == '-' || symbol == '_' || symbol == '.';
     };
     if (name.empty() || name.size() > maxNameLength || !std::all_of(name.begin(), name.end(), isAllowed))
-        reject(path, "a name has 1 to 128 letters, digits, '-', '_' or '.'");
+        reject(path, "a name must consist of 1 to 128 letters, digits, '-', '_' or '.'");
 }
 
 std::vector<share> readShares(const json& list, const std::string& path, const std::string& nameField)
@@ -158,30 +160,30 @@
         object_reader reader(list[at], path + "/" + std::to_string(at));
         share one;
         one.name = reader.text(nameField);
-        one.percent = reader.number("share", 0, fullShare, fullShare);
-        reader.refuseUnknown();
+        one.percent = reader.number("share", 0, percentTotal, percentTotal);
+        reader.rejectUnknownFields();
         if (!names.insert(one.name).second)
-            reject(reader.pathOf(nameField), "stands twice");
+            reject(reader.pathOf(nameField), "is listed twice");
         sum += one.percent;
         shares.push_back(std::move(one));
     }
-    if (!shares.empty() && sum != fullShare)
+    if (!shares.empty() && sum != percentTotal)
         reject(path, "shares add up to " + std::to_string(sum) + ", not 100");
     return shares;
 }
 
-std::vector<std::string> readWorkspaceNames(const json& list, const std::string& path, const document& all)
+std::vector<std::string> readWorkspaceNames(const json& list, const std::string& path, const document& parsed)
 {
     std::vector<std::string> names;
     for (std::size_t at = 0; at < list.size(); ++at) {
-        const std::string place = path + "/" + std::to_string(at);
+        const std::string itemPath = path + "/" + std::to_string(at);
         if (!list[at].is_string())
-            reject(place, "must be the name of a workspace");
+            reject(itemPath, "must be the name of a workspace");
         const auto& name = list[at].get_ref<const std::string&>();
-        if (!all.workspaces.contains(name))
-            reject(place, "no workspace is called '" + name + "'");
+        if (!parsed.workspaces.contains(name))
+            reject(itemPath, "workspace '" + name + "' is not defined");
         if (std::find(names.begin(), names.end(), name) != names.end())
-            reject(place, "stands twice");
+            reject(itemPath, "is listed twice");
         names.push_back(name);
     }
     return names;
@@ -194,7 +196,7 @@
     one.weight = reader.number("weight", 1, maxWeight, one.weight);
     one.maxPriority = reader.priority("max_priority", one.maxPriority);
     one.maxInFlight = reader.number("max_in_flight", 0, maxInFlightLimit, one.maxInFlight);
-    reader.refuseUnknown();
+    reader.rejectUnknownFields();
     return one;
 }
 
@@ -203,48 +205,48 @@
     object_reader reader(value, path);
     model one;
     one.layers = reader.number("layers", 1, maxLayers, one.layers);
-    reader.refuseUnknown();
+    reader.rejectUnknownFields();
     return one;
 }
 
-pipeline readPipeline(const json& value, const std::string& path, const document& all)
+pipeline readPipeline(const json& value, const std::string& path, const document& parsed)
 {
     object_reader reader(value, path);
     pipeline one;
     one.model = reader.text("model");
-    if (!all.models.contains(one.model))
-        reject(reader.pathOf("model"), "no model is called '" + one.model + "'");
+    if (!parsed.models.contains(one.model))
+        reject(reader.pathOf("model"), "model '" + one.model + "' is not defined");
     one.versions = readShares(reader.list("versions"), reader.pathOf("versions"), "version");
     if (one.versions.empty())
-        reject(reader.pathOf("versions"), "at least one version is needed");
+        reject(reader.pathOf("versions"), "must contain at least one version");
     one.pools = readShares(reader.list("pools"), reader.pathOf("pools"), "pool");
-    one.workspaces = readWorkspaceNames(reader.list("workspaces"), reader.pathOf("workspaces"), all);
+    one.workspaces = readWorkspaceNames(reader.list("workspaces"), reader.pathOf("workspaces"), parsed);
     one.priority = reader.priority("priority", one.priority);
-    reader.refuseUnknown();
+    reader.rejectUnknownFields();
     return one;
 }
 
-service readService(const json& value, const std::string& path, const document& all)
+service readService(const json& value, const std::string& path, const document& parsed)
 {
     object_reader reader(value, path);
     service one;
-    one.workspaces = readWorkspaceNames(reader.list("workspaces"), reader.pathOf("workspaces"), all);
-    const json& marks = reader.list("non_idempotent");
-    for (std::size_t at = 0; at < marks.size(); ++at) {
-        object_reader markReader(marks[at], reader.pathOf("non_idempotent") + "/" + std::to_string(at));
-        route_mark mark;
-        mark.method = markReader.text("method");
-        mark.pathPrefix = markReader.text("path_prefix");
-        if (mark.pathPrefix.front() != '/')
-            reject(markReader.pathOf("path_prefix"), "must begin with '/'");
-        markReader.refuseUnknown();
-        one.nonIdempotent.push_back(std::move(mark));
+    one.workspaces = readWorkspaceNames(reader.list("workspaces"), reader.pathOf("workspaces"), parsed);
+    const json& patterns = reader.list("non_idempotent");
+    for (std::size_t at = 0; at < patterns.size(); ++at) {
+        object_reader patternReader(patterns[at], reader.pathOf("non_idempotent") + "/" + std::to_string(at));
+        request_pattern pattern;
+        pattern.method = patternReader.text("method");
+        pattern.pathPrefix = patternReader.text("path_prefix");
+        if (pattern.pathPrefix.front() != '/')
+            reject(patternReader.pathOf("path_prefix"), "must begin with '/'");
+        patternReader.rejectUnknownFields();
+        one.nonIdempotent.push_back(std::move(pattern));
     }
-    reader.refuseUnknown();
+    reader.rejectUnknownFields();
     return one;
 }
 
-/// Calls read(name, value, path) for each member of an object of named things.
+/// Calls read(name, value, path) for each entry of a section, after checking its name.
 template <typename Reader> void readNamed(object_reader& reader, const std::string& field, Reader read)
 {
     for (const auto& item : reader.object(field).items()) {
@@ -256,58 +258,58 @@
 
 document readDocument(const json& root)
 {
-    document all;
+    document parsed;
     object_reader reader(root, "");
     readNamed(reader, "workspaces", [&](const auto& name, const auto& value, const auto& path) {
-        all.workspaces[name] = readWorkspace(value, path);
+        parsed.workspaces[name] = readWorkspace(value, path);
     });
     readNamed(reader, "models",
-        [&](const auto& name, const auto& value, const auto& path) { all.models[name] = readModel(value, path); });
+        [&](const auto& name, const auto& value, const auto& path) { parsed.models[name] = readModel(value, path); });
     readNamed(reader, "pipelines", [&](const auto& name, const auto& value, const auto& path) {
-        all.pipelines[name] = readPipeline(value, path, all);
+        parsed.pipelines[name] = readPipeline(value, path, parsed);
     });
     readNamed(reader, "services", [&](const auto& name, const auto& value, const auto& path) {
-        all.services[name] = readService(value, path, all);
+        parsed.services[name] = readService(value, path, parsed);
     });
-    reader.refuseUnknown();
-    return all;
+    reader.rejectUnknownFields();
+    return parsed;
 }
 
-/// Parses JSON and refuses an object that names a field twice, which the parser alone would let pass.
+/// Parses JSON and rejects duplicate fields in an object, which the parser accepts.
 json parseStrictly(std::string_view text)
 {
-    std::vector<std::set<std::string>> open;
-    std::string repeated;
-    const auto watch = [&](int depth, json::parse_event_t event, json& parsed) {
+    std::vector<std::set<std::string>> openObjects;
+    std::string duplicate;
+    const auto callback = [&](int depth, json::parse_event_t event, json& parsed) {
         if (depth > maxDepth)
             reject("", "is nested too deeply");
         if (event == json::parse_event_t::object_start)
-            open.emplace_back();
+            openObjects.emplace_back();
         if (event == json::parse_event_t::object_end)
-            open.pop_back();
-        if (event == json::parse_event_t::key && !open.back().insert(parsed.get<std::string>()).second)
-            repeated = parsed.get<std::string>();
+            openObjects.pop_back();
+        if (event == json::parse_event_t::key && !openObjects.back().insert(parsed.get<std::string>()).second)
+            duplicate = parsed.get<std::string>();
         return true;
     };
-    json root = json::parse(text, watch);
-    if (!repeated.empty())
-        reject("", "the field '" + repeated + "' stands twice in one object");
+    json root = json::parse(text, callback);
+    if (!duplicate.empty())
+        reject("", "duplicate field '" + duplicate + "' in one object");
     return root;
 }
 
-/// One named entry of the document that a patch touches.
+/// Named entry of the document that a patch changes.
 struct touched_entry {
     std::string section;
     std::string name;
     auto operator<=>(const touched_entry&) const = default;
 };
 
-/// @return the entries, or nothing when a whole section or more is touched.
-std::optional<std::set<touched_entry>> touchedBy(const json& patch)
+/// @return the entries that a patch changes, or nothing if it replaces a whole section or the document
+std::optional<std::set<touched_entry>> touchedEntries(const json& patch)
 {
     std::set<touched_entry> entries;
-    for (const auto& step : patch) {
-        const auto pointer = json::json_pointer(step.at("path").get<std::string>());
+    for (const auto& operation : patch) {
+        const auto pointer = json::json_pointer(operation.at("path").get<std::string>());
         auto parts = pointer;
         std::vector<std::string> names;
         for (; !parts.empty(); parts.pop_back())
@@ -319,7 +321,7 @@
     return entries;
 }
 
-/// Reads one entry again, or erases it.
+/// Parses one entry again, or erases it if it has been removed.
 template <typename Entries, typename Reader>
 void refresh(Entries& entries, const json& root, const touched_entry& touched, Reader read)
 {
@@ -331,24 +333,24 @@
         entries[touched.name] = read(*found, "/" + touched.section + "/" + escapePointer(touched.name));
 }
 
-void refreshEntry(document& all, const json& root, const touched_entry& touched)
+void refreshEntry(document& parsed, const json& root, const touched_entry& touched)
 {
     if (touched.section == "workspaces")
-        refresh(all.workspaces, root, touched, readWorkspace);
+        refresh(parsed.workspaces, root, touched, readWorkspace);
     else if (touched.section == "models")
-        refresh(all.models, root, touched, readModel);
+        refresh(parsed.models, root, touched, readModel);
     else if (touched.section == "pipelines")
-        refresh(all.pipelines, root, touched,
-            [&all](const json& value, const std::string& path) { return readPipeline(value, path, all); });
+        refresh(parsed.pipelines, root, touched,
+            [&parsed](const json& value, const std::string& path) { return readPipeline(value, path, parsed); });
     else if (touched.section == "services")
-        refresh(all.services, root, touched,
-            [&all](const json& value, const std::string& path) { return readService(value, path, all); });
+        refresh(parsed.services, root, touched,
+            [&parsed](const json& value, const std::string& path) { return readService(value, path, parsed); });
     else
         reject("/" + touched.section, "is not a known field");
 }
 
-/// Runs a function and turns what it throws into an error.
-template <typename Function> auto caught(Function function) -> tl::expected<decltype(function()), failure>
+/// Calls a function and returns what it throws as a failure.
+template <typename Function> auto catchFailure(Function function) -> tl::expected<decltype(function()), failure>
 {
     try {
         if constexpr (std::is_void_v<decltype(function())>) {
@@ -357,10 +359,10 @@
         } else {
             return function();
         }
-    } catch (const invalid_field& fault) {
-        return tl::make_unexpected(failure { result_code::InvalidDocument, fault.path + ": " + fault.reason });
-    } catch (const json::exception& fault) {
-        return tl::make_unexpected(failure { result_code::InvalidDocument, std::string("not JSON: ") + fault.what() });
+    } catch (const invalid_field& error) {
+        return tl::make_unexpected(failure { result_code::InvalidDocument, error.path + ": " + error.reason });
+    } catch (const json::exception& error) {
+        return tl::make_unexpected(failure { result_code::InvalidDocument, std::string("not JSON: ") + error.what() });
     }
 }
 
@@ -376,7 +378,7 @@
 
 tl::expected<document, failure> parseDocument(std::string_view text)
 {
-    return caught([text] { return readDocument(parseStrictly(text)); });
+    return catchFailure([text] { return readDocument(parseStrictly(text)); });
 }
 
 std::string formatDocument(const document& value)
@@ -395,10 +397,10 @@
             { "priority", nameIn(priorityNames, one.priority) } };
     }
     for (const auto& [name, one] : value.services) {
-        json marks = json::array();
-        for (const auto& mark : one.nonIdempotent)
-            marks.push_back({ { "method", mark.method }, { "path_prefix", mark.pathPrefix } });
-        root["services"][name] = { { "workspaces", one.workspaces }, { "non_idempotent", marks } };
+        json patterns = json::array();
+        for (const auto& pattern : one.nonIdempotent)
+            patterns.push_back({ { "method", pattern.method }, { "path_prefix", pattern.pathPrefix } });
+        root["services"][name] = { { "workspaces", one.workspaces }, { "non_idempotent", patterns } };
     }
     return root.dump();
 }
@@ -432,33 +434,33 @@
 
 tl::expected<void, failure> document_tree::assign(const std::string& text)
 {
-    return caught([&] {
+    return catchFailure([&] {
         json root = parseStrictly(text);
         m_document = readDocument(root);
         m_tree->root = std::move(root);
     });
 }
 
-tl::expected<void, failure> document_tree::patchChecked(const std::string& patch)
+tl::expected<void, failure> document_tree::patchAndValidate(const std::string& patch)
 {
-    return caught([&] {
+    return catchFailure([&] {
         json root = m_tree->root.patch(json::parse(patch));
         m_document = readDocument(root);
         m_tree->root = std::move(root);
     });
 }
 
-tl::expected<void, failure> document_tree::patchTrusted(const std::string& patch)
+tl::expected<void, failure> document_tree::patchPrevalidated(const std::string& patch)
 {
-    return caught([&] {
-        const json steps = json::parse(patch);
-        m_tree->root.patch_inplace(steps);
-        const auto touched = touchedBy(steps);
+    return catchFailure([&] {
+        const json operations = json::parse(patch);
+        m_tree->root.patch_inplace(operations);
+        const auto touched = touchedEntries(operations);
         if (!touched) {
             m_document = readDocument(m_tree->root);
             return;
         }
-        // Pipelines and services name models and workspaces, so these are read first.
+        // Pipelines and services refer to models and workspaces, so these are parsed first.
         for (const char* section : { "workspaces", "models", "pipelines", "services" }) {
             for (const auto& entry : *touched) {
                 if (entry.section == section)
--- a/src/buckthornrail/telemetry/log.cpp
+++ b/src/buckthornrail/telemetry/log.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// @brief Log lines: gathered in memory within bounds, written to standard output without waiting for its reader.
+/// @brief Event log: buffers lines within limits and writes them to standard output without blocking.
 ///
-/// glog writes to standard error or files and blocks on a reader that doesn't read; here neither is wanted.
+/// glog is not used, as it writes to standard error or files and blocks if the reader stalls.
 #include "buckthornrail/telemetry/log.hpp"
 
 #include "buckthornrail/core/clock.hpp"
@@ -18,36 +18,36 @@
 namespace buckthornrail::telemetry {
 namespace {
 
-/// A pipe that polls as writable takes so many bytes without blocking (POSIX).
+/// A pipe that polls as writable accepts this many bytes without blocking (POSIX).
 constexpr std::size_t bytesPerWrite = 4096;
 constexpr std::array severityLetters { 'I', 'W', 'E' };
 
-/// What has not been written yet.
+/// Lines that have not been written yet. Thread-safe.
 class line_buffer {
 public:
-    void start(severity least, const log_bounds& bounds)
+    void start(severity minLevel, const log_limits& limits)
     {
         const std::scoped_lock lock(m_mutex);
-        m_least = least;
-        m_bounds = bounds;
+        m_minLevel = minLevel;
+        m_limits = limits;
         m_started = true;
     }
 
     void add(severity level, const std::string& text)
     {
         const std::scoped_lock lock(m_mutex);
-        if (level < m_least)
+        if (level < m_minLevel)
             return;
         const auto now = boot_clock::now();
-        if (now >= m_secondEnds) {
-            m_secondEnds = now + std::chrono::seconds(1);
+        if (now >= m_secondEnd) {
+            m_secondEnd = now + std::chrono::seconds(1);
             m_linesThisSecond = 0;
-            tellDropped();
+            reportDropped();
         }
         ++m_linesThisSecond;
-        // Warnings and errors are few; they go before the bound of lines, not before that of memory.
-        const bool overRate = level == severity::Info && m_linesThisSecond > m_bounds.linesPerSecond;
-        if (overRate || m_pending.size() + text.size() > m_bounds.pendingBytes) {
+        // Warnings and errors are rare: they are exempt from the limit of lines, but not from that of memory.
+        const bool isOverRate = level == severity::Info && m_linesThisSecond > m_limits.linesPerSecond;
+        if (isOverRate || m_pending.size() + text.size() > m_limits.pendingBytes) {
             ++m_dropped;
             return;
         }
@@ -69,15 +69,15 @@
     {
         const auto wall = std::chrono::system_clock::now().time_since_epoch();
         const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(wall).count();
-        std::array<char, 40> stamp {};
-        std::snprintf(stamp.data(), stamp.size(), "%c %lld.%03lld ", severityLetters[static_cast<std::size_t>(level)],
+        std::array<char, 40> prefix {};
+        std::snprintf(prefix.data(), prefix.size(), "%c %lld.%03lld ", severityLetters[static_cast<std::size_t>(level)],
             static_cast<long long>(ms / 1000), static_cast<long long>(ms % 1000));
-        m_pending += stamp.data();
+        m_pending += prefix.data();
         m_pending += text;
         m_pending += '\n';
     }
 
-    void tellDropped()
+    void reportDropped()
     {
         if (m_dropped == 0)
             return;
@@ -90,28 +90,28 @@
 
     void flushLocked()
     {
-        std::size_t done = 0;
-        while (done < m_pending.size()) {
+        std::size_t written = 0;
+        while (written < m_pending.size()) {
             pollfd output { STDOUT_FILENO, POLLOUT, 0 };
             if (::poll(&output, 1, 0) <= 0 || (output.revents & POLLOUT) == 0)
                 break;
-            const std::size_t size = std::min(bytesPerWrite, m_pending.size() - done);
-            const ssize_t count = ::write(STDOUT_FILENO, m_pending.data() + done, size);
+            const std::size_t size = std::min(bytesPerWrite, m_pending.size() - written);
+            const ssize_t count = ::write(STDOUT_FILENO, m_pending.data() + written, size);
             if (count <= 0)
-                break; // nobody reads any more; the bound of memory limits what gathers
-            done += static_cast<std::size_t>(count);
+                break; // the reader has gone; pendingBytes limits the buffer
+            written += static_cast<std::size_t>(count);
         }
-        m_pending.erase(0, done);
+        m_pending.erase(0, written);
     }
 
     std::mutex m_mutex;
-    severity m_least = severity::Info;
-    log_bounds m_bounds;
+    severity m_minLevel = severity::Info;
+    log_limits m_limits;
     bool m_started = false;
     std::string m_pending;
     std::size_t m_dropped = 0;
     std::size_t m_linesThisSecond = 0;
-    boot_clock::time_point m_secondEnds {};
+    boot_clock::time_point m_secondEnd {};
 };
 
 line_buffer& lines()
@@ -120,7 +120,7 @@
     return buffer;
 }
 
-/// Quotes a value that would not read as one word.
+/// Appends a value, in quotes if it would not parse as one word.
 void appendQuoted(std::string& out, const std::string& value)
 {
     if (!value.empty() && value.find_first_of(" \"\n\r") == std::string::npos) {
@@ -138,9 +138,9 @@
 
 } // namespace
 
-void startLog(const std::string& level, const log_bounds& bounds)
+void startLog(const std::string& level, const log_limits& limits)
 {
-    lines().start(level == "error" ? severity::Error : level == "warning" ? severity::Warning : severity::Info, bounds);
+    lines().start(level == "error" ? severity::Error : level == "warning" ? severity::Warning : severity::Info, limits);
 }
 
 void flushLog() { lines().flush(); }
--- a/tools/print_tables.cpp
+++ b/tools/print_tables.cpp
@@ -16,7 +16,7 @@
     std::cout << "| number | name | HTTP | Retry-After, s | meaning |\n|---|---|---|---|---|\n";
     for (const auto& row : resultTable()) {
         std::cout << "| " << static_cast<int>(row.code) << " | " << row.name << " | " << row.httpStatus << " | "
-                  << (row.retryAfterSeconds == 0 ? "-" : std::to_string(row.retryAfterSeconds)) << " | " << row.sentence
+                  << (row.retryAfterSeconds == 0 ? "-" : std::to_string(row.retryAfterSeconds)) << " | " << row.message
                   << " |\n";
     }
 }
@@ -25,7 +25,7 @@
 {
     std::cout << "| number | name | meaning |\n|---|---|---|\n";
     for (const auto& row : eventTable())
-        std::cout << "| " << static_cast<int>(row.code) << " | " << row.name << " | " << row.meaning << " |\n";
+        std::cout << "| " << static_cast<int>(row.code) << " | " << row.name << " | " << row.description << " |\n";
 }
 
 std::string rolesOf(std::uint8_t roles)
@@ -55,21 +55,21 @@
 
 std::string valuesOf(const settings::setting_rule& rule)
 {
-    switch (rule.form) {
-    case settings::value_form::Address:
+    switch (rule.type) {
+    case settings::setting_type::Address:
         return "IP:port";
-    case settings::value_form::AddressList:
+    case settings::setting_type::AddressList:
         return "IP:port, ...";
-    case settings::value_form::Fraction:
-    case settings::value_form::Number:
+    case settings::setting_type::Fraction:
+    case settings::setting_type::Number:
         return std::to_string(rule.low) + " to " + std::to_string(rule.high);
-    case settings::value_form::Choice: {
+    case settings::setting_type::Choice: {
         std::string choices(rule.choices);
         for (auto at = choices.find('|'); at != std::string::npos; at = choices.find('|'))
             choices.replace(at, 1, ", ");
         return choices;
     }
-    case settings::value_form::Text:
+    case settings::setting_type::Text:
         break;
     }
     return "text";
@@ -81,7 +81,7 @@
     for (const auto& rule : settings::settingRules()) {
         std::cout << "| [" << rule.section << "] " << rule.key << " | " << rolesOf(rule.roles) << " | "
                   << rolesOf(rule.requiredBy) << " | " << valuesOf(rule) << " | " << defaultOf(rule) << " | "
-                  << rule.meaning << " |\n";
+                  << rule.description << " |\n";
     }
 }
 
