--- a/include/buckthornrail/settings/settings.hpp
+++ b/include/buckthornrail/settings/settings.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A process's settings, read from an INI file. Every key is checked. Catalogue: docs/SETTINGS.md.
+/// @brief Settings of a process, read from an INI file and validated. Catalogue: docs/SETTINGS.md.
 #pragma once
 
 #include "buckthornrail/core/enum_names.hpp"
@@ -24,13 +24,13 @@
     enum_name<process_role> { process_role::Registry, "registry" },
 };
 
-/// All settings of all roles; a role uses those that its rules name. Periods are in milliseconds.
+/// Settings of all roles; each key's rule names the roles that use it.
 struct settings {
-    std::string sourceFile; ///< that they were read from; not a key
+    std::string sourceFile; ///< file that they were read from; not a key
     std::string id;
     std::string failureDomain;
     std::string linkAddress;
-    std::string announcedAddress; ///< empty: linkAddress
+    std::string announcedAddress; ///< given to other processes; empty: linkAddress
     std::string httpAddress;
     std::uint32_t httpThreads = 64;
     std::string tokenFile;
@@ -48,14 +48,14 @@
     std::uint32_t claimRetentionSeconds = 3600;
 
     std::string gatewayAddress;
-    double retryRatio = 0.2; ///< repeats for each request, over all gateways
-    std::uint32_t retrySlack = 100; ///< repeats in a window besides
+    double retryRatio = 0.2; ///< retries per request, of all gateways together
+    std::uint32_t retrySlack = 100; ///< additional retries per window
     std::uint32_t retryWindowSeconds = 10;
-    std::uint32_t graceSeconds = 8; ///< from SIGTERM to the end of the process
+    std::uint32_t graceSeconds = 8; ///< from SIGTERM to the exit of the process
 
     std::string bootstrap = "false";
     std::uint32_t targetHeartbeatMs = 1200;
-    std::uint32_t linkPort = 0; ///< 0: the addresses' own
+    std::uint32_t linkPort = 0; ///< 0: the port in each address
     std::uint32_t linkKeepAliveMs = 2000;
     std::uint32_t linkOpenTimeoutMs = 2000;
 
@@ -79,7 +79,7 @@
     std::uint32_t snapshotEntries = 2000;
     std::uint32_t electionTimeoutMs = 700;
 
-    /// @brief Where others reach this process's links.
+    /// @brief Address at which other processes reach the links of this one.
     [[nodiscard]] const std::string& reachableAddress() const
     {
         return announcedAddress.empty() ? linkAddress : announcedAddress;
@@ -91,24 +91,24 @@
 
 enum class setting_type : std::uint8_t { Text, Address, AddressList, Number, Choice, Fraction };
 
-/// One key: where it stands, which roles know it, and what values it takes.
+/// Rule of one key: its section, the roles that use it and its valid values.
 struct setting_rule {
     std::string_view section;
     std::string_view key;
     std::uint8_t roles = 0; ///< sum of process_role values
-    std::uint8_t requiredBy = 0; ///< the same
+    std::uint8_t requiredBy = 0; ///< sum of process_role values, a subset of `roles`
     setting_type type = setting_type::Text;
     setting_member member;
-    std::uint32_t low = 0; ///< Number
-    std::uint32_t high = 0; ///< Number
-    std::string_view choices; ///< Choice: names, parted by '|'
+    std::uint32_t low = 0; ///< minimum of a Number or Fraction
+    std::uint32_t high = 0; ///< maximum of a Number or Fraction
+    std::string_view choices; ///< valid values of a Choice, separated by '|'
     std::string_view description;
 };
 
-/// @brief The table of all keys.
+/// @brief Rules of all keys.
 std::span<const setting_rule> settingRules();
 
-/// One fault in a settings file.
+/// Error in a settings file.
 struct settings_fault {
     std::string file;
     std::string section;
@@ -116,20 +116,21 @@
     std::string reason;
 };
 
-/// @brief "file: [section] key: reason".
+/// @brief Formats an error. @return "file: [section] key: reason", without the parts that are empty
 std::string toString(const settings_fault& fault);
 
-/// @brief Reads settings from a text. @param file its name, for faults
+/// @brief Parses and validates settings. @param file name of the file, for errors
+/// @return the settings, or all errors found
 tl::expected<settings, std::vector<settings_fault>> parseSettings(
     const std::string& text, const std::string& file, process_role role);
 
-/// @brief A settings file's bytes; nothing when it can't be opened.
+/// @brief Reads a whole file. @return nothing if it can't be opened
 std::optional<std::string> readFile(const std::string& file);
 
-/// @brief Reads a settings file.
+/// @brief Reads, parses and validates a settings file. @return the settings, or all errors found
 tl::expected<settings, std::vector<settings_fault>> loadSettings(const std::string& file, process_role role);
 
-/// @brief Checks "IP:port" with a port from 1 to 65535. @return the reason when it is wrong.
+/// @brief Checks that an address is "IP:port", an IPv4 address and a port from 1 to 65535. @return why it is invalid
 tl::expected<void, std::string> checkAddress(const std::string& address);
 
 } // namespace buckthornrail::settings
--- a/src/buckthornrail/settings/settings.cpp
+++ b/src/buckthornrail/settings/settings.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Table of settings and the INI reader behind it.
+/// @brief The table of settings and its INI reader.
 #include "buckthornrail/settings/settings.hpp"
 
 #include <algorithm>
@@ -32,98 +32,101 @@
 constexpr std::array rules {
     setting_rule { "instance", "id", allRoles, allRoles, type::Text, &settings::id, 0, 0, "", "Unique name." },
     setting_rule { "instance", "failure_domain", allRoles, allRoles, type::Text, &settings::failureDomain, 0, 0, "",
-        "Failure domain that the instance stands in." },
+        "Failure domain of the instance." },
     setting_rule { "instance", "log_level", allRoles, 0, type::Choice, &settings::logLevel, 0, 0, "info|warning|error",
-        "Least severe log lines that are written." },
+        "Minimum severity of the log lines that are written." },
     setting_rule { "link", "address", sidecarRole | controllerRole | registryRole,
         sidecarRole | controllerRole | registryRole, type::Address, &settings::linkAddress, 0, 0, "",
-        "Where other processes reach this one." },
+        "Listen address for links from other processes." },
     setting_rule { "link", "announce", sidecarRole | controllerRole | registryRole, 0, type::Address,
-        &settings::announcedAddress, 0, 0, "", "The address to give to others, when it isn't the one listened on." },
+        &settings::announcedAddress, 0, 0, "",
+        "Address of the links that is given to other processes, if it differs from the listen address." },
     setting_rule { "http", "address", allRoles, allRoles, type::Address, &settings::httpAddress, 0, 0, "",
-        "Callers (entry), operators (controller), health and metrics (all)." },
+        "Listen address for callers (entry), operators (controller), health and metrics (all)." },
     setting_rule { "http", "threads", entrySidecarController, 0, type::Number, &settings::httpThreads, 2, 4096, "",
-        "HTTP calls served at once." },
+        "HTTP requests served concurrently." },
     setting_rule { "http", "token_file", entrySidecarController, 0, type::Text, &settings::tokenFile, 0, 0, "",
-        "File with the operators' token; without one only loopback may operate." },
+        "File with the operators' token; without one, operators are accepted from loopback only." },
     setting_rule { "controllers", "addresses", allRoles, allRoles, type::AddressList, &settings::controllers, 0, 0, "",
-        "Link addresses of controllers, parted by commas; of all, but for gateways and registries, which find the "
-        "others." },
+        "Link addresses of all controllers, separated by commas; for gateways and registries, some of them suffice to "
+        "discover the others." },
     setting_rule { "controllers", "heartbeat_ms", entryAndSidecar | gatewayRole, 0, type::Number,
-        &settings::heartbeatMs, 50, 10000, "", "Period of heartbeats to a controller." },
+        &settings::heartbeatMs, 50, 10000, "", "Interval of heartbeats to a controller." },
     setting_rule { "controllers", "lease_ms", entrySidecarController, 0, type::Number, &settings::leaseMs, 500, 60000,
-        "", "Without a confirmed heartbeat for so long a daemon takes no new work and counts as lost." },
+        "",
+        "Without a confirmed heartbeat for this long, an entry or sidecar accepts no new work and counts as lost." },
     setting_rule { "entry", "strategy", entryRole, 0, type::Choice, &settings::strategy, 0, 0,
-        "random|round_robin|least_outstanding|finish_estimate", "How one of several targets is picked." },
+        "random|round_robin|least_outstanding|finish_estimate", "How one of several targets is selected." },
     setting_rule { "entry", "default_timeout_ms", entryRole, 0, type::Number, &settings::defaultTimeoutMs, 1, oneHourMs,
-        "", "For requests that name no timeout." },
+        "", "Timeout of requests that specify none." },
     setting_rule { "entry", "max_timeout_ms", entryRole, 0, type::Number, &settings::maxTimeoutMs, 1, 480000, "",
-        "Longest timeout that a request may name." },
+        "Maximum timeout that a request may specify." },
     setting_rule { "entry", "max_body_bytes", entryRole, 0, type::Number, &settings::maxBodyBytes, 1, 16U << 20U, "",
-        "Largest request body." },
+        "Maximum size of a request body." },
     setting_rule { "entry", "body_timeout_ms", entryRole, 0, type::Number, &settings::bodyTimeoutMs, 100, oneHourMs, "",
-        "Longest time for a request body to arrive." },
+        "Maximum time for a request body to arrive." },
     setting_rule { "entry", "progress_timeout_ms", entryRole, 0, type::Number, &settings::progressTimeoutMs, 100,
-        oneHourMs, "", "A started answer silent for so long is taken up by another target." },
+        oneHourMs, "", "A started response without progress for this long is continued by another target." },
     setting_rule { "entry", "claim_retention_s", entryRole, 0, type::Number, &settings::claimRetentionSeconds, 60, 3600,
-        "", "How long an Idempotency-Key stands." },
+        "", "How long the claim of an Idempotency-Key is kept." },
     setting_rule { "controllers", "link_port", gatewayAndRegistry, 0, type::Number, &settings::linkPort, 1, maxPort, "",
-        "Port of the controllers' links, where it isn't the one in the addresses." },
+        "Port of the controllers' links, if it differs from the one in the addresses." },
     setting_rule { "link", "keep_alive_ms", gatewayAndRegistry, 0, type::Number, &settings::linkKeepAliveMs, 50, 60000,
-        "", "Period of pings on links; one silent for three of them is closed." },
+        "", "Interval of pings on links; a link that is silent for three intervals is closed." },
     setting_rule { "link", "open_timeout_ms", gatewayAndRegistry, 0, type::Number, &settings::linkOpenTimeoutMs, 20,
-        60000, "", "A dialled link that isn't open by then is dialled anew." },
+        60000, "", "Timeout for opening a link, after which it is dialled again." },
     setting_rule { "gateway", "address", gatewayRole, gatewayRole, type::Address, &settings::gatewayAddress, 0, 0, "",
-        "Where callers connect." },
+        "Listen address for callers." },
+    // The keys repeat_* configure the retry budget.
     setting_rule { "gateway", "repeat_ratio", gatewayRole, 0, type::Fraction, &settings::retryRatio, 0, 100, "",
-        "Repeats for each request that targets of a service may get, from all gateways together." },
+        "Retry budget of each service: retries per request, of all gateways together." },
     setting_rule { "gateway", "repeat_slack", gatewayRole, 0, type::Number, &settings::retrySlack, 0, 1'000'000, "",
-        "Repeats in a window besides, from all gateways together." },
+        "Retry budget of each service: additional retries per window, of all gateways together." },
     setting_rule { "gateway", "repeat_window_s", gatewayRole, 0, type::Number, &settings::retryWindowSeconds, 1, 3600,
-        "", "The window." },
+        "", "Length of the window of the retry budget." },
     setting_rule { "gateway", "grace_s", gatewayRole, 0, type::Number, &settings::graceSeconds, 1, 3600, "",
-        "Time from SIGTERM to the end, for requests in flight." },
+        "Time from SIGTERM to the exit of the process, for requests in flight." },
     setting_rule { "registry", "bootstrap", registryRole, 0, type::Choice, &settings::bootstrap, 0, 0, "true|false",
-        "Whether the system starts for the first time: the first of the addresses then forms the log." },
+        "Whether the system starts for the first time: the first of the addresses then creates the log." },
     setting_rule { "registry", "target_heartbeat_ms", registryRole, 0, type::Number, &settings::targetHeartbeatMs, 50,
-        60000, "", "Period of the targets' heartbeats." },
+        60000, "", "Interval of the targets' heartbeats." },
     setting_rule { "target", "kind", sidecarRole, sidecarRole, type::Choice, &settings::targetKind, 0, 0,
-        "openai|kserve|layer_range|plain_service", "Dialect of the target." },
+        "openai|kserve|layer_range|plain_service", "Protocol of the target." },
     setting_rule { "target", "address", sidecarRole, sidecarRole, type::Address, &settings::targetAddress, 0, 0, "",
         "HTTP address of the target." },
     setting_rule { "target", "model", sidecarRole, 0, type::Text, &settings::model, 0, 0, "",
-        "Model that it serves; not for a plain service." },
+        "Model that the target serves; not for a plain service." },
     setting_rule {
         "target", "version", sidecarRole, 0, type::Text, &settings::version, 0, 0, "", "Version of the model." },
     setting_rule {
         "target", "service", sidecarRole, 0, type::Text, &settings::service, 0, 0, "", "Name of a plain service." },
     setting_rule { "target", "pool", sidecarRole, 0, type::Text, &settings::pool, 0, 0, "",
-        "Label that pipelines share work out by." },
+        "Label by which pipelines split their traffic." },
     setting_rule { "target", "accelerator", sidecarRole, 0, type::Text, &settings::accelerator, 0, 0, "",
-        "Kind of accelerator, for people." },
+        "Kind of accelerator, for humans." },
     setting_rule { "target", "first_layer", sidecarRole, 0, type::Number, &settings::firstLayer, 0, 999, "",
         "First layer of a layer_range target." },
     setting_rule { "target", "end_layer", sidecarRole, 0, type::Number, &settings::endLayer, 0, 1000, "",
-        "One after its last layer." },
+        "One past the last layer of a layer_range target." },
     setting_rule { "target", "slots", sidecarRole, 0, type::Number, &settings::slots, 1, 1024, "",
-        "Requests that the target runs at once." },
+        "Requests that the target runs concurrently." },
     setting_rule { "target", "queue_limit", sidecarRole, 0, type::Number, &settings::queueLimit, 0, 4096, "",
-        "Requests that wait at the sidecar." },
+        "Requests that may wait at the sidecar." },
     setting_rule { "target", "probe_ms", sidecarRole, 0, type::Number, &settings::probeMs, 50, 60000, "",
-        "Period of readiness probes." },
+        "Interval of readiness probes." },
     setting_rule { "target", "fencing", sidecarRole, 0, type::Choice, &settings::targetFencing, 0, 0, "checked|ignored",
-        "Whether the target refuses orders with an old fencing number." },
+        "Whether the target refuses orders with an outdated fencing token." },
     setting_rule { "target", "order_timeout_ms", sidecarRole, 0, type::Number, &settings::orderTimeoutMs, 100,
-        oneHourMs, "", "Longest time for an order, such as loading a version." },
+        oneHourMs, "", "Maximum duration of an order, such as loading a version." },
     setting_rule { "target", "answer_keep_bytes", sidecarRole, 0, type::Number, &settings::answerKeepBytes, 0,
-        256U << 20U, "", "Memory for answers of non-idempotent requests that may be asked for again." },
+        256U << 20U, "", "Memory for responses to non-idempotent requests, kept in case they are requested again." },
     setting_rule { "storage", "folder", controllerRole | registryRole, controllerRole | registryRole, type::Text,
-        &settings::dataFolder, 0, 0, "", "Data folder; belongs to this controller alone." },
+        &settings::dataFolder, 0, 0, "", "Data folder, used by this controller only." },
     setting_rule { "storage", "snapshot_entries", controllerRole | registryRole, 0, type::Number,
-        &settings::snapshotEntries, 10, 1'000'000, "", "Log entries after which a snapshot is saved." },
+        &settings::snapshotEntries, 10, 1'000'000, "", "Number of log entries after which a snapshot is saved." },
     setting_rule { "storage", "election_timeout_ms", controllerRole | registryRole, 0, type::Number,
         &settings::electionTimeoutMs, 100, 60000, "",
-        "Least time without a leader before an election; the most is twice as long." },
+        "Minimum time without a leader before an election; the maximum is twice as long." },
 };
 
 struct raw_value {
@@ -211,28 +214,28 @@
     return {};
 }
 
-/// Faults that lie between two keys.
+/// Checks rules that involve more than one key.
 void checkKeyCombinations(
     const settings& values, process_role role, const std::string& file, std::vector<settings_fault>& faults)
 {
     if (role == process_role::Entry && values.defaultTimeoutMs > values.maxTimeoutMs)
-        faults.push_back({ file, "entry", "default_timeout_ms", "is above max_timeout_ms" });
+        faults.push_back({ file, "entry", "default_timeout_ms", "must not exceed max_timeout_ms" });
     const bool keepsLease = role == process_role::Entry || role == process_role::Sidecar;
     if (keepsLease && values.heartbeatMs * 2 > values.leaseMs)
-        faults.push_back({ file, "controllers", "heartbeat_ms", "is above half of lease_ms" });
+        faults.push_back({ file, "controllers", "heartbeat_ms", "must not exceed half of lease_ms" });
     if (role != process_role::Sidecar)
         return;
     const bool isService = values.targetKind == "plain_service";
     if (isService && values.service.empty())
-        faults.push_back({ file, "target", "service", "is missing for kind plain_service" });
+        faults.push_back({ file, "target", "service", "is required for kind plain_service" });
     if (!isService && values.model.empty())
-        faults.push_back({ file, "target", "model", "is missing for this kind" });
+        faults.push_back({ file, "target", "model", "is required unless the kind is plain_service" });
     if (!isService && values.version.empty())
-        faults.push_back({ file, "target", "version", "is missing for this kind" });
+        faults.push_back({ file, "target", "version", "is required unless the kind is plain_service" });
     if (isService && !values.model.empty())
-        faults.push_back({ file, "target", "model", "is not for kind plain_service" });
+        faults.push_back({ file, "target", "model", "is not allowed for kind plain_service" });
     if (values.targetKind == "layer_range" && values.endLayer <= values.firstLayer)
-        faults.push_back({ file, "target", "end_layer", "must be above first_layer" });
+        faults.push_back({ file, "target", "end_layer", "must be greater than first_layer" });
 }
 
 } // namespace
@@ -256,7 +259,7 @@
     std::vector<raw_value> raw;
     const int badLine = ini_parse_string(text.c_str(), collectEntry, &raw);
     if (badLine != 0)
-        faults.push_back({ file, "", "", "line " + std::to_string(badLine) + " can't be read" });
+        faults.push_back({ file, "", "", "line " + std::to_string(badLine) + " has a syntax error" });
     settings values;
     values.sourceFile = file;
     std::set<std::pair<std::string, std::string>> seen;
@@ -271,7 +274,7 @@
             continue;
         }
         if (!seen.emplace(item.section, item.key).second) {
-            faults.push_back({ file, item.section, item.key, "stands twice" });
+            faults.push_back({ file, item.section, item.key, "is set twice" });
             continue;
         }
         if (auto stored = assignValue(*rule, item.value, values); !stored)
@@ -317,7 +320,7 @@
         return tl::make_unexpected("'" + address + "' is not IP:port");
     in_addr parsed {};
     if (inet_pton(AF_INET, address.substr(0, colon).c_str(), &parsed) != 1)
-        return tl::make_unexpected("'" + address.substr(0, colon) + "' is not an IPv4 number");
+        return tl::make_unexpected("'" + address.substr(0, colon) + "' is not an IPv4 address");
     const std::string port = address.substr(colon + 1);
     std::uint32_t number = 0;
     const auto [end, error] = std::from_chars(port.data(), port.data() + port.size(), number);
