--- a/src/app/entry/entry.cpp
+++ b/src/app/entry/entry.cpp
@@ -282,7 +282,7 @@
         sendTo(attach->target.instance, dispatch::response_attach { attach->attempt, attach->target.incarnation });
     } else if (const auto* frames = std::get_if<dispatch::deliver_frames>(&effect)) {
         for (const auto& frame : frames->frames)
-            giveFrame(active.context, frame);
+            deliverFrame(active.context, frame);
     } else if (const auto* last = std::get_if<dispatch::finish_run>(&effect)) {
         settleAttempt(active.context, active.run.target().instance, last->result);
         finish(active.context, last->result, last->ran, last->finishReason);
@@ -306,7 +306,7 @@
         active.run.noTarget({ result_code::RetryBudgetSpent, "" }, now);
         return;
     }
-    const bool isStale = wish.previous.code == result_code::StaleConfiguration && context.nextSequence == 0;
+    const bool isStale = wish.previous.code == result_code::StaleConfiguration && context.framesDelivered == 0;
     const auto renewed = isStale ? renewTerms(context) : tl::expected<void, failure>();
     if (!renewed) {
         routeRefused(active, renewed.error(), now);
@@ -424,12 +424,12 @@
     note(request.id, "finished: " + code + ", ran: " + std::string(nameOf(ran)));
     m_metrics.count("requests_total", code);
     m_metrics.observeMs("request_ms", elapsedMs(context.begun, steadyNow()));
-    context.queue->push(answer_finished { result, ran, finishReason });
+    context.queue->push(final_result { result, ran, finishReason });
 }
 
-void entry::giveFrame(run_context& context, dispatch::response_frame frame)
+void entry::deliverFrame(run_context& context, dispatch::response_frame frame)
 {
-    if (context.nextSequence++ == 0)
+    if (context.framesDelivered++ == 0)
         m_metrics.observeMs("first_token_ms", elapsedMs(context.begun, steadyNow()));
     ++context.framesInAttempt;
     if (!context.queue->push(std::move(frame)))
--- a/src/app/entry/entry.hpp
+++ b/src/app/entry/entry.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "app/entry/admission.hpp"
-#include "app/entry/answer_queue.hpp"
+#include "app/entry/response_queue.hpp"
 #include "app/shared/process.hpp"
 #include "app/shared/session_client.hpp"
 #include "app/sidecar/sidecar_links.hpp"
@@ -27,7 +27,7 @@
     void stop(std::function<void()> done);
 
     /// @brief Runs a request; its answer goes to the queue.
-    void submit(const caller_request& request, std::shared_ptr<answer_queue> queue);
+    void submit(const caller_request& request, std::shared_ptr<response_queue> queue);
     /// @brief The caller has gone.
     void abandon(const std::string& requestId);
 
@@ -43,14 +43,14 @@
     /// What both kinds of run share.
     struct run_context {
         caller_request request;
-        std::shared_ptr<answer_queue> queue;
+        std::shared_ptr<response_queue> queue;
         admission_terms terms;
         std::string version;
         steady_time begun {};
         steady_time attemptBegun {};
         std::uint32_t framesInAttempt = 0;
         bool hasOutstanding = false; ///< the route table counts an attempt
-        std::uint32_t nextSequence = 0; ///< of frames given to the queue
+        std::uint32_t framesDelivered = 0; ///< of frames given to the queue
     };
     struct active_run {
         run_context context;
@@ -95,7 +95,7 @@
     void sendClaim(active_run& active, const dispatch::send_claim& claim);
     void settleAttempt(run_context& context, const instance_id& instance, const failure& outcome);
     void finish(run_context& context, const failure& result, ran_state ran, const std::string& finishReason);
-    void giveFrame(run_context& context, dispatch::response_frame frame);
+    void deliverFrame(run_context& context, dispatch::response_frame frame);
 
     /// Calls an event function of the run that an attempt belongs to, and carries out what follows.
     template <typename Event> void withRun(const std::string& requestId, Event event);
--- a/src/app/entry/entry_api.cpp
+++ b/src/app/entry/entry_api.cpp
@@ -154,9 +154,9 @@
 }
 
 /// Writes the answer of one request as its events come.
-class answer_writer {
+class response_writer {
 public:
-    answer_writer(const caller_request& request, bool isChat, http_exchange& exchange)
+    response_writer(const caller_request& request, bool isChat, http_exchange& exchange)
         : m_request(request)
         , m_isChat(isChat)
         , m_exchange(exchange)
@@ -164,7 +164,7 @@
     }
 
     /// @return false when the caller has gone.
-    bool take(const dispatch::response_frame& frame)
+    bool write(const dispatch::response_frame& frame)
     {
         if (frame.kind == dispatch::frame_kind::Head) {
             m_status = frame.status;
@@ -176,28 +176,28 @@
             ++m_tokens;
             return true;
         }
-        if (!m_streaming) {
-            m_streaming = true;
+        if (!m_hasStreamStarted) {
+            m_hasStreamStarted = true;
             m_exchange.beginStream(200,
                 { { "Content-Type", "text/event-stream" }, { "Cache-Control", "no-cache" },
                     { "X-Request-Id", m_request.id } });
         }
-        return m_exchange.writeChunk("data: " + dump(choice(frame.bytes, "")) + "\n\n");
+        return m_exchange.writeChunk("data: " + dump(completionBody(frame.bytes, "")) + "\n\n");
     }
 
-    void finish(const answer_finished& end)
+    void finish(const final_result& end)
     {
         if (end.result.code != result_code::Ok) {
-            fail(end);
+            writeError(end);
             return;
         }
-        if (m_streaming) {
-            m_exchange.writeChunk("data: " + dump(choice("", end.finishReason)) + "\n\ndata: [DONE]\n\n");
+        if (m_hasStreamStarted) {
+            m_exchange.writeChunk("data: " + dump(completionBody("", end.finishReason)) + "\n\ndata: [DONE]\n\n");
             m_exchange.endStream();
             return;
         }
         if (!m_request.pipeline.empty()) {
-            json whole = choice(m_body, end.finishReason);
+            json whole = completionBody(m_body, end.finishReason);
             whole["usage"] = { { "completion_tokens", m_tokens } };
             m_exchange.respond(
                 200, { { "Content-Type", "application/json" }, { "X-Request-Id", m_request.id } }, dump(whole) + "\n");
@@ -214,7 +214,7 @@
 private:
     static std::string dump(const json& value) { return value.dump(-1, ' ', false, json::error_handler_t::replace); }
 
-    [[nodiscard]] json choice(const std::string& text, const std::string& finishReason) const
+    [[nodiscard]] json completionBody(const std::string& text, const std::string& finishReason) const
     {
         json one = { { "index", 0 }, { "finish_reason", finishReason.empty() ? json() : json(finishReason) } };
         if (m_isChat)
@@ -226,9 +226,9 @@
             { "model", m_request.pipeline }, { "choices", json::array({ one }) } };
     }
 
-    void fail(const answer_finished& end)
+    void writeError(const final_result& end)
     {
-        if (m_streaming) {
+        if (m_hasStreamStarted) {
             m_exchange.writeChunk("event: error\ndata: " + http::errorBody(end.result, end.ran) + "\n\n");
             m_exchange.endStream();
             return;
@@ -239,7 +239,7 @@
     const caller_request& m_request;
     bool m_isChat;
     http_exchange& m_exchange;
-    bool m_streaming = false;
+    bool m_hasStreamStarted = false;
     int m_status = 200;
     std::vector<header_field> m_headers;
     std::string m_body;
@@ -280,16 +280,16 @@
             http::respondError(exchange, wanted.error(), ran_state::No);
             return;
         }
-        const auto queue = std::make_shared<answer_queue>();
+        const auto queue = std::make_shared<response_queue>();
         m_loop.post([this, wanted = *wanted, queue] { m_role.submit(wanted, queue); });
-        answer_writer writer(*wanted, request.path == "/v1/chat/completions", exchange);
+        response_writer writer(*wanted, request.path == "/v1/chat/completions", exchange);
         const steady_time patience = wanted->deadline + finalPatience;
         while (const auto event = queue->pop(patience)) {
-            if (const auto* end = std::get_if<answer_finished>(&*event)) {
+            if (const auto* end = std::get_if<final_result>(&*event)) {
                 writer.finish(*end);
                 return;
             }
-            if (!writer.take(std::get<dispatch::response_frame>(*event))) {
+            if (!writer.write(std::get<dispatch::response_frame>(*event))) {
                 m_loop.post([this, id = wanted->id] { m_role.abandon(id); });
                 return;
             }
--- a/src/app/entry/entry_chains.cpp
+++ b/src/app/entry/entry_chains.cpp
@@ -77,7 +77,7 @@
         dispatch::response_frame frame;
         frame.attempt = { id, active.run.generation() };
         frame.bytes = token->text;
-        giveFrame(context, std::move(frame));
+        deliverFrame(context, std::move(frame));
     } else if (const auto* last = std::get_if<execution::finish_chain>(&effect)) {
         releaseStages(active);
         finish(context, last->result, last->ran, last->finishReason);
--- a/src/app/entry/entry_terms.cpp
+++ b/src/app/entry/entry_terms.cpp
@@ -4,7 +4,7 @@
 
 namespace buckthornrail::app {
 
-void entry::submit(const caller_request& request, std::shared_ptr<answer_queue> queue)
+void entry::submit(const caller_request& request, std::shared_ptr<response_queue> queue)
 {
     run_context context;
     context.request = request;
@@ -64,7 +64,7 @@
     telemetry::logEvent(
         event_code::RouteRefused, { { "request", context.request.id }, { "code", code }, { "reason", why.reason } });
     m_metrics.count("requests_total", code);
-    context.queue->push(answer_finished { why, ran_state::No, "" });
+    context.queue->push(final_result { why, ran_state::No, "" });
 }
 
 } // namespace buckthornrail::app
--- a/src/app/entry/answer_queue.hpp
+++ b/src/app/entry/response_queue.hpp
@@ -14,22 +14,22 @@
 namespace buckthornrail::app {
 
 /// The last event of an answer.
-struct answer_finished {
+struct final_result {
     failure result;
     ran_state ran = ran_state::No;
     std::string finishReason;
 };
 
-using answer_event = std::variant<dispatch::response_frame, answer_finished>;
+using response_event = std::variant<dispatch::response_frame, final_result>;
 
 /// @brief Bounded; the loop never waits on it.
-class answer_queue {
+class response_queue {
 public:
     /// @return false when the caller reads too slowly and the queue is full.
-    bool push(answer_event event)
+    bool push(response_event event)
     {
         const std::scoped_lock lock(m_mutex);
-        const bool isLast = std::holds_alternative<answer_finished>(event);
+        const bool isLast = std::holds_alternative<final_result>(event);
         if (m_events.size() >= maxEvents && !isLast)
             return false;
         m_events.push_back(std::move(event));
@@ -38,12 +38,12 @@
     }
 
     /// @return the next event, or nothing when none came before the deadline.
-    std::optional<answer_event> pop(steady_time deadline)
+    std::optional<response_event> pop(steady_time deadline)
     {
         std::unique_lock lock(m_mutex);
         if (!m_changed.wait_until(lock, deadline, [this] { return !m_events.empty(); }))
             return std::nullopt;
-        answer_event event = std::move(m_events.front());
+        response_event event = std::move(m_events.front());
         m_events.pop_front();
         return event;
     }
@@ -53,7 +53,7 @@
 
     std::mutex m_mutex;
     std::condition_variable m_changed;
-    std::deque<answer_event> m_events;
+    std::deque<response_event> m_events;
 };
 
 } // namespace buckthornrail::app
