--- a/src/app/entry/admission.cpp
+++ b/src/app/entry/admission.cpp
@@ -14,67 +14,67 @@
     return tl::make_unexpected(failure { code, reason });
 }
 
-tl::expected<admission_terms, failure> admitCompletion(
+tl::expected<admission_result, failure> admitCompletion(
     const configuration::document& document, const caller_request& request)
 {
     const auto found = document.pipelines.find(request.pipeline);
     if (found == document.pipelines.end())
         return refuse(result_code::UnknownModel);
     const auto& pipeline = found->second;
-    if (!mayUse(pipeline.workspaces, request.workspace))
+    if (!isWorkspaceAllowed(pipeline.workspaces, request.workspace))
         return refuse(result_code::UnknownWorkspace, "the workspace may not use this pipeline");
-    admission_terms terms;
-    terms.model = pipeline.model;
-    terms.layerCount = document.models.at(pipeline.model).layers;
-    terms.versions = pipeline.versions;
-    terms.pools = pipeline.pools;
-    terms.priority = pipeline.priority;
-    terms.nonIdempotent = request.markedNonIdempotent;
-    return terms;
+    admission_result admission;
+    admission.model = pipeline.model;
+    admission.layerCount = document.models.at(pipeline.model).layers;
+    admission.versions = pipeline.versions;
+    admission.pools = pipeline.pools;
+    admission.priority = pipeline.priority;
+    admission.nonIdempotent = request.markedNonIdempotent;
+    return admission;
 }
 
-tl::expected<admission_terms, failure> admitService(
+tl::expected<admission_result, failure> admitService(
     const configuration::document& document, const caller_request& request)
 {
     const auto found = document.services.find(request.service);
     if (found == document.services.end())
         return refuse(result_code::UnknownService);
     const auto& service = found->second;
-    if (!mayUse(service.workspaces, request.workspace))
+    if (!isWorkspaceAllowed(service.workspaces, request.workspace))
         return refuse(result_code::UnknownWorkspace, "the workspace may not use this service");
-    const auto isMarked = [&](const configuration::route_mark& mark) {
+    const auto isMatch = [&](const configuration::route_mark& mark) {
         return mark.method == request.call.method && request.call.path.starts_with(mark.pathPrefix);
     };
-    admission_terms terms;
-    terms.nonIdempotent = request.markedNonIdempotent
-        || std::any_of(service.nonIdempotent.begin(), service.nonIdempotent.end(), isMarked);
-    return terms;
+    admission_result admission;
+    admission.nonIdempotent = request.markedNonIdempotent
+        || std::any_of(service.nonIdempotent.begin(), service.nonIdempotent.end(), isMatch);
+    return admission;
 }
 
 } // namespace
 
-tl::expected<admission_terms, failure> admit(
+tl::expected<admission_result, failure> admit(
     const configuration::document& document, const caller_request& request, std::uint32_t inFlight)
 {
     const auto workspace = document.workspaces.find(request.workspace);
     if (workspace == document.workspaces.end())
         return refuse(result_code::UnknownWorkspace);
-    auto terms = request.pipeline.empty() ? admitService(document, request) : admitCompletion(document, request);
-    if (!terms)
-        return terms;
+    auto admission = request.pipeline.empty() ? admitService(document, request) : admitCompletion(document, request);
+    if (!admission)
+        return admission;
     const auto& limits = workspace->second;
     if (limits.maxInFlight != 0 && inFlight >= limits.maxInFlight)
         return refuse(result_code::WorkspaceLimit);
-    if (terms->nonIdempotent && request.idempotencyKey.empty())
+    if (admission->nonIdempotent && request.idempotencyKey.empty())
         return refuse(result_code::KeyRequired);
-    terms->weight = limits.weight;
-    terms->priority = std::min(request.priority.value_or(terms->priority), limits.maxPriority);
-    return terms;
+    admission->weight = limits.weight;
+    admission->priority = std::min(request.priority.value_or(admission->priority), limits.maxPriority);
+    return admission;
 }
 
-bool mayUse(const std::vector<std::string>& listed, const std::string& workspace)
+bool isWorkspaceAllowed(const std::vector<std::string>& allowed, const std::string& workspace)
 {
-    return listed.empty() || std::find(listed.begin(), listed.end(), workspace) != listed.end();
+    return allowed.empty() || std::find(allowed.begin(), allowed.end(), workspace) != allowed.end();
 }
 
 std::string drawVersion(const std::vector<configuration::share>& versions, const std::set<std::string>& ready,
--- a/src/app/entry/admission.hpp
+++ b/src/app/entry/admission.hpp
@@ -32,7 +32,7 @@
 };
 
 /// What the configuration grants a request.
-struct admission_terms {
+struct admission_result {
     std::string model; ///< empty: a service call
     std::uint32_t layerCount = 0;
     std::vector<configuration::share> versions; ///< of which one is drawn
@@ -45,11 +45,11 @@
 /// @param inFlight requests of the workspace that this entry is serving
 /// @return the terms, or the reason to refuse: UnknownWorkspace, UnknownModel, UnknownService, WorkspaceLimit,
 /// KeyRequired
-tl::expected<admission_terms, failure> admit(
+tl::expected<admission_result, failure> admit(
     const configuration::document& document, const caller_request& request, std::uint32_t inFlight);
 
 /// @brief True when a workspace is one of those listed; an empty list means all.
-bool mayUse(const std::vector<std::string>& listed, const std::string& workspace);
+bool isWorkspaceAllowed(const std::vector<std::string>& allowed, const std::string& workspace);
 
 /// @brief Draws a version by its share among those that ready targets serve; a version without a share gets nothing.
 /// @param draw gives a number from 0 to its argument less one
--- a/src/app/entry/admission_test.cpp
+++ b/src/app/entry/admission_test.cpp
@@ -40,8 +40,8 @@
 
 result_code refusalOf(const caller_request& request, std::uint32_t inFlight = 0)
 {
-    const auto terms = admit(standard(), request, inFlight);
-    return terms ? result_code::Ok : terms.error().code;
+    const auto admission = admit(standard(), request, inFlight);
+    return admission ? result_code::Ok : admission.error().code;
 }
 
 } // namespace
@@ -67,10 +67,10 @@
     auto request = completionOf("a", "p");
     CHECK(admit(standard(), request, 0)->priority == request_priority::Low);
     request.priority = request_priority::High;
-    const auto terms = admit(standard(), request, 0);
-    CHECK(terms->priority == request_priority::Normal); // lowered to the workspace's highest
-    CHECK(terms->weight == 3);
-    CHECK(terms->layerCount == 8);
+    const auto admission = admit(standard(), request, 0);
+    CHECK(admission->priority == request_priority::Normal); // lowered to the workspace's highest
+    CHECK(admission->weight == 3);
+    CHECK(admission->layerCount == 8);
 }
 
 TEST_CASE("admission: versions that nobody serves lose their share, and share 0 gets nothing", "[admission]")
--- a/src/app/entry/entry.cpp
+++ b/src/app/entry/entry.cpp
@@ -133,11 +133,11 @@
     withChain(requestId, [](auto& run, steady_time now) { run.callerGone(now); });
 }
 
-std::vector<std::string> entry::pipelinesOf(const std::string& workspace) const
+std::vector<std::string> entry::allowedPipelines(const std::string& workspace) const
 {
     std::vector<std::string> names;
     for (const auto& [name, pipeline] : m_session->configuration().current().pipelines) {
-        if (mayUse(pipeline.workspaces, workspace))
+        if (isWorkspaceAllowed(pipeline.workspaces, workspace))
             names.push_back(name);
     }
     return names;
@@ -224,10 +224,10 @@
 {
     const auto& request = context.request;
     routing::route_query query;
-    query.model = context.terms.model;
+    query.model = context.admission.model;
     query.version = context.version;
     query.service = request.service;
-    query.pools = context.terms.pools;
+    query.pools = context.admission.pools;
     query.work = std::max<std::uint32_t>(request.maxTokens, 1);
     query.startDeadline = std::max(request.deadline, now);
     if (!request.prompt.empty())
@@ -240,7 +240,7 @@
     const auto& request = context.request;
     dispatch::run_request wanted;
     wanted.id = request.id;
-    wanted.nonIdempotent = context.terms.nonIdempotent;
+    wanted.nonIdempotent = context.admission.nonIdempotent;
     wanted.claim = { request.workspace, request.idempotencyKey };
     wanted.requestDigest = request.digest;
     wanted.canResume = !request.pipeline.empty();
@@ -307,7 +307,7 @@
         return;
     }
     const bool isStale = wish.previous.code == result_code::StaleConfiguration && context.framesDelivered == 0;
-    const auto renewed = isStale ? renewTerms(context) : tl::expected<void, failure>();
+    const auto renewed = isStale ? readmit(context) : tl::expected<void, failure>();
     if (!renewed) {
         routeRefused(active, renewed.error(), now);
         return;
@@ -348,7 +348,7 @@
         message.work = context.request.call;
     } else {
         message.work.kind = dispatch::work_kind::Completion;
-        message.work.model = context.terms.model;
+        message.work.model = context.admission.model;
         message.work.version = context.version;
         message.work.prompt = context.request.prompt;
         for (const auto& token : offer.priorTokens)
@@ -372,8 +372,8 @@
     offer.startWithinMs = millisecondsUntil(context.request.deadline, now);
     offer.finishWithinMs = offer.startWithinMs;
     offer.workspace = context.request.workspace;
-    offer.weight = context.terms.weight;
-    offer.priority = context.terms.priority;
+    offer.weight = context.admission.weight;
+    offer.priority = context.admission.priority;
     return offer;
 }
 
--- a/src/app/entry/entry.hpp
+++ b/src/app/entry/entry.hpp
@@ -32,7 +32,7 @@
     void abandon(const std::string& requestId);
 
     /// @brief Names of the pipelines that a workspace may use.
-    [[nodiscard]] std::vector<std::string> pipelinesOf(const std::string& workspace) const;
+    [[nodiscard]] std::vector<std::string> allowedPipelines(const std::string& workspace) const;
     /// @brief The decisions taken for a recent request, oldest first.
     [[nodiscard]] std::vector<std::string> explain(const std::string& requestId) const;
     [[nodiscard]] bool isReady() const { return m_isReady; }
@@ -44,7 +44,7 @@
     struct run_context {
         caller_request request;
         std::shared_ptr<response_queue> queue;
-        admission_terms terms;
+        admission_result admission;
         std::string version;
         steady_time begun {};
         steady_time attemptBegun {};
@@ -71,9 +71,9 @@
     void onUnsentOffer(const attempt_id& attempt);
     void onLinkLost(const instance_id& instance);
 
-    [[nodiscard]] tl::expected<admission_terms, failure> termsFor(const caller_request& request) const;
+    [[nodiscard]] tl::expected<admission_result, failure> admitRequest(const caller_request& request) const;
     /// @brief Draws the version that the request asks for.
-    void applyTerms(run_context& context, admission_terms terms);
+    void applyAdmission(run_context& context, admission_result admission);
     void refuse(const run_context& context, const failure& why);
     [[nodiscard]] routing::route_query makeQuery(const run_context& context, steady_time now) const;
     void startRun(run_context context);
@@ -85,7 +85,7 @@
     void chooseTarget(active_run& active, const dispatch::choose_target& wish);
     void routeRefused(active_run& active, const failure& why, steady_time now);
     /// @brief Takes the terms of the configuration now in force; the caller has been given nothing yet.
-    tl::expected<void, failure> renewTerms(run_context& context);
+    tl::expected<void, failure> readmit(run_context& context);
     void releaseStages(active_chain& active);
     void chooseChain(active_chain& active, const execution::choose_chain& wish);
     void sendOffer(active_run& active, const dispatch::send_offer& offer);
--- a/src/app/entry/entry_terms.cpp
+++ b/src/app/entry/entry_admission.cpp
@@ -10,16 +10,16 @@
     context.request = request;
     context.queue = std::move(queue);
     context.begun = steadyNow();
-    auto terms = termsFor(request);
-    if (!terms) {
-        refuse(context, terms.error());
+    auto admission = admitRequest(request);
+    if (!admission) {
+        refuse(context, admission.error());
         return;
     }
-    applyTerms(context, std::move(*terms));
+    applyAdmission(context, std::move(*admission));
     const auto query = makeQuery(context, context.begun);
     const bool isSplit = !request.pipeline.empty() && !m_routes.hasUnsplitTarget(query, context.begun)
         && !m_routes.stageCandidates(query, context.begun).empty();
-    if (isSplit && context.terms.nonIdempotent) {
+    if (isSplit && context.admission.nonIdempotent) {
         refuse(context, { result_code::BadHeader, "a split pipeline takes no non-idempotent request" });
         return;
     }
@@ -31,7 +31,7 @@
         startRun(std::move(context));
 }
 
-tl::expected<admission_terms, failure> entry::termsFor(const caller_request& request) const
+tl::expected<admission_result, failure> entry::admitRequest(const caller_request& request) const
 {
     if (m_refusing || m_drainedByOperator)
         return tl::make_unexpected(failure { result_code::ShuttingDown, "" });
@@ -41,20 +41,20 @@
     return admit(m_session->configuration().current(), request, inFlight == m_inFlight.end() ? 0 : inFlight->second);
 }
 
-void entry::applyTerms(run_context& context, admission_terms terms)
+void entry::applyAdmission(run_context& context, admission_result admission)
 {
-    context.terms = std::move(terms);
-    context.version = drawVersion(context.terms.versions, m_routes.readyVersions(context.terms.model),
+    context.admission = std::move(admission);
+    context.version = drawVersion(context.admission.versions, m_routes.readyVersions(context.admission.model),
         [this](std::uint32_t below) { return std::uniform_int_distribution<std::uint32_t>(0, below - 1)(m_random); });
 }
 
-tl::expected<void, failure> entry::renewTerms(run_context& context)
+tl::expected<void, failure> entry::readmit(run_context& context)
 {
     constexpr std::uint32_t othersInFlight = 0; // it was admitted before: the limit isn't asked again
-    auto terms = admit(m_session->configuration().current(), context.request, othersInFlight);
-    if (!terms)
-        return tl::make_unexpected(terms.error());
-    applyTerms(context, std::move(*terms));
+    auto admission = admit(m_session->configuration().current(), context.request, othersInFlight);
+    if (!admission)
+        return tl::make_unexpected(admission.error());
+    applyAdmission(context, std::move(*admission));
     return {};
 }
 
--- a/src/app/entry/entry_api.cpp
+++ b/src/app/entry/entry_api.cpp
@@ -301,7 +301,7 @@
     {
         const std::string workspace = request.header("X-Workspace").value_or("");
         const auto names = askLoop<std::vector<std::string>>(
-            m_loop, loopPatience, [this, workspace](const auto& reply) { reply(m_role.pipelinesOf(workspace)); });
+            m_loop, loopPatience, [this, workspace](const auto& reply) { reply(m_role.allowedPipelines(workspace)); });
         json list = json::array();
         for (const auto& name : names.value_or(std::vector<std::string> {}))
             list.push_back({ { "id", name }, { "object", "model" } });
--- a/src/app/entry/entry_chains.cpp
+++ b/src/app/entry/entry_chains.cpp
@@ -12,8 +12,8 @@
 void entry::startChain(run_context context)
 {
     const auto& request = context.request;
-    execution::chain_request wanted { request.id, context.terms.model, context.version, context.terms.layerCount,
-        request.prompt, request.maxTokens, request.deadline };
+    execution::chain_request wanted { request.id, context.admission.model, context.version,
+        context.admission.layerCount, request.prompt, request.maxTokens, request.deadline };
     execution::chain_run_options options;
     options.progressTimeout = milliseconds(m_settings.progressTimeoutMs);
     const std::string id = request.id;
@@ -98,7 +98,7 @@
     query.excluded = wish.excluded;
     releaseStages(active);
     const auto candidates = m_routes.stageCandidates(query, now);
-    auto chain = execution::buildChain(candidates, context.terms.layerCount);
+    auto chain = execution::buildChain(candidates, context.admission.layerCount);
     if (!chain) {
         telemetry::logEvent(
             event_code::RouteRefused, { { "request", context.request.id }, { "reason", chain.error().reason } });
