--- a/src/app/entry/admission.hpp
+++ b/src/app/entry/admission.hpp
@@ -21,7 +21,7 @@
     std::string pipeline; ///< empty: a service call
     std::string prompt;
     std::uint32_t maxTokens = 0;
-    bool streams = false;
+    bool isStream = false;
     std::string service;
     dispatch::work_order call; ///< method, path, headers and body of a service call
     std::string idempotencyKey;
--- a/src/app/entry/admission_test.cpp
+++ b/src/app/entry/admission_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-configuration::document standard()
+configuration::document testDocument()
 {
     return *configuration::parseDocument(R"({
         "workspaces": { "a": { "weight": 3, "max_priority": "normal", "max_in_flight": 2 }, "b": {} },
@@ -38,9 +38,9 @@
     return request;
 }
 
-result_code refusalOf(const caller_request& request, std::uint32_t inFlight = 0)
+result_code admissionCode(const caller_request& request, std::uint32_t inFlight = 0)
 {
-    const auto admission = admit(standard(), request, inFlight);
+    const auto admission = admit(testDocument(), request, inFlight);
     return admission ? result_code::Ok : admission.error().code;
 }
 
@@ -48,26 +48,26 @@
 
 TEST_CASE("admission: each reason to refuse", "[admission]")
 {
-    CHECK(refusalOf(completionOf("a", "p")) == result_code::Ok);
-    CHECK(refusalOf(completionOf("nobody", "p")) == result_code::UnknownWorkspace);
-    CHECK(refusalOf(completionOf("b", "p")) == result_code::UnknownWorkspace);
-    CHECK(refusalOf(completionOf("a", "q")) == result_code::UnknownModel);
-    CHECK(refusalOf(completionOf("a", "p"), 2) == result_code::WorkspaceLimit);
-    CHECK(refusalOf(callOf("GET", "/bookings")) == result_code::Ok);
-    CHECK(refusalOf(callOf("POST", "/bookings/7")) == result_code::KeyRequired);
+    CHECK(admissionCode(completionOf("a", "p")) == result_code::Ok);
+    CHECK(admissionCode(completionOf("nobody", "p")) == result_code::UnknownWorkspace);
+    CHECK(admissionCode(completionOf("b", "p")) == result_code::UnknownWorkspace);
+    CHECK(admissionCode(completionOf("a", "q")) == result_code::UnknownModel);
+    CHECK(admissionCode(completionOf("a", "p"), 2) == result_code::WorkspaceLimit);
+    CHECK(admissionCode(callOf("GET", "/bookings")) == result_code::Ok);
+    CHECK(admissionCode(callOf("POST", "/bookings/7")) == result_code::KeyRequired);
     auto marked = callOf("GET", "/slots");
     marked.markedNonIdempotent = true;
-    CHECK(refusalOf(marked) == result_code::KeyRequired);
+    CHECK(admissionCode(marked) == result_code::KeyRequired);
     marked.idempotencyKey = "k";
-    CHECK(refusalOf(marked) == result_code::Ok);
+    CHECK(admissionCode(marked) == result_code::Ok);
 }
 
 TEST_CASE("admission: terms come from the workspace and the pipeline", "[admission]")
 {
     auto request = completionOf("a", "p");
-    CHECK(admit(standard(), request, 0)->priority == request_priority::Low);
+    CHECK(admit(testDocument(), request, 0)->priority == request_priority::Low);
     request.priority = request_priority::High;
-    const auto admission = admit(standard(), request, 0);
+    const auto admission = admit(testDocument(), request, 0);
     CHECK(admission->priority == request_priority::Normal); // lowered to the workspace's highest
     CHECK(admission->weight == 3);
     CHECK(admission->layerCount == 8);
--- a/src/app/entry/entry.cpp
+++ b/src/app/entry/entry.cpp
@@ -10,7 +10,7 @@
 
 constexpr milliseconds tickPeriod { 20 };
 constexpr milliseconds readinessGrace { 1000 }; ///< the balancer sees readiness fail before requests are refused
-constexpr milliseconds leavePatience { 1500 };
+constexpr milliseconds leaveTimeout { 1500 };
 constexpr std::size_t maxRecentRequests = 2000;
 
 routing::route_options routeOptions(const settings::settings& settings)
@@ -101,11 +101,11 @@
     callbacks.membershipChanged = [this](const membership::membership_delta& delta) { onMembership(delta); };
     callbacks.drainRequested = [this](bool drain) { m_drainedByOperator = drain; };
     callbacks.claimAnswered = [this](const link::claim_reply& reply) {
-        const auto found = m_claims.find(reply.commandId);
-        if (found == m_claims.end())
+        const auto found = m_pendingClaims.find(reply.commandId);
+        if (found == m_pendingClaims.end())
             return;
         const std::string id = found->second;
-        m_claims.erase(found);
+        m_pendingClaims.erase(found);
         withRun(id, [&reply](auto& run, steady_time now) {
             if (reply.available)
                 run.claimAnswered(reply.result, now);
@@ -118,16 +118,16 @@
 
 void entry::stop(std::function<void()> done)
 {
-    m_stopping = true;
+    m_isStopping = true;
     m_isReady = false;
     m_session->setState(membership::instance_state::Draining);
     m_loop.runAt(steadyNow() + readinessGrace, [this, done = std::move(done)]() mutable {
-        m_refusing = true;
-        m_whenDrained = std::move(done);
+        m_refusesRequests = true;
+        m_onDrained = std::move(done);
     });
 }
 
-void entry::abandon(const std::string& requestId)
+void entry::callerGone(const std::string& requestId)
 {
     withRun(requestId, [](auto& run, steady_time now) { run.callerGone(now); });
     withChain(requestId, [](auto& run, steady_time now) { run.callerGone(now); });
@@ -185,7 +185,7 @@
 void entry::onRefused(link::channel_number channel, const dispatch::attempt_refused& refused)
 {
     const std::string code(describe(refused.code).name);
-    note(refused.attempt.request, "attempt " + std::to_string(refused.attempt.number) + " refused: " + code);
+    recordDecision(refused.attempt.request, "attempt " + std::to_string(refused.attempt.number) + " refused: " + code);
     telemetry::logEvent(event_code::AttemptRefused, { { "attempt", toString(refused.attempt) }, { "code", code } });
     withAttempt(refused.attempt, [&](auto& run, steady_time now) { run.refused(refused, now); });
     withChain(refused.attempt.request, [&](auto& run, steady_time now) {
@@ -238,33 +238,33 @@
 void entry::startRun(run_context context)
 {
     const auto& request = context.request;
-    dispatch::run_request wanted;
-    wanted.id = request.id;
-    wanted.nonIdempotent = context.admission.nonIdempotent;
-    wanted.claim = { request.workspace, request.idempotencyKey };
-    wanted.requestDigest = request.digest;
-    wanted.canResume = !request.pipeline.empty();
-    wanted.isStream = request.streams;
-    wanted.deadline = request.deadline;
+    dispatch::run_request runRequest;
+    runRequest.id = request.id;
+    runRequest.nonIdempotent = context.admission.nonIdempotent;
+    runRequest.claim = { request.workspace, request.idempotencyKey };
+    runRequest.requestDigest = request.digest;
+    runRequest.canResume = !request.pipeline.empty();
+    runRequest.isStream = request.isStream;
+    runRequest.deadline = request.deadline;
     dispatch::run_options options;
     options.progressTimeout = milliseconds(m_settings.progressTimeoutMs);
     const std::string id = request.id;
     m_runs.emplace(
-        id, active_run { std::move(context), dispatch::request_run(std::move(wanted), options, steadyNow()) });
+        id, active_run { std::move(context), dispatch::request_run(std::move(runRequest), options, steadyNow()) });
     withRun(id, [](auto& run, steady_time now) { run.start(now); });
 }
 
-void entry::forget(const std::string& requestId)
+void entry::removeRun(const std::string& requestId)
 {
-    std::erase_if(m_followers, [&](const auto& item) { return item.second == requestId; });
+    std::erase_if(m_attachedRequests, [&](const auto& item) { return item.second == requestId; });
     m_runs.erase(requestId);
     m_chains.erase(requestId);
 }
 
 void entry::carryOut(active_run& active, const dispatch::run_effect& effect)
 {
-    if (const auto* wish = std::get_if<dispatch::choose_target>(&effect)) {
-        chooseTarget(active, *wish);
+    if (const auto* choose = std::get_if<dispatch::choose_target>(&effect)) {
+        chooseTarget(active, *choose);
     } else if (const auto* claim = std::get_if<dispatch::send_claim>(&effect)) {
         sendClaim(active, *claim);
     } else if (const auto* offer = std::get_if<dispatch::send_offer>(&effect)) {
@@ -276,65 +276,65 @@
         telemetry::logEvent(event_code::ClaimHeld,
             { { "request", active.context.request.id }, { "holder", toString(attach->attempt) },
                 { "instance", attach->target.instance } });
-        note(active.context.request.id,
+        recordDecision(active.context.request.id,
             "the key is held by attempt " + toString(attach->attempt) + " at " + attach->target.instance);
-        m_followers.emplace(attach->attempt.request, active.context.request.id);
+        m_attachedRequests.emplace(attach->attempt.request, active.context.request.id);
         sendTo(attach->target.instance, dispatch::response_attach { attach->attempt, attach->target.incarnation });
     } else if (const auto* frames = std::get_if<dispatch::deliver_frames>(&effect)) {
         for (const auto& frame : frames->frames)
             deliverFrame(active.context, frame);
     } else if (const auto* last = std::get_if<dispatch::finish_run>(&effect)) {
-        settleAttempt(active.context, active.run.target().instance, last->result);
+        recordOutcome(active.context, active.run.target().instance, last->result);
         finish(active.context, last->result, last->ran, last->finishReason);
     }
 }
 
-void entry::chooseTarget(active_run& active, const dispatch::choose_target& wish)
+void entry::chooseTarget(active_run& active, const dispatch::choose_target& effect)
 {
     auto& context = active.context;
     const steady_time now = steadyNow();
-    settleAttempt(context, active.run.target().instance, wish.previous);
-    if (wish.previousMayHaveRun) {
+    recordOutcome(context, active.run.target().instance, effect.previous);
+    if (effect.previousMayHaveRun) {
         telemetry::logEvent(event_code::AttemptLost,
             { { "request", context.request.id }, { "attempt", std::to_string(active.run.attempts()) },
                 { "instance", active.run.target().instance },
-                { "code", std::string(describe(wish.previous.code).name) }, { "reason", wish.previous.reason } },
+                { "code", std::string(describe(effect.previous.code).name) }, { "reason", effect.previous.reason } },
             telemetry::severity::Warning);
     }
-    if (wish.previousMayHaveRun && !m_budgets[context.request.workspace].tryTake()) {
-        note(context.request.id, "no retry: the workspace's retry budget is spent");
+    if (effect.previousMayHaveRun && !m_retryBudgets[context.request.workspace].tryTake()) {
+        recordDecision(context.request.id, "no retry: the workspace's retry budget is spent");
         active.run.noTarget({ result_code::RetryBudgetSpent, "" }, now);
         return;
     }
-    const bool isStale = wish.previous.code == result_code::StaleConfiguration && context.framesDelivered == 0;
+    const bool isStale = effect.previous.code == result_code::StaleConfiguration && context.framesDelivered == 0;
     const auto renewed = isStale ? readmit(context) : tl::expected<void, failure>();
     if (!renewed) {
-        routeRefused(active, renewed.error(), now);
+        reportNoTarget(active, renewed.error(), now);
         return;
     }
     auto query = makeQuery(context, now);
-    query.excluded = wish.excluded;
+    query.excluded = effect.excluded;
     const auto choice = m_routes.choose(query, now);
     if (!choice) {
-        routeRefused(active, choice.error(), now);
+        reportNoTarget(active, choice.error(), now);
         return;
     }
     telemetry::logEvent(event_code::RouteChosen,
         { { "request", context.request.id }, { "attempt", std::to_string(active.run.attempts() + 1) },
             { "candidates", std::to_string(choice->candidates) }, { "chosen", choice->instance },
             { "reason", std::string(choice->reason) }, { "version", context.version } });
-    note(context.request.id,
+    recordDecision(context.request.id,
         "attempt " + std::to_string(active.run.attempts() + 1) + " to " + choice->instance + ", one of "
             + std::to_string(choice->candidates) + " (" + std::string(choice->reason) + ")");
     active.run.targetChosen({ choice->instance, choice->incarnation }, now);
 }
 
-void entry::routeRefused(active_run& active, const failure& why, steady_time now)
+void entry::reportNoTarget(active_run& active, const failure& why, steady_time now)
 {
     const std::string& request = active.context.request.id;
     telemetry::logEvent(event_code::RouteRefused,
         { { "request", request }, { "code", std::string(describe(why.code).name) }, { "reason", why.reason } });
-    note(request, "no target: " + why.reason);
+    recordDecision(request, "no target: " + why.reason);
     active.run.noTarget(why, now);
 }
 
@@ -355,9 +355,9 @@
             message.work.prompt += token;
         message.work.maxTokens = context.request.maxTokens - static_cast<std::uint32_t>(offer.priorTokens.size());
     }
-    context.attemptBegun = now;
+    context.attemptStartedAt = now;
     context.framesInAttempt = 0;
-    context.hasOutstanding = true;
+    context.isAttemptInFlight = true;
     m_routes.attemptOffered(offer.target.instance);
     sendTo(offer.target.instance, message);
 }
@@ -388,14 +388,14 @@
     message.command.replaces = claim.replaces;
     message.command.wallSeconds = wallSeconds();
     message.command.retainSeconds = m_settings.claimRetentionSeconds;
-    m_claims[message.commandId] = request.id;
+    m_pendingClaims[message.commandId] = request.id;
     if (!m_session->send(message))
         active.run.claimFailed(steadyNow());
 }
 
-void entry::settleAttempt(run_context& context, const instance_id& instance, const failure& outcome)
+void entry::recordOutcome(run_context& context, const instance_id& instance, const failure& outcome)
 {
-    if (!std::exchange(context.hasOutstanding, false))
+    if (!std::exchange(context.isAttemptInFlight, false))
         return;
     const steady_time now = steadyNow();
     if (isFailureOfTarget(outcome.code)) {
@@ -407,7 +407,7 @@
     const bool tells = outcome.code == result_code::Ok
         || (outcome.code == result_code::DeadlinePassed && context.framesInAttempt > 0);
     if (tells)
-        m_routes.attemptSucceeded(instance, elapsedMs(context.attemptBegun, now), work);
+        m_routes.attemptSucceeded(instance, elapsedMs(context.attemptStartedAt, now), work);
     else
         m_routes.attemptReleased(instance);
 }
@@ -421,19 +421,19 @@
     telemetry::logEvent(event_code::RequestFinished,
         { { "request", request.id }, { "workspace", request.workspace }, { "code", code },
             { "ran", std::string(nameOf(ran)) }, { "reason", result.reason } });
-    note(request.id, "finished: " + code + ", ran: " + std::string(nameOf(ran)));
+    recordDecision(request.id, "finished: " + code + ", ran: " + std::string(nameOf(ran)));
     m_metrics.count("requests_total", code);
-    m_metrics.observeMs("request_ms", elapsedMs(context.begun, steadyNow()));
+    m_metrics.observeMs("request_ms", elapsedMs(context.startedAt, steadyNow()));
     context.queue->push(final_result { result, ran, finishReason });
 }
 
 void entry::deliverFrame(run_context& context, dispatch::response_frame frame)
 {
     if (context.framesDelivered++ == 0)
-        m_metrics.observeMs("first_token_ms", elapsedMs(context.begun, steadyNow()));
+        m_metrics.observeMs("first_token_ms", elapsedMs(context.startedAt, steadyNow()));
     ++context.framesInAttempt;
     if (!context.queue->push(std::move(frame)))
-        m_loop.post([this, id = context.request.id] { abandon(id); });
+        m_loop.post([this, id = context.request.id] { callerGone(id); });
 }
 
 void entry::sendTo(const instance_id& instance, const link::message& message)
@@ -448,32 +448,32 @@
     const steady_time now = steadyNow();
     driveAll(m_runs, [](auto& run, steady_time at) { run.tick(at); });
     driveAll(m_chains, [](auto& run, steady_time at) { run.tick(at); });
-    m_isReady = !m_stopping && !m_refusing && !m_drainedByOperator && m_session->hasLease();
+    m_isReady = !m_isStopping && !m_refusesRequests && !m_drainedByOperator && m_session->hasLease();
     m_metrics.gauge("requests_in_flight", static_cast<double>(m_runs.size() + m_chains.size()));
     m_metrics.gauge("link_bytes_sent", static_cast<double>(m_hub->bytesSent()));
     m_metrics.gauge("link_bytes_received", static_cast<double>(m_hub->bytesReceived()));
-    if (!m_whenDrained || !m_runs.empty() || !m_chains.empty() || m_serving > 0)
+    if (!m_onDrained || !m_runs.empty() || !m_chains.empty() || m_activeHandlers > 0)
         return;
     if (m_session->record().state != membership::instance_state::Left) {
         m_session->setState(membership::instance_state::Left);
-        m_leaveDeadline = now + leavePatience;
+        m_leaveDeadline = now + leaveTimeout;
         return;
     }
     if (m_session->isAnnounced() || now >= m_leaveDeadline)
-        std::exchange(m_whenDrained, {})();
+        std::exchange(m_onDrained, {})();
 }
 
-void entry::note(const std::string& requestId, const std::string& decision)
+void entry::recordDecision(const std::string& requestId, const std::string& decision)
 {
     const auto [at, isNew] = m_decisions.try_emplace(requestId);
     at->second.push_back(decision);
     if (!isNew)
         return;
-    m_recent.push_back(requestId);
-    if (m_recent.size() <= maxRecentRequests)
+    m_recentRequests.push_back(requestId);
+    if (m_recentRequests.size() <= maxRecentRequests)
         return;
-    m_decisions.erase(m_recent.front());
-    m_recent.pop_front();
+    m_decisions.erase(m_recentRequests.front());
+    m_recentRequests.pop_front();
 }
 
 int runEntry(const settings::settings& settings)
--- a/src/app/entry/entry.hpp
+++ b/src/app/entry/entry.hpp
@@ -29,7 +29,7 @@
     /// @brief Runs a request; its answer goes to the queue.
     void submit(const caller_request& request, std::shared_ptr<response_queue> queue);
     /// @brief The caller has gone.
-    void abandon(const std::string& requestId);
+    void callerGone(const std::string& requestId);
 
     /// @brief Names of the pipelines that a workspace may use.
     [[nodiscard]] std::vector<std::string> allowedPipelines(const std::string& workspace) const;
@@ -37,7 +37,7 @@
     [[nodiscard]] std::vector<std::string> explain(const std::string& requestId) const;
     [[nodiscard]] bool isReady() const { return m_isReady; }
     /// @brief Counts the HTTP threads that still write an answer: the process doesn't end before them.
-    std::atomic<int>& serving() { return m_serving; }
+    std::atomic<int>& activeHandlers() { return m_activeHandlers; }
 
 private:
     /// What both kinds of run share.
@@ -46,10 +46,10 @@
         std::shared_ptr<response_queue> queue;
         admission_result admission;
         std::string version;
-        steady_time begun {};
-        steady_time attemptBegun {};
+        steady_time startedAt {};
+        steady_time attemptStartedAt {};
         std::uint32_t framesInAttempt = 0;
-        bool hasOutstanding = false; ///< the route table counts an attempt
+        bool isAttemptInFlight = false; ///< the route table counts an attempt
         std::uint32_t framesDelivered = 0; ///< of frames given to the queue
     };
     struct active_run {
@@ -59,7 +59,7 @@
     struct active_chain {
         run_context context;
         execution::chain_run run;
-        std::vector<instance_id> outstanding; ///< the route table counts a stage at each
+        std::vector<instance_id> stagesInFlight; ///< the route table counts a stage at each
     };
 
     session_callbacks sessionCallbacks();
@@ -79,21 +79,21 @@
     void startRun(run_context context);
     void startChain(run_context context);
 
-    void forget(const std::string& requestId);
+    void removeRun(const std::string& requestId);
     void carryOut(active_run& active, const dispatch::run_effect& effect);
     void carryOut(active_chain& active, const execution::chain_effect& effect);
-    void chooseTarget(active_run& active, const dispatch::choose_target& wish);
-    void routeRefused(active_run& active, const failure& why, steady_time now);
+    void chooseTarget(active_run& active, const dispatch::choose_target& effect);
+    void reportNoTarget(active_run& active, const failure& why, steady_time now);
     /// @brief Takes the terms of the configuration now in force; the caller has been given nothing yet.
     tl::expected<void, failure> readmit(run_context& context);
     void releaseStages(active_chain& active);
-    void chooseChain(active_chain& active, const execution::choose_chain& wish);
+    void chooseChain(active_chain& active, const execution::choose_chain& effect);
     void sendOffer(active_run& active, const dispatch::send_offer& offer);
     [[nodiscard]] dispatch::attempt_offer makeOffer(
         const run_context& context, const attempt_id& attempt, incarnation_number incarnation, steady_time now) const;
     void sendTo(const instance_id& instance, const link::message& message);
     void sendClaim(active_run& active, const dispatch::send_claim& claim);
-    void settleAttempt(run_context& context, const instance_id& instance, const failure& outcome);
+    void recordOutcome(run_context& context, const instance_id& instance, const failure& outcome);
     void finish(run_context& context, const failure& result, ran_state ran, const std::string& finishReason);
     void deliverFrame(run_context& context, dispatch::response_frame frame);
 
@@ -107,7 +107,7 @@
     template <typename Runs, typename Event> void driveAll(Runs& runs, Event event);
 
     void tick();
-    void note(const std::string& requestId, const std::string& decision);
+    void recordDecision(const std::string& requestId, const std::string& decision);
 
     link::event_loop& m_loop;
     const settings::settings& m_settings;
@@ -117,19 +117,19 @@
     routing::route_table m_routes;
     std::map<std::string, active_run> m_runs;
     std::map<std::string, active_chain> m_chains;
-    std::multimap<std::string, std::string> m_followers; ///< by the request whose attempt they follow
-    std::map<std::string, std::string> m_claims; ///< request of each open claim command
+    std::multimap<std::string, std::string> m_attachedRequests; ///< by the request whose attempt they follow
+    std::map<std::string, std::string> m_pendingClaims; ///< request of each open claim command
     std::map<std::string, std::uint32_t> m_inFlight; ///< by workspace
-    std::map<std::string, routing::retry_budget> m_budgets; ///< by workspace
+    std::map<std::string, routing::retry_budget> m_retryBudgets; ///< by workspace
     std::map<std::string, std::vector<std::string>> m_decisions; ///< of recent requests
-    std::deque<std::string> m_recent;
-    bool m_refusing = false; ///< shutting down: no new request
+    std::deque<std::string> m_recentRequests;
+    bool m_refusesRequests = false; ///< shutting down: no new request
     bool m_drainedByOperator = false;
-    std::function<void()> m_whenDrained;
+    std::function<void()> m_onDrained;
     steady_time m_leaveDeadline {};
     std::atomic<bool> m_isReady { false };
-    std::atomic<bool> m_stopping { false };
-    std::atomic<int> m_serving { 0 };
+    std::atomic<bool> m_isStopping { false };
+    std::atomic<int> m_activeHandlers { 0 };
     std::unique_ptr<link::link_hub> m_hub;
     std::unique_ptr<session_client> m_session;
     std::unique_ptr<sidecar_links> m_links;
@@ -149,7 +149,7 @@
     while (const auto effect = active.run.nextEffect())
         carryOut(active, *effect);
     if (active.run.isFinished())
-        forget(requestId);
+        removeRun(requestId);
 }
 
 template <typename Runs, typename Event> void entry::driveAll(Runs& runs, Event event)
@@ -175,11 +175,11 @@
 template <typename Event> void entry::withAttempt(const attempt_id& attempt, Event event)
 {
     withRun(attempt.request, event);
-    const auto [first, last] = m_followers.equal_range(attempt.request);
-    std::vector<std::string> followers;
+    const auto [first, last] = m_attachedRequests.equal_range(attempt.request);
+    std::vector<std::string> attached;
     for (auto at = first; at != last; ++at)
-        followers.push_back(at->second);
-    for (const auto& id : followers)
+        attached.push_back(at->second);
+    for (const auto& id : attached)
         withRun(id, event);
 }
 
--- a/src/app/entry/entry_admission.cpp
+++ b/src/app/entry/entry_admission.cpp
@@ -9,22 +9,22 @@
     run_context context;
     context.request = request;
     context.queue = std::move(queue);
-    context.begun = steadyNow();
+    context.startedAt = steadyNow();
     auto admission = admitRequest(request);
     if (!admission) {
         refuse(context, admission.error());
         return;
     }
     applyAdmission(context, std::move(*admission));
-    const auto query = makeQuery(context, context.begun);
-    const bool isSplit = !request.pipeline.empty() && !m_routes.hasUnsplitTarget(query, context.begun)
-        && !m_routes.stageCandidates(query, context.begun).empty();
+    const auto query = makeQuery(context, context.startedAt);
+    const bool isSplit = !request.pipeline.empty() && !m_routes.hasUnsplitTarget(query, context.startedAt)
+        && !m_routes.stageCandidates(query, context.startedAt).empty();
     if (isSplit && context.admission.nonIdempotent) {
         refuse(context, { result_code::BadHeader, "a split pipeline takes no non-idempotent request" });
         return;
     }
     ++m_inFlight[request.workspace];
-    m_budgets[request.workspace].countRequest();
+    m_retryBudgets[request.workspace].countRequest();
     if (isSplit)
         startChain(std::move(context));
     else
@@ -33,7 +33,7 @@
 
 tl::expected<admission_result, failure> entry::admitRequest(const caller_request& request) const
 {
-    if (m_refusing || m_drainedByOperator)
+    if (m_refusesRequests || m_drainedByOperator)
         return tl::make_unexpected(failure { result_code::ShuttingDown, "" });
     if (!m_session->hasLease())
         return tl::make_unexpected(failure { result_code::NoConfiguration, "" });
--- a/src/app/entry/entry_api.cpp
+++ b/src/app/entry/entry_api.cpp
@@ -24,22 +24,22 @@
 constexpr std::size_t maxKeyLength = 256;
 constexpr std::string_view servicePrefix = "/services/";
 constexpr std::string_view explainPrefix = "/v1/explain/";
-constexpr milliseconds loopPatience { 3000 };
-constexpr milliseconds finalPatience { 5000 }; ///< after the deadline, for the loop's last word
+constexpr milliseconds loopTimeout { 3000 };
+constexpr milliseconds resultGracePeriod { 5000 }; ///< after the deadline, for the loop's last word
 
 /// Headers of one connection, and ours; they are not passed on to a service.
-constexpr std::array<std::string_view, 13> privateHeaders { "Host", "Connection", "Content-Length", "Transfer-Encoding",
-    "Keep-Alive", "Upgrade", "TE", "Trailer", "Expect", "X-Timeout-Ms", "X-Priority", "X-Non-Idempotent",
-    "Proxy-Connection" };
+constexpr std::array<std::string_view, 13> excludedHeaders { "Host", "Connection", "Content-Length",
+    "Transfer-Encoding", "Keep-Alive", "Upgrade", "TE", "Trailer", "Expect", "X-Timeout-Ms", "X-Priority",
+    "X-Non-Idempotent", "Proxy-Connection" };
 
-bool isPrivate(const std::string& name)
+bool isExcluded(const std::string& name)
 {
-    return std::any_of(privateHeaders.begin(), privateHeaders.end(), [&name](std::string_view other) {
+    return std::any_of(excludedHeaders.begin(), excludedHeaders.end(), [&name](std::string_view other) {
         return name.size() == other.size() && strncasecmp(name.data(), other.data(), other.size()) == 0;
     });
 }
 
-tl::unexpected<failure> wrong(result_code code, const std::string& reason)
+tl::unexpected<failure> badRequest(result_code code, const std::string& reason)
 {
     return tl::make_unexpected(failure { code, reason });
 }
@@ -52,25 +52,25 @@
     result.id = randomName();
     result.workspace = request.header("X-Workspace").value_or("");
     if (result.workspace.empty())
-        return wrong(result_code::BadHeader, "X-Workspace is missing");
+        return badRequest(result_code::BadHeader, "X-Workspace is missing");
     result.idempotencyKey = request.header("Idempotency-Key").value_or("");
     if (result.idempotencyKey.size() > maxKeyLength)
-        return wrong(result_code::BadHeader, "Idempotency-Key is longer than 256 characters");
+        return badRequest(result_code::BadHeader, "Idempotency-Key is longer than 256 characters");
     const std::string mark = request.header("X-Non-Idempotent").value_or("false");
     if (mark != "true" && mark != "false")
-        return wrong(result_code::BadHeader, "X-Non-Idempotent must be true or false");
+        return badRequest(result_code::BadHeader, "X-Non-Idempotent must be true or false");
     result.markedNonIdempotent = mark == "true";
     if (const auto priority = request.header("X-Priority")) {
         result.priority = valueIn(priorityNames, *priority);
         if (!result.priority)
-            return wrong(result_code::BadHeader, "X-Priority must be low, normal or high");
+            return badRequest(result_code::BadHeader, "X-Priority must be low, normal or high");
     }
     std::uint32_t timeoutMs = settings.defaultTimeoutMs;
     if (const auto timeout = request.header("X-Timeout-Ms")) {
         const auto [end, error] = std::from_chars(timeout->data(), timeout->data() + timeout->size(), timeoutMs);
-        const bool whole = error == std::errc() && end == timeout->data() + timeout->size();
-        if (!whole || timeoutMs == 0 || timeoutMs > settings.maxTimeoutMs)
-            return wrong(result_code::BadHeader,
+        const bool isNumber = error == std::errc() && end == timeout->data() + timeout->size();
+        if (!isNumber || timeoutMs == 0 || timeoutMs > settings.maxTimeoutMs)
+            return badRequest(result_code::BadHeader,
                 "X-Timeout-Ms must be a whole number from 1 to " + std::to_string(settings.maxTimeoutMs));
     }
     result.deadline = now + milliseconds(timeoutMs);
@@ -82,13 +82,13 @@
 {
     const auto found = body.find("messages");
     if (found == body.end() || !found->is_array() || found->empty())
-        return wrong(result_code::MalformedRequest, "'messages' must be a list that isn't empty");
+        return badRequest(result_code::MalformedRequest, "'messages' must be a list that isn't empty");
     std::string prompt;
     for (const auto& message : *found) {
-        const bool isWhole = message.is_object() && message.contains("role") && message["role"].is_string()
+        const bool isValid = message.is_object() && message.contains("role") && message["role"].is_string()
             && message.contains("content") && message["content"].is_string();
-        if (!isWhole)
-            return wrong(result_code::MalformedRequest, "each message needs 'role' and 'content' as texts");
+        if (!isValid)
+            return badRequest(result_code::MalformedRequest, "each message needs 'role' and 'content' as texts");
         prompt += message["role"].get<std::string>() + ": " + message["content"].get<std::string>() + "\n";
     }
     return prompt;
@@ -98,9 +98,9 @@
 {
     const json body = json::parse(request.body, nullptr, false);
     if (!body.is_object())
-        return wrong(result_code::MalformedRequest, "the body is not a JSON object");
+        return badRequest(result_code::MalformedRequest, "the body is not a JSON object");
     if (!body.contains("model") || !body["model"].is_string() || body["model"].get_ref<const std::string&>().empty())
-        return wrong(result_code::MalformedRequest, "'model' must be a text");
+        return badRequest(result_code::MalformedRequest, "'model' must be a text");
     result.pipeline = body["model"].get<std::string>();
     if (isChat) {
         auto prompt = readMessages(body);
@@ -109,18 +109,18 @@
         result.prompt = std::move(*prompt);
     } else {
         if (!body.contains("prompt") || !body["prompt"].is_string())
-            return wrong(result_code::MalformedRequest, "'prompt' must be a text");
+            return badRequest(result_code::MalformedRequest, "'prompt' must be a text");
         result.prompt = body["prompt"].get<std::string>();
     }
     if (body.contains("stream") && !body["stream"].is_boolean())
-        return wrong(result_code::MalformedRequest, "'stream' must be true or false");
-    result.streams = body.value("stream", false);
+        return badRequest(result_code::MalformedRequest, "'stream' must be true or false");
+    result.isStream = body.value("stream", false);
     result.maxTokens = defaultMaxTokens;
     if (body.contains("max_tokens")) {
         const json& limit = body["max_tokens"];
         if (!limit.is_number_unsigned() || limit.get<std::uint64_t>() < 1
             || limit.get<std::uint64_t>() > maxTokensLimit)
-            return wrong(result_code::MalformedRequest, "'max_tokens' must be a whole number from 1 to 32768");
+            return badRequest(result_code::MalformedRequest, "'max_tokens' must be a whole number from 1 to 32768");
         result.maxTokens = limit.get<std::uint32_t>();
     }
     return {};
@@ -132,7 +132,7 @@
     const auto slash = rest.find('/');
     result.service = rest.substr(0, slash);
     if (result.service.empty())
-        return wrong(result_code::MalformedRequest, "the path names no service");
+        return badRequest(result_code::MalformedRequest, "the path names no service");
     auto& call = result.call;
     call.kind = dispatch::work_kind::ServiceCall;
     call.method = request.method;
@@ -140,14 +140,14 @@
     if (!request.query.empty())
         call.path += "?" + request.query;
     for (const auto& header : request.headers) {
-        if (!isPrivate(header.name))
+        if (!isExcluded(header.name))
             call.headers.push_back(header);
     }
     call.body = request.body;
     return {};
 }
 
-std::uint64_t digestOf(const http_request& request)
+std::uint64_t requestDigest(const http_request& request)
 {
     const std::string whole = request.method + "\n" + request.path + "\n" + request.query + "\n" + request.body;
     return XXH64(whole.data(), whole.size(), 0);
@@ -171,7 +171,7 @@
             m_headers = frame.headers;
             return true;
         }
-        if (!m_request.streams) {
+        if (!m_request.isStream) {
             m_body += frame.bytes;
             ++m_tokens;
             return true;
@@ -205,7 +205,7 @@
         }
         std::vector<header_field> headers { { "X-Request-Id", m_request.id } };
         for (const auto& header : m_headers) {
-            if (!isPrivate(header.name))
+            if (!isExcluded(header.name))
                 headers.push_back(header);
         }
         m_exchange.respond(m_status, headers, m_body);
@@ -218,11 +218,11 @@
     {
         json one = { { "index", 0 }, { "finish_reason", finishReason.empty() ? json() : json(finishReason) } };
         if (m_isChat)
-            one[m_request.streams ? "delta" : "message"] = { { "role", "assistant" }, { "content", text } };
+            one[m_request.isStream ? "delta" : "message"] = { { "role", "assistant" }, { "content", text } };
         else
             one["text"] = text;
         const std::string object = m_isChat ? "chat.completion" : "text_completion";
-        return { { "id", m_request.id }, { "object", m_isChat && m_request.streams ? object + ".chunk" : object },
+        return { { "id", m_request.id }, { "object", m_isChat && m_request.isStream ? object + ".chunk" : object },
             { "model", m_request.pipeline }, { "choices", json::array({ one }) } };
     }
 
@@ -247,16 +247,16 @@
 };
 
 /// Counts while it lives.
-class serving_count {
+class active_handler_count {
 public:
-    explicit serving_count(std::atomic<int>& counter)
+    explicit active_handler_count(std::atomic<int>& counter)
         : m_counter(counter)
     {
         ++m_counter;
     }
-    serving_count(const serving_count&) = delete;
-    serving_count& operator=(const serving_count&) = delete;
-    ~serving_count() { --m_counter; }
+    active_handler_count(const active_handler_count&) = delete;
+    active_handler_count& operator=(const active_handler_count&) = delete;
+    ~active_handler_count() { --m_counter; }
 
 private:
     std::atomic<int>& m_counter;
@@ -274,23 +274,23 @@
 
     void serve(const http_request& request, http_exchange& exchange)
     {
-        const serving_count count(m_role.serving());
-        const auto wanted = readCallerRequest(request, m_settings, steadyNow());
-        if (!wanted) {
-            http::respondError(exchange, wanted.error(), ran_state::No);
+        const active_handler_count guard(m_role.activeHandlers());
+        const auto parsed = readCallerRequest(request, m_settings, steadyNow());
+        if (!parsed) {
+            http::respondError(exchange, parsed.error(), ran_state::No);
             return;
         }
         const auto queue = std::make_shared<response_queue>();
-        m_loop.post([this, wanted = *wanted, queue] { m_role.submit(wanted, queue); });
-        response_writer writer(*wanted, request.path == "/v1/chat/completions", exchange);
-        const steady_time patience = wanted->deadline + finalPatience;
-        while (const auto event = queue->pop(patience)) {
+        m_loop.post([this, parsed = *parsed, queue] { m_role.submit(parsed, queue); });
+        response_writer writer(*parsed, request.path == "/v1/chat/completions", exchange);
+        const steady_time resultDeadline = parsed->deadline + resultGracePeriod;
+        while (const auto event = queue->pop(resultDeadline)) {
             if (const auto* end = std::get_if<final_result>(&*event)) {
                 writer.finish(*end);
                 return;
             }
             if (!writer.write(std::get<dispatch::response_frame>(*event))) {
-                m_loop.post([this, id = wanted->id] { m_role.abandon(id); });
+                m_loop.post([this, id = parsed->id] { m_role.callerGone(id); });
                 return;
             }
         }
@@ -301,7 +301,7 @@
     {
         const std::string workspace = request.header("X-Workspace").value_or("");
         const auto names = askLoop<std::vector<std::string>>(
-            m_loop, loopPatience, [this, workspace](const auto& reply) { reply(m_role.allowedPipelines(workspace)); });
+            m_loop, loopTimeout, [this, workspace](const auto& reply) { reply(m_role.allowedPipelines(workspace)); });
         json list = json::array();
         for (const auto& name : names.value_or(std::vector<std::string> {}))
             list.push_back({ { "id", name }, { "object", "model" } });
@@ -312,7 +312,7 @@
     {
         const std::string id = request.path.substr(explainPrefix.size());
         const auto decisions = askLoop<std::vector<std::string>>(
-            m_loop, loopPatience, [this, id](const auto& reply) { reply(m_role.explain(id)); });
+            m_loop, loopTimeout, [this, id](const auto& reply) { reply(m_role.explain(id)); });
         if (!decisions || decisions->empty()) {
             http::respondError(exchange, { result_code::NotFound, "no recent request has this id" }, ran_state::No);
             return;
@@ -340,12 +340,12 @@
     auto result = readHeaders(request, settings, now);
     if (!result)
         return result;
-    result->digest = digestOf(request);
+    result->digest = requestDigest(request);
     tl::expected<void, failure> read;
     if (request.path.starts_with(servicePrefix)) {
         read = readServiceCall(request, *result);
     } else if (request.method != "POST") {
-        read = wrong(result_code::MalformedRequest, "use POST");
+        read = badRequest(result_code::MalformedRequest, "use POST");
     } else {
         read = readCompletion(request, request.path == "/v1/chat/completions", *result);
     }
--- a/src/app/entry/entry_chains.cpp
+++ b/src/app/entry/entry_chains.cpp
@@ -5,19 +5,19 @@
 namespace buckthornrail::app {
 namespace {
 
-constexpr milliseconds stageStartPatience { 800 };
+constexpr milliseconds stageStartTimeout { 800 };
 
 } // namespace
 
 void entry::startChain(run_context context)
 {
     const auto& request = context.request;
-    execution::chain_request wanted { request.id, context.admission.model, context.version,
+    execution::chain_request runRequest { request.id, context.admission.model, context.version,
         context.admission.layerCount, request.prompt, request.maxTokens, request.deadline };
     execution::chain_run_options options;
     options.progressTimeout = milliseconds(m_settings.progressTimeoutMs);
     const std::string id = request.id;
-    m_chains.emplace(id, active_chain { std::move(context), execution::chain_run(std::move(wanted), options) });
+    m_chains.emplace(id, active_chain { std::move(context), execution::chain_run(std::move(runRequest), options) });
     withChain(id, [](auto& run, steady_time now) { run.start(now); });
 }
 
@@ -32,7 +32,7 @@
             run.token({ token->generation, token->token, token->text, token->last, token->finishReason }, now);
         });
     } else if (const auto* failed = std::get_if<link::stage_failed>(&message)) {
-        note(failed->request,
+        recordDecision(failed->request,
             "stage " + std::to_string(failed->stage) + " of generation " + std::to_string(failed->generation)
                 + " failed: " + failed->reason);
         withChain(failed->request, [&](auto& run, steady_time now) {
@@ -47,15 +47,15 @@
 {
     auto& context = active.context;
     const std::string& id = context.request.id;
-    if (const auto* wish = std::get_if<execution::choose_chain>(&effect)) {
-        chooseChain(active, *wish);
+    if (const auto* choose = std::get_if<execution::choose_chain>(&effect)) {
+        chooseChain(active, *choose);
     } else if (const auto* open = std::get_if<execution::open_stage>(&effect)) {
         const auto& stage = open->plan.stages[open->stage];
         m_routes.attemptOffered(stage.instance);
-        active.outstanding.push_back(stage.instance);
+        active.stagesInFlight.push_back(stage.instance);
         auto offer = makeOffer(context, { id, open->plan.generation }, stage.incarnation, steadyNow());
         offer.startWithinMs
-            = std::min<std::uint32_t>(offer.startWithinMs, static_cast<std::uint32_t>(stageStartPatience.count()));
+            = std::min<std::uint32_t>(offer.startWithinMs, static_cast<std::uint32_t>(stageStartTimeout.count()));
         offer.work.kind = dispatch::work_kind::Stage;
         offer.work.chain = open->plan;
         offer.work.stage = open->stage;
@@ -86,23 +86,23 @@
 
 void entry::releaseStages(active_chain& active)
 {
-    for (const auto& instance : std::exchange(active.outstanding, {}))
+    for (const auto& instance : std::exchange(active.stagesInFlight, {}))
         m_routes.attemptReleased(instance);
 }
 
-void entry::chooseChain(active_chain& active, const execution::choose_chain& wish)
+void entry::chooseChain(active_chain& active, const execution::choose_chain& effect)
 {
     auto& context = active.context;
     const steady_time now = steadyNow();
     auto query = makeQuery(context, now);
-    query.excluded = wish.excluded;
+    query.excluded = effect.excluded;
     releaseStages(active);
     const auto candidates = m_routes.stageCandidates(query, now);
     auto chain = execution::buildChain(candidates, context.admission.layerCount);
     if (!chain) {
         telemetry::logEvent(
             event_code::RouteRefused, { { "request", context.request.id }, { "reason", chain.error().reason } });
-        note(context.request.id, "no chain: " + chain.error().reason);
+        recordDecision(context.request.id, "no chain: " + chain.error().reason);
         active.run.noChain(chain.error());
         return;
     }
@@ -115,7 +115,7 @@
         { { "request", context.request.id }, { "generation", std::to_string(active.run.generation() + 1) },
             { "candidates", std::to_string(candidates.size()) }, { "stages", stages },
             { "reason", "lowest_estimate" } });
-    note(context.request.id, "generation " + std::to_string(active.run.generation() + 1) + ": " + stages);
+    recordDecision(context.request.id, "generation " + std::to_string(active.run.generation() + 1) + ": " + stages);
     active.run.chainBuilt(std::move(*chain), now);
 }
 
