--- a/src/app/entry/admission.cpp
+++ b/src/app/entry/admission.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Admission by the configuration.
+/// @brief Checks of requests against the configuration, and the draw of a version.
 #include "app/entry/admission.hpp"
 
 #include "buckthornrail/routing/route_table.hpp"
--- a/src/app/entry/admission_test.cpp
+++ b/src/app/entry/admission_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Who is admitted, on what terms; and reading callers' requests.
+/// @brief Admission of requests, and the parser of callers' requests.
 #include "app/entry/entry_api.hpp"
 
 #include <catch2/catch.hpp>
@@ -46,7 +46,7 @@
 
 } // namespace
 
-TEST_CASE("admission: each reason to refuse", "[admission]")
+TEST_CASE("admission: requests are refused for each of the reasons", "[admission]")
 {
     CHECK(admissionCode(completionOf("a", "p")) == result_code::Ok);
     CHECK(admissionCode(completionOf("nobody", "p")) == result_code::UnknownWorkspace);
@@ -62,18 +62,18 @@
     CHECK(admissionCode(marked) == result_code::Ok);
 }
 
-TEST_CASE("admission: terms come from the workspace and the pipeline", "[admission]")
+TEST_CASE("admission: parameters come from the workspace and the pipeline", "[admission]")
 {
     auto request = completionOf("a", "p");
     CHECK(admit(testDocument(), request, 0)->priority == request_priority::Low);
     request.priority = request_priority::High;
     const auto admission = admit(testDocument(), request, 0);
-    CHECK(admission->priority == request_priority::Normal); // lowered to the workspace's highest
+    CHECK(admission->priority == request_priority::Normal); // limited by max_priority of the workspace
     CHECK(admission->weight == 3);
     CHECK(admission->layerCount == 8);
 }
 
-TEST_CASE("admission: versions that nobody serves lose their share, and share 0 gets nothing", "[admission]")
+TEST_CASE("admission: only versions with a ready target and a share above 0 are drawn", "[admission]")
 {
     const std::vector<configuration::share> versions { { "1", 70 }, { "2", 30 }, { "3", 0 } };
     std::uint32_t below = 0;
@@ -85,10 +85,11 @@
     CHECK(below == 100);
     CHECK(drawVersion(versions, { "1", "3" }, draw) == "1");
     CHECK(below == 70);
-    CHECK(drawVersion(versions, { "3" }, draw) == "1"); // none is ready: the request will find no target
+    // None can be drawn: the first one is returned, for which routing then finds no target.
+    CHECK(drawVersion(versions, { "3" }, draw) == "1");
 }
 
-TEST_CASE("requests: a timeout becomes a deadline, private headers stay behind", "[admission]")
+TEST_CASE("requests: the timeout becomes a deadline, headers for the entry are not passed on", "[admission]")
 {
     http::http_request request;
     request.method = "PUT";
--- a/src/app/entry/entry.cpp
+++ b/src/app/entry/entry.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Wiring of runs, routes, claims and links.
+/// @brief Connects runs with the route table, the controller session and the links to sidecars.
 #include "app/entry/entry.hpp"
 
 #include "app/entry/entry_api.hpp"
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr milliseconds tickPeriod { 20 };
-constexpr milliseconds readinessGrace { 1000 }; ///< the balancer sees readiness fail before requests are refused
-constexpr milliseconds leaveTimeout { 1500 };
+constexpr milliseconds readinessGrace { 1000 }; ///< for load balancers to see the failed readiness before refusals
+constexpr milliseconds leaveTimeout { 1500 }; ///< for the controllers to acknowledge that this instance has left
 constexpr std::size_t maxRecentRequests = 2000;
 
 routing::route_options routeOptions(const settings::settings& settings)
@@ -402,11 +402,11 @@
         m_routes.attemptFailed(instance, now);
         return;
     }
-    // A request cut by its deadline still tells how slow the target is.
+    // A request cut off by its deadline still yields a latency sample, so that slow targets are recognised.
     const double work = context.request.pipeline.empty() ? 1 : context.framesInAttempt;
-    const bool tells = outcome.code == result_code::Ok
+    const bool hasSample = outcome.code == result_code::Ok
         || (outcome.code == result_code::DeadlinePassed && context.framesInAttempt > 0);
-    if (tells)
+    if (hasSample)
         m_routes.attemptSucceeded(instance, elapsedMs(context.attemptStartedAt, now), work);
     else
         m_routes.attemptReleased(instance);
--- a/src/app/entry/entry.hpp
+++ b/src/app/entry/entry.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The entry role: admits callers' requests, routes them to sidecars and gives back whole answers.
+/// @brief The entry role: admits callers' requests, dispatches them to sidecars and returns complete responses.
 #pragma once
 
 #include "app/entry/admission.hpp"
@@ -14,33 +14,40 @@
 
 namespace buckthornrail::app {
 
-/// @brief Lives on the loop thread.
+/// @brief Owns the runs, the route table and the links of an entry. To be used only on the event loop's thread, except
+/// isReady() and activeHandlers().
 class entry {
 public:
+    /// @param loop must outlive the role, as must `settings` and `metrics`
     entry(link::event_loop& loop, const settings::settings& settings, telemetry::metrics& metrics);
     entry(const entry&) = delete;
     entry& operator=(const entry&) = delete;
     ~entry();
 
+    /// @brief Opens the session with the controllers; links to sidecars open when first needed.
     tl::expected<void, failure> start();
-    /// @brief Fails readiness, then takes no new request; calls `done` when all have their answers.
+    /// @brief Shuts down gracefully: reports not ready at once, refuses new requests after a grace period and lets
+    /// those in flight finish.
+    /// @param done called once no request is in flight and the controllers know that this instance has left, or the
+    /// timeout for that has passed
     void stop(std::function<void()> done);
 
-    /// @brief Runs a request; its answer goes to the queue.
+    /// @brief Admits and runs a request.
+    /// @param queue receives the response, or the reason why the request is refused
     void submit(const caller_request& request, std::shared_ptr<response_queue> queue);
-    /// @brief The caller has gone.
+    /// @brief The caller has disconnected or reads too slowly: cancels the request.
     void callerGone(const std::string& requestId);
 
-    /// @brief Names of the pipelines that a workspace may use.
+    /// @return names of the pipelines that a workspace may use
     [[nodiscard]] std::vector<std::string> allowedPipelines(const std::string& workspace) const;
-    /// @brief The decisions taken for a recent request, oldest first.
+    /// @return the decisions made for a recent request, oldest first; empty: not known any more
     [[nodiscard]] std::vector<std::string> explain(const std::string& requestId) const;
     [[nodiscard]] bool isReady() const { return m_isReady; }
-    /// @brief Counts the HTTP threads that still write an answer: the process doesn't end before them.
+    /// @brief Number of HTTP threads that serve a request. The process doesn't exit before it is 0.
     std::atomic<int>& activeHandlers() { return m_activeHandlers; }
 
 private:
-    /// What both kinds of run share.
+    /// State that both kinds of run have.
     struct run_context {
         caller_request request;
         std::shared_ptr<response_queue> queue;
@@ -49,8 +56,8 @@
         steady_time startedAt {};
         steady_time attemptStartedAt {};
         std::uint32_t framesInAttempt = 0;
-        bool isAttemptInFlight = false; ///< the route table counts an attempt
-        std::uint32_t framesDelivered = 0; ///< of frames given to the queue
+        bool isAttemptInFlight = false; ///< counted so in the route table
+        std::uint32_t framesDelivered = 0; ///< number of frames pushed to the queue
     };
     struct active_run {
         run_context context;
@@ -59,7 +66,7 @@
     struct active_chain {
         run_context context;
         execution::chain_run run;
-        std::vector<instance_id> stagesInFlight; ///< the route table counts a stage at each
+        std::vector<instance_id> stagesInFlight; ///< instances with a stage counted in the route table
     };
 
     session_callbacks sessionCallbacks();
@@ -72,20 +79,26 @@
     void onLinkLost(const instance_id& instance);
 
     [[nodiscard]] tl::expected<admission_result, failure> admitRequest(const caller_request& request) const;
-    /// @brief Draws the version that the request asks for.
+    /// @brief Stores the parameters of a request and draws its version.
     void applyAdmission(run_context& context, admission_result admission);
+    /// @brief Logs the reason and answers a request that isn't started.
     void refuse(const run_context& context, const failure& why);
     [[nodiscard]] routing::route_query makeQuery(const run_context& context, steady_time now) const;
     void startRun(run_context context);
     void startChain(run_context context);
 
+    /// @brief Removes a finished run or chain.
     void removeRun(const std::string& requestId);
+    /// @brief Carries out an effect that the state machine of a run or chain has requested.
     void carryOut(active_run& active, const dispatch::run_effect& effect);
     void carryOut(active_chain& active, const execution::chain_effect& effect);
     void chooseTarget(active_run& active, const dispatch::choose_target& effect);
+    /// @brief Logs why routing has found no target and tells the run.
     void reportNoTarget(active_run& active, const failure& why, steady_time now);
-    /// @brief Takes the terms of the configuration now in force; the caller has been given nothing yet.
+    /// @brief Admits a request again, under the configuration that is active now. To be called only before the first
+    /// frame is delivered. @return why the request is refused now
     tl::expected<void, failure> readmit(run_context& context);
+    /// @brief Reports the end of all stages of a chain to the route table.
     void releaseStages(active_chain& active);
     void chooseChain(active_chain& active, const execution::choose_chain& effect);
     void sendOffer(active_run& active, const dispatch::send_offer& offer);
@@ -93,20 +106,25 @@
         const run_context& context, const attempt_id& attempt, incarnation_number incarnation, steady_time now) const;
     void sendTo(const instance_id& instance, const link::message& message);
     void sendClaim(active_run& active, const dispatch::send_claim& claim);
+    /// @brief Reports the end of the attempt in flight, if any, to the route table.
     void recordOutcome(run_context& context, const instance_id& instance, const failure& outcome);
+    /// @brief Logs and counts the result of a request and sends it to the caller.
     void finish(run_context& context, const failure& result, ran_state ran, const std::string& finishReason);
+    /// @brief Pushes a frame to the caller's queue. If it is full the request is cancelled.
     void deliverFrame(run_context& context, dispatch::response_frame frame);
 
-    /// Calls an event function of the run that an attempt belongs to, and carries out what follows.
+    /// Passes an event to a run, if it is active, and carries out the effects.
     template <typename Event> void withRun(const std::string& requestId, Event event);
-    /// The same for all runs that follow the attempt: the one that made it, and those that resent its key.
+    /// Passes an event to the run that made an attempt and to those attached to it, which resent its key.
     template <typename Event> void withAttempt(const attempt_id& attempt, Event event);
+    /// Passes an event to a chain, if it is active, and carries out the effects.
     template <typename Event> void withChain(const std::string& requestId, Event event);
     template <typename Runs, typename Event> void drive(Runs& runs, const std::string& requestId, Event event);
-    /// The same for every run or chain that is open.
+    /// Passes an event to every active run or chain.
     template <typename Runs, typename Event> void driveAll(Runs& runs, Event event);
 
     void tick();
+    /// @brief Records a decision for explain(). Only the most recent requests are kept.
     void recordDecision(const std::string& requestId, const std::string& decision);
 
     link::event_loop& m_loop;
@@ -117,16 +135,16 @@
     routing::route_table m_routes;
     std::map<std::string, active_run> m_runs;
     std::map<std::string, active_chain> m_chains;
-    std::multimap<std::string, std::string> m_attachedRequests; ///< by the request whose attempt they follow
-    std::map<std::string, std::string> m_pendingClaims; ///< request of each open claim command
-    std::map<std::string, std::uint32_t> m_inFlight; ///< by workspace
+    std::multimap<std::string, std::string> m_attachedRequests; ///< by the request whose attempt holds their key
+    std::map<std::string, std::string> m_pendingClaims; ///< request id by the id of the claim command
+    std::map<std::string, std::uint32_t> m_inFlight; ///< number of requests by workspace
     std::map<std::string, routing::retry_budget> m_retryBudgets; ///< by workspace
-    std::map<std::string, std::vector<std::string>> m_decisions; ///< of recent requests
-    std::deque<std::string> m_recentRequests;
-    bool m_refusesRequests = false; ///< shutting down: no new request
+    std::map<std::string, std::vector<std::string>> m_decisions; ///< by recent request
+    std::deque<std::string> m_recentRequests; ///< keys of m_decisions, oldest first
+    bool m_refusesRequests = false; ///< shutting down; set after the grace period
     bool m_drainedByOperator = false;
     std::function<void()> m_onDrained;
-    steady_time m_leaveDeadline {};
+    steady_time m_leaveDeadline {}; ///< for the acknowledgement of the state Left
     std::atomic<bool> m_isReady { false };
     std::atomic<bool> m_isStopping { false };
     std::atomic<int> m_activeHandlers { 0 };
--- a/src/app/entry/entry_admission.cpp
+++ b/src/app/entry/entry_admission.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Admission of a request at an entry: its terms under the configuration in force, and the version it asks for.
+/// @brief Admission of requests at an entry: parameters from the active configuration, and the draw of a version.
 #include "app/entry/entry.hpp"
 
 namespace buckthornrail::app {
@@ -20,7 +20,9 @@
     const bool isSplit = !request.pipeline.empty() && !m_routes.hasUnsplitTarget(query, context.startedAt)
         && !m_routes.stageCandidates(query, context.startedAt).empty();
     if (isSplit && context.admission.nonIdempotent) {
-        refuse(context, { result_code::BadHeader, "a split pipeline takes no non-idempotent request" });
+        refuse(context,
+            { result_code::BadHeader,
+                "a pipeline whose model is split into stages does not support non-idempotent requests" });
         return;
     }
     ++m_inFlight[request.workspace];
@@ -50,7 +52,7 @@
 
 tl::expected<void, failure> entry::readmit(run_context& context)
 {
-    constexpr std::uint32_t othersInFlight = 0; // it was admitted before: the limit isn't asked again
+    constexpr std::uint32_t othersInFlight = 0; // already counted in flight: the limit is not checked again
     auto admission = admit(m_session->configuration().current(), context.request, othersInFlight);
     if (!admission)
         return tl::make_unexpected(admission.error());
--- a/src/app/entry/entry_api.cpp
+++ b/src/app/entry/entry_api.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Callers' requests: reading them, and writing answers.
+/// @brief Parses callers' requests and writes the responses.
 #include "app/entry/entry_api.hpp"
 
 #include "app/controller/operator_access.hpp"
@@ -24,10 +24,10 @@
 constexpr std::size_t maxKeyLength = 256;
 constexpr std::string_view servicePrefix = "/services/";
 constexpr std::string_view explainPrefix = "/v1/explain/";
-constexpr milliseconds loopTimeout { 3000 };
-constexpr milliseconds resultGracePeriod { 5000 }; ///< after the deadline, for the loop's last word
+constexpr milliseconds loopTimeout { 3000 }; ///< for a query to the event loop
+constexpr milliseconds resultGracePeriod { 5000 }; ///< from the request's deadline to the event loop's result
 
-/// Headers of one connection, and ours; they are not passed on to a service.
+/// Headers not passed on to or from a service: those that apply to one connection, and those that the entry handles.
 constexpr std::array<std::string_view, 13> excludedHeaders { "Host", "Connection", "Content-Length",
     "Transfer-Encoding", "Keep-Alive", "Upgrade", "TE", "Trailer", "Expect", "X-Timeout-Ms", "X-Priority",
     "X-Non-Idempotent", "Proxy-Connection" };
@@ -44,7 +44,7 @@
     return tl::make_unexpected(failure { code, reason });
 }
 
-/// Reads the headers that every request may carry.
+/// Parses the headers that any request may have.
 tl::expected<caller_request, failure> readHeaders(
     const http_request& request, const settings::settings& settings, steady_time now)
 {
@@ -71,24 +71,24 @@
         const bool isNumber = error == std::errc() && end == timeout->data() + timeout->size();
         if (!isNumber || timeoutMs == 0 || timeoutMs > settings.maxTimeoutMs)
             return badRequest(result_code::BadHeader,
-                "X-Timeout-Ms must be a whole number from 1 to " + std::to_string(settings.maxTimeoutMs));
+                "X-Timeout-Ms must be an integer from 1 to " + std::to_string(settings.maxTimeoutMs));
     }
     result.deadline = now + milliseconds(timeoutMs);
     return result;
 }
 
-/// The prompt of a chat: its messages, one a line.
+/// @return the prompt of a chat: its messages, each followed by a line break
 tl::expected<std::string, failure> readMessages(const json& body)
 {
     const auto found = body.find("messages");
     if (found == body.end() || !found->is_array() || found->empty())
-        return badRequest(result_code::MalformedRequest, "'messages' must be a list that isn't empty");
+        return badRequest(result_code::MalformedRequest, "'messages' must be a non-empty array");
     std::string prompt;
     for (const auto& message : *found) {
         const bool isValid = message.is_object() && message.contains("role") && message["role"].is_string()
             && message.contains("content") && message["content"].is_string();
         if (!isValid)
-            return badRequest(result_code::MalformedRequest, "each message needs 'role' and 'content' as texts");
+            return badRequest(result_code::MalformedRequest, "'role' and 'content' of each message must be strings");
         prompt += message["role"].get<std::string>() + ": " + message["content"].get<std::string>() + "\n";
     }
     return prompt;
@@ -100,7 +100,7 @@
     if (!body.is_object())
         return badRequest(result_code::MalformedRequest, "the body is not a JSON object");
     if (!body.contains("model") || !body["model"].is_string() || body["model"].get_ref<const std::string&>().empty())
-        return badRequest(result_code::MalformedRequest, "'model' must be a text");
+        return badRequest(result_code::MalformedRequest, "'model' must be a non-empty string");
     result.pipeline = body["model"].get<std::string>();
     if (isChat) {
         auto prompt = readMessages(body);
@@ -109,7 +109,7 @@
         result.prompt = std::move(*prompt);
     } else {
         if (!body.contains("prompt") || !body["prompt"].is_string())
-            return badRequest(result_code::MalformedRequest, "'prompt' must be a text");
+            return badRequest(result_code::MalformedRequest, "'prompt' must be a string");
         result.prompt = body["prompt"].get<std::string>();
     }
     if (body.contains("stream") && !body["stream"].is_boolean())
@@ -120,7 +120,7 @@
         const json& limit = body["max_tokens"];
         if (!limit.is_number_unsigned() || limit.get<std::uint64_t>() < 1
             || limit.get<std::uint64_t>() > maxTokensLimit)
-            return badRequest(result_code::MalformedRequest, "'max_tokens' must be a whole number from 1 to 32768");
+            return badRequest(result_code::MalformedRequest, "'max_tokens' must be an integer from 1 to 32768");
         result.maxTokens = limit.get<std::uint32_t>();
     }
     return {};
@@ -132,7 +132,7 @@
     const auto slash = rest.find('/');
     result.service = rest.substr(0, slash);
     if (result.service.empty())
-        return badRequest(result_code::MalformedRequest, "the path names no service");
+        return badRequest(result_code::MalformedRequest, "the path has no service name");
     auto& call = result.call;
     call.kind = dispatch::work_kind::ServiceCall;
     call.method = request.method;
@@ -149,11 +149,11 @@
 
 std::uint64_t requestDigest(const http_request& request)
 {
-    const std::string whole = request.method + "\n" + request.path + "\n" + request.query + "\n" + request.body;
-    return XXH64(whole.data(), whole.size(), 0);
+    const std::string input = request.method + "\n" + request.path + "\n" + request.query + "\n" + request.body;
+    return XXH64(input.data(), input.size(), 0);
 }
 
-/// Writes the answer of one request as its events come.
+/// Writes the response of one request, from its events.
 class response_writer {
 public:
     response_writer(const caller_request& request, bool isChat, http_exchange& exchange)
@@ -163,7 +163,8 @@
     {
     }
 
-    /// @return false when the caller has gone.
+    /// @brief Writes a frame of a stream at once; collects the frames of other responses.
+    /// @return false if the caller has disconnected
     bool write(const dispatch::response_frame& frame)
     {
         if (frame.kind == dispatch::frame_kind::Head) {
@@ -185,6 +186,7 @@
         return m_exchange.writeChunk("data: " + dump(completionBody(frame.bytes, "")) + "\n\n");
     }
 
+    /// @brief Completes the response.
     void finish(const final_result& end)
     {
         if (end.result.code != result_code::Ok) {
@@ -197,10 +199,10 @@
             return;
         }
         if (!m_request.pipeline.empty()) {
-            json whole = completionBody(m_body, end.finishReason);
-            whole["usage"] = { { "completion_tokens", m_tokens } };
+            json body = completionBody(m_body, end.finishReason);
+            body["usage"] = { { "completion_tokens", m_tokens } };
             m_exchange.respond(
-                200, { { "Content-Type", "application/json" }, { "X-Request-Id", m_request.id } }, dump(whole) + "\n");
+                200, { { "Content-Type", "application/json" }, { "X-Request-Id", m_request.id } }, dump(body) + "\n");
             return;
         }
         std::vector<header_field> headers { { "X-Request-Id", m_request.id } };
@@ -246,7 +248,7 @@
     std::uint32_t m_tokens = 0;
 };
 
-/// Counts while it lives.
+/// Counts one handler as active during its lifetime.
 class active_handler_count {
 public:
     explicit active_handler_count(std::atomic<int>& counter)
@@ -262,7 +264,7 @@
     std::atomic<int>& m_counter;
 };
 
-/// Callers' requests, run on the HTTP server's threads.
+/// Handlers of the API. They run on the HTTP server's threads and post to the event loop.
 class caller_api {
 public:
     caller_api(link::event_loop& loop, entry& role, const settings::settings& settings)
@@ -294,7 +296,8 @@
                 return;
             }
         }
-        writer.finish({ { result_code::OutcomeUnknown, "the entry gave no answer" }, ran_state::Unknown, "" });
+        writer.finish(
+            { { result_code::OutcomeUnknown, "the entry produced no result in time" }, ran_state::Unknown, "" });
     }
 
     void models(const http_request& request, http_exchange& exchange)
@@ -345,7 +348,7 @@
     if (request.path.starts_with(servicePrefix)) {
         read = readServiceCall(request, *result);
     } else if (request.method != "POST") {
-        read = badRequest(result_code::MalformedRequest, "use POST");
+        read = badRequest(result_code::MalformedRequest, "the method must be POST");
     } else {
         read = readCompletion(request, request.path == "/v1/chat/completions", *result);
     }
--- a/src/app/entry/entry_api.hpp
+++ b/src/app/entry/entry_api.hpp
@@ -1,16 +1,17 @@
 /// @file
-/// @brief The callers' HTTP interface. Reference: docs/API.md.
+/// @brief HTTP API of an entry for callers. Reference: docs/API.md.
 #pragma once
 
 #include "app/entry/entry.hpp"
 
 namespace buckthornrail::app {
 
-/// @brief Routes of the interface.
+/// @brief HTTP routes of the API.
+/// @param role must outlive the routes, as must `loop` and `settings`
 std::vector<http::http_route> entryRoutes(link::event_loop& loop, entry& role, const settings::settings& settings);
 
-/// @brief Reads a caller's request.
-/// @return a 4xx failure that names what is wrong; nothing was run.
+/// @brief Parses a caller's request. Its timeout becomes a deadline, counted from `now`.
+/// @return the request, or BadHeader or MalformedRequest with the part that is invalid; nothing has run then
 tl::expected<caller_request, failure> readCallerRequest(
     const http::http_request& request, const settings::settings& settings, steady_time now);
 
--- a/src/app/entry/entry_chains.cpp
+++ b/src/app/entry/entry_chains.cpp
@@ -1,11 +1,11 @@
 /// @file
-/// @brief The entry's part that serves split models: chains of stages.
+/// @brief Requests to models that are split over several targets: chains of stages.
 #include "app/entry/entry.hpp"
 
 namespace buckthornrail::app {
 namespace {
 
-constexpr milliseconds stageStartTimeout { 800 };
+constexpr milliseconds stageStartTimeout { 800 }; ///< for a sidecar to start its stage
 
 } // namespace
 
--- a/src/app/entry/response_queue.hpp
+++ b/src/app/entry/response_queue.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Hands one request's answer from the loop to the HTTP thread that waits for it.
+/// @brief Passes the response of one request from the event loop to the HTTP thread that writes it to the caller.
 #pragma once
 
 #include "buckthornrail/core/clock.hpp"
@@ -13,7 +13,7 @@
 
 namespace buckthornrail::app {
 
-/// The last event of an answer.
+/// Result of the request; the last event of a response.
 struct final_result {
     failure result;
     ran_state ran = ran_state::No;
@@ -22,10 +22,11 @@
 
 using response_event = std::variant<dispatch::response_frame, final_result>;
 
-/// @brief Bounded; the loop never waits on it.
+/// @brief Bounded queue of response events. Thread-safe; push() never waits for the reader.
 class response_queue {
 public:
-    /// @return false when the caller reads too slowly and the queue is full.
+    /// @brief Appends an event. The final result is accepted even if the queue is full.
+    /// @return false if the queue is full, as the caller reads too slowly; the event is dropped then
     bool push(response_event event)
     {
         const std::scoped_lock lock(m_mutex);
@@ -37,7 +38,8 @@
         return true;
     }
 
-    /// @return the next event, or nothing when none came before the deadline.
+    /// @brief Waits for the next event.
+    /// @return the event, or nothing if none arrived before the deadline
     std::optional<response_event> pop(steady_time deadline)
     {
         std::unique_lock lock(m_mutex);
