--- a/src/app/sidecar/sidecar.cpp
+++ b/src/app/sidecar/sidecar.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr milliseconds tickPeriod { 50 };
-constexpr milliseconds leavePatience { 1500 };
-constexpr std::size_t spareThreads = 4; ///< beside one for each slot: probes, cancellations, steps
+constexpr milliseconds leaveTimeout { 1500 };
+constexpr std::size_t extraThreads = 4; ///< beside one for each slot: probes, cancellations, steps
 
 dispatch::gate_options gateOptions(const settings::settings& settings, incarnation_number incarnation)
 {
@@ -57,10 +57,10 @@
     , m_settings(settings)
     , m_metrics(metrics)
     , m_incarnation(randomNumber())
-    , m_dialect(makeDialect(settings))
+    , m_targetAdapter(makeTargetAdapter(settings))
     , m_core(settings.id, gateOptions(settings, m_incarnation), settings.answerKeepBytes, steadyNow())
     , m_orders(orderOptions(settings), steadyNow())
-    , m_pool(settings.slots + spareThreads)
+    , m_pool(settings.slots + extraThreads)
 {
 }
 
@@ -98,7 +98,7 @@
     callbacks.claimAnswered = [](const link::claim_reply&) {};
     callbacks.orderReceived = [this](const dispatch::target_order& order) {
         m_orders.offer(order, steadyNow());
-        carryOutOrder();
+        carryOutOrderEffects();
     };
     callbacks.drainRequested = [this](bool drain) {
         if (m_draining || drain == m_core.gate().isDraining())
@@ -119,7 +119,7 @@
     m_draining = true;
     m_isReady = false;
     m_core.gate().setDraining(true);
-    m_whenDrained = std::move(done);
+    m_onStopped = std::move(done);
     m_session->setState(membership::instance_state::Draining);
     telemetry::logEvent(event_code::TargetDraining, { { "drain", "yes" }, { "by", "signal" } });
 }
@@ -130,9 +130,9 @@
         return;
     m_peers.erase(channel);
     m_unsent.erase(channel);
-    std::erase_if(m_nextStages, [channel](const auto& item) { return item.second == channel; });
+    std::erase_if(m_stageChannels, [channel](const auto& item) { return item.second == channel; });
     m_core.channelLost(channel, steadyNow());
-    carryOut();
+    carryOutEffects();
 }
 
 void sidecar::onMessage(link::channel_number channel, const std::string& bytes)
@@ -158,7 +158,7 @@
         onFence(channel, *fence);
     else if (const auto* close = std::get_if<link::stage_close>(&message))
         onStageClose(close->request);
-    carryOut();
+    carryOutEffects();
 }
 
 void sidecar::onHello(link::channel_number channel, const link::link_hello& hello)
@@ -186,7 +186,7 @@
         send(channel, dispatch::attempt_refused { offer.attempt, result_code::StaleLink, "" });
 }
 
-void sidecar::carryOut()
+void sidecar::carryOutEffects()
 {
     while (const auto effect = m_core.nextEffect()) {
         if (const auto* start = std::get_if<dispatch::start_work>(&*effect)) {
@@ -197,14 +197,14 @@
             cancelWork(*cancel);
             continue;
         }
-        const auto& sent = std::get<dispatch::send_to_channel>(*effect);
-        if (const auto* refused = std::get_if<dispatch::attempt_refused>(&sent.message)) {
+        const auto& sending = std::get<dispatch::send_to_channel>(*effect);
+        if (const auto* refused = std::get_if<dispatch::attempt_refused>(&sending.message)) {
             const std::string code(describe(refused->code).name);
             m_metrics.count("offers_refused_total", code);
             telemetry::logEvent(
                 event_code::OfferRefused, { { "attempt", toString(refused->attempt) }, { "code", code } });
         }
-        std::visit([&](const auto& message) { send(sent.channel, message); }, sent.message);
+        std::visit([&](const auto& message) { send(sending.channel, message); }, sending.message);
     }
     m_metrics.gauge("running", static_cast<double>(m_core.gate().running()));
     m_metrics.gauge("queued", static_cast<double>(m_core.gate().queued()));
@@ -223,11 +223,11 @@
         const auto sink = [this](dispatch::response_frame frame) {
             m_loop.post([this, frame = std::move(frame)]() mutable {
                 m_core.frame(std::move(frame));
-                carryOut();
+                carryOutEffects();
             });
         };
-        const auto outcome = m_dialect->run(work.attempt, work.work, work.deadline, *canceller, sink);
-        m_loop.post([this, attempt = work.attempt, outcome] { endWork(attempt, outcome); });
+        const auto outcome = m_targetAdapter->run(work.attempt, work.work, work.deadline, *canceller, sink);
+        m_loop.post([this, attempt = work.attempt, outcome] { onWorkEnded(attempt, outcome); });
     });
 }
 
@@ -244,18 +244,18 @@
         return;
     asio::post(m_pool, [this, attempt = work.attempt, canceller = found->second] {
         canceller->cancel();
-        m_dialect->cancel(attempt);
+        m_targetAdapter->cancel(attempt);
     });
 }
 
-void sidecar::endWork(const attempt_id& attempt, const dispatch::work_outcome& outcome)
+void sidecar::onWorkEnded(const attempt_id& attempt, const dispatch::work_outcome& outcome)
 {
     const std::string code(describe(outcome.code).name);
     telemetry::logEvent(event_code::WorkFinished, { { "attempt", toString(attempt) }, { "code", code } });
     m_metrics.count("work_total", code);
     m_cancellers.erase(attempt);
     m_core.ended(attempt, outcome, steadyNow());
-    carryOut();
+    carryOutEffects();
 }
 
 void sidecar::send(link::channel_number channel, const link::message& message)
@@ -270,21 +270,21 @@
         return;
     m_probing = true;
     asio::post(m_pool, [this] {
-        const auto condition = m_dialect->probe();
-        m_loop.post([this, condition] { takeCondition(condition); });
+        const auto status = m_targetAdapter->probe();
+        m_loop.post([this, status] { onProbeEnded(status); });
     });
 }
 
-void sidecar::takeCondition(const target_condition& condition)
+void sidecar::onProbeEnded(const target_status& status)
 {
     m_probing = false;
-    m_metrics.gauge("target_running", condition.running);
-    m_metrics.gauge("target_waiting", condition.waiting);
-    if (condition.ready != m_targetReady) {
-        m_targetReady = condition.ready;
-        telemetry::logEvent(event_code::TargetStateChanged, { { "ready", condition.ready ? "yes" : "no" } });
+    m_metrics.gauge("target_running", status.running);
+    m_metrics.gauge("target_waiting", status.waiting);
+    if (status.ready != m_targetReady) {
+        m_targetReady = status.ready;
+        telemetry::logEvent(event_code::TargetStateChanged, { { "ready", status.ready ? "yes" : "no" } });
     }
-    m_core.gate().setReady(condition.ready && !m_paused);
+    m_core.gate().setReady(status.ready && !m_paused);
     announceState();
 }
 
@@ -304,21 +304,21 @@
     if (m_paused && m_core.gate().running() + m_core.gate().queued() == 0)
         m_orders.workDrained(now);
     m_orders.tick(now);
-    carryOutOrder();
+    carryOutOrderEffects();
     for (const auto& request : m_guard.expire(now))
         endStage(request);
-    carryOut();
+    carryOutEffects();
     m_metrics.gauge("link_bytes_sent", static_cast<double>(m_hub->bytesSent()));
     m_metrics.gauge("link_bytes_received", static_cast<double>(m_hub->bytesReceived()));
-    if (!m_whenDrained || m_core.gate().running() + m_core.gate().queued() > 0)
+    if (!m_onStopped || m_core.gate().running() + m_core.gate().queued() > 0)
         return;
     if (m_session->record().state != membership::instance_state::Left) {
         m_session->setState(membership::instance_state::Left);
-        m_leaveDeadline = now + leavePatience;
+        m_leaveDeadline = now + leaveTimeout;
         return;
     }
     if (m_session->isAnnounced() || now >= m_leaveDeadline)
-        std::exchange(m_whenDrained, {})();
+        std::exchange(m_onStopped, {})();
 }
 
 int runSidecar(const settings::settings& settings)
--- a/src/app/sidecar/sidecar.hpp
+++ b/src/app/sidecar/sidecar.hpp
@@ -41,24 +41,24 @@
     void onFence(link::channel_number channel, const link::stage_fence& fence);
     void onStageClose(const std::string& request);
 
-    void carryOut();
-    void carryOutOrder();
-    void sendOrder(const dispatch::send_order& sent);
-    void readLoaded();
+    void carryOutEffects();
+    void carryOutOrderEffects();
+    void sendOrder(const dispatch::send_order& sending);
+    void readTargetState();
     void reportOrder(const dispatch::report_order& report);
     void startWork(const dispatch::start_work& work);
     void startStage(const dispatch::start_work& work);
     void cancelWork(const dispatch::cancel_work& work);
-    void endWork(const attempt_id& attempt, const dispatch::work_outcome& outcome);
+    void onWorkEnded(const attempt_id& attempt, const dispatch::work_outcome& outcome);
     void endStage(const std::string& request);
     void runStep(const execution::stage_step& step, const execution::chain_plan& plan, std::uint32_t maxTokens);
-    void stepDone(const execution::stage_step& step, const step_outcome& outcome);
-    void passOn(const execution::stage_step& step, const execution::chain_stage& stage);
-    void tellEntry(const std::string& request, std::uint32_t generation, const link::message& message);
+    void onStepEnded(const execution::stage_step& step, const step_outcome& outcome);
+    void forwardStep(const execution::stage_step& step, const execution::chain_stage& stage);
+    void sendToEntry(const std::string& request, std::uint32_t generation, const link::message& message);
 
     void send(link::channel_number channel, const link::message& message);
     void probe();
-    void takeCondition(const target_condition& condition);
+    void onProbeEnded(const target_status& status);
     void announceState();
     void tick();
     [[nodiscard]] execution::chain_stage ownStage() const;
@@ -67,20 +67,20 @@
     const settings::settings& m_settings;
     telemetry::metrics& m_metrics;
     incarnation_number m_incarnation;
-    std::unique_ptr<target_dialect> m_dialect;
+    std::unique_ptr<target_adapter> m_targetAdapter;
     dispatch::sidecar_core m_core;
     execution::stage_guard m_guard;
     dispatch::order_sequencer m_orders;
     bool m_paused = false; ///< an order waits for work to end, or is being carried out
     std::map<attempt_id, std::shared_ptr<http::call_canceller>> m_cancellers; ///< of calls to the target
-    std::map<std::string, attempt_id> m_stageWork; ///< open stage attempt of each request
+    std::map<std::string, attempt_id> m_stageAttempts; ///< open stage attempt of each request
     std::map<link::channel_number, peer> m_peers;
-    std::map<std::string, link::channel_number> m_nextStages; ///< links dialled to other sidecars, by address
+    std::map<std::string, link::channel_number> m_stageChannels; ///< links dialled to other sidecars, by address
     std::map<link::channel_number, std::vector<std::string>> m_unsent; ///< until a dialled link is open
     bool m_targetReady = false;
     bool m_probing = false;
     bool m_draining = false;
-    std::function<void()> m_whenDrained;
+    std::function<void()> m_onStopped;
     steady_time m_leaveDeadline {};
     std::atomic<bool> m_isReady { false };
     std::unique_ptr<link::link_hub> m_hub;
--- a/src/app/sidecar/sidecar_links.cpp
+++ b/src/app/sidecar/sidecar_links.cpp
@@ -6,16 +6,16 @@
 
 void sidecar_links::send(const instance_id& instance, const std::string& address, const link::message& message)
 {
-    auto& entry = m_links[instance];
-    if (entry.channel == 0) {
-        entry.channel = m_hub.dial(address);
-        m_byChannel[entry.channel] = instance;
+    auto& sidecarLink = m_links[instance];
+    if (sidecarLink.channel == 0) {
+        sidecarLink.channel = m_hub.dial(address);
+        m_byChannel[sidecarLink.channel] = instance;
     }
     const std::string bytes = link::encode(message);
-    if (entry.open && m_hub.send(entry.channel, bytes))
+    if (sidecarLink.open && m_hub.send(sidecarLink.channel, bytes))
         return;
     const auto* offer = std::get_if<dispatch::attempt_offer>(&message);
-    entry.unsent.push_back({ bytes, offer == nullptr ? std::nullopt : std::optional(offer->attempt) });
+    sidecarLink.unsent.push_back({ bytes, offer == nullptr ? std::nullopt : std::optional(offer->attempt) });
 }
 
 void sidecar_links::close(const instance_id& instance)
@@ -30,10 +30,10 @@
     const auto known = m_byChannel.find(channel);
     if (known == m_byChannel.end())
         return;
-    auto& entry = m_links[known->second];
-    entry.open = true;
+    auto& sidecarLink = m_links[known->second];
+    sidecarLink.open = true;
     m_hub.send(channel, link::encode(link::link_hello { m_self, m_incarnation, ++m_epoch }));
-    for (const auto& message : std::exchange(entry.unsent, {}))
+    for (const auto& message : std::exchange(sidecarLink.unsent, {}))
         m_hub.send(channel, message.bytes);
 }
 
--- a/src/app/sidecar/sidecar_orders.cpp
+++ b/src/app/sidecar/sidecar_orders.cpp
@@ -4,44 +4,44 @@
 
 namespace buckthornrail::app {
 
-void sidecar::carryOutOrder()
+void sidecar::carryOutOrderEffects()
 {
     while (const auto effect = m_orders.nextEffect()) {
         if (std::holds_alternative<dispatch::pause_work>(*effect))
             m_paused = true;
         else if (std::holds_alternative<dispatch::resume_work>(*effect))
             m_paused = false;
-        else if (const auto* sent = std::get_if<dispatch::send_order>(&*effect))
-            sendOrder(*sent);
+        else if (const auto* sending = std::get_if<dispatch::send_order>(&*effect))
+            sendOrder(*sending);
         else if (std::holds_alternative<dispatch::read_target_state>(*effect))
-            readLoaded();
+            readTargetState();
         else if (const auto* report = std::get_if<dispatch::report_order>(&*effect))
             reportOrder(*report);
     }
     m_core.gate().setReady(m_targetReady && !m_paused);
 }
 
-void sidecar::sendOrder(const dispatch::send_order& sent)
+void sidecar::sendOrder(const dispatch::send_order& sending)
 {
     telemetry::logEvent(event_code::OrderBegun,
-        { { "fence", std::to_string(sent.order.fence) }, { "model", sent.order.model },
-            { "version", sent.order.version } });
-    asio::post(m_pool, [this, sent] {
-        const bool current = m_dialect->order(sent.order, sent.deadline);
-        m_loop.post([this, fence = sent.order.fence, current] {
-            m_orders.orderCallEnded(fence, current, !current, steadyNow());
-            carryOutOrder();
+        { { "fence", std::to_string(sending.order.fence) }, { "model", sending.order.model },
+            { "version", sending.order.version } });
+    asio::post(m_pool, [this, sending] {
+        const bool accepted = m_targetAdapter->sendOrder(sending.order, sending.deadline);
+        m_loop.post([this, fence = sending.order.fence, accepted] {
+            m_orders.orderCallEnded(fence, accepted, !accepted, steadyNow());
+            carryOutOrderEffects();
         });
     });
 }
 
-void sidecar::readLoaded()
+void sidecar::readTargetState()
 {
     asio::post(m_pool, [this] {
-        const auto held = m_dialect->loaded();
-        m_loop.post([this, held] {
-            m_orders.stateRead(held.first, held.second, steadyNow());
-            carryOutOrder();
+        const auto model = m_targetAdapter->loadedModel();
+        m_loop.post([this, model] {
+            m_orders.stateRead(model.first, model.second, steadyNow());
+            carryOutOrderEffects();
         });
     });
 }
--- a/src/app/sidecar/sidecar_stages.cpp
+++ b/src/app/sidecar/sidecar_stages.cpp
@@ -5,7 +5,7 @@
 namespace buckthornrail::app {
 namespace {
 
-constexpr milliseconds stepPatience { 3000 }; ///< shorter than an entry's patience with a chain
+constexpr milliseconds stepTimeout { 3000 }; ///< shorter than an entry's patience with a chain
 
 } // namespace
 
@@ -16,9 +16,9 @@
         m_metrics.count("steps_dropped_total", std::string(nameOf(verdict)));
         return;
     }
-    const auto open = m_stageWork.find(step.request);
+    const auto open = m_stageAttempts.find(step.request);
     const auto* plan = m_guard.planOf(step.request);
-    if (open == m_stageWork.end() || plan == nullptr)
+    if (open == m_stageAttempts.end() || plan == nullptr)
         return;
     if (const auto* work = m_core.workOf(open->second))
         runStep(step, *plan, work->maxTokens);
@@ -37,7 +37,7 @@
 {
     m_guard.close(request);
     endStage(request);
-    asio::post(m_pool, [this, request] { m_dialect->closeStage(request); });
+    asio::post(m_pool, [this, request] { m_targetAdapter->closeStage(request); });
 }
 
 void sidecar::startStage(const dispatch::start_work& work)
@@ -50,17 +50,17 @@
         return;
     }
     endStage(request); // an older generation's stage gives up its slot
-    m_stageWork[request] = work.attempt;
+    m_stageAttempts[request] = work.attempt;
     m_core.stageOpened(work.attempt);
 }
 
 void sidecar::endStage(const std::string& request)
 {
-    const auto found = m_stageWork.find(request);
-    if (found == m_stageWork.end())
+    const auto found = m_stageAttempts.find(request);
+    if (found == m_stageAttempts.end())
         return;
     const attempt_id attempt = found->second;
-    m_stageWork.erase(found);
+    m_stageAttempts.erase(found);
     m_core.stageClosed(attempt, steadyNow());
 }
 
@@ -73,40 +73,40 @@
     order.isLastStage = step.stage + 1 == plan.stages.size();
     order.maxTokens = maxTokens;
     asio::post(m_pool, [this, order] {
-        const auto outcome = m_dialect->step(order, steadyNow() + stepPatience);
-        m_loop.post([this, step = order.step, outcome] { stepDone(step, outcome); });
+        const auto outcome = m_targetAdapter->runStep(order, steadyNow() + stepTimeout);
+        m_loop.post([this, step = order.step, outcome] { onStepEnded(step, outcome); });
     });
 }
 
-void sidecar::stepDone(const execution::stage_step& step, const step_outcome& outcome)
+void sidecar::onStepEnded(const execution::stage_step& step, const step_outcome& outcome)
 {
     const auto* plan = m_guard.planOf(step.request);
     if (plan == nullptr || plan->generation != step.generation)
         return; // fenced while the target was at it
     if (outcome.code != result_code::Ok) {
-        tellEntry(step.request, step.generation,
+        sendToEntry(step.request, step.generation,
             link::stage_failed { step.request, step.generation, step.stage, outcome.code, outcome.reason });
         return;
     }
     if (step.stage + 1 < plan->stages.size()) {
-        passOn({ step.request, step.generation, step.token, step.stage + 1, outcome.output },
+        forwardStep({ step.request, step.generation, step.token, step.stage + 1, outcome.output },
             plan->stages[step.stage + 1]);
         return;
     }
-    tellEntry(step.request, step.generation,
+    sendToEntry(step.request, step.generation,
         link::stage_token {
             step.request, step.generation, step.token, outcome.output, outcome.last, outcome.finishReason });
     if (!outcome.last)
-        passOn({ step.request, step.generation, step.token + 1, 0, outcome.output }, plan->stages.front());
+        forwardStep({ step.request, step.generation, step.token + 1, 0, outcome.output }, plan->stages.front());
 }
 
-void sidecar::passOn(const execution::stage_step& step, const execution::chain_stage& stage)
+void sidecar::forwardStep(const execution::stage_step& step, const execution::chain_stage& stage)
 {
     if (stage.instance == m_settings.id) {
         onStep(step);
         return;
     }
-    auto& channel = m_nextStages[stage.linkAddress];
+    auto& channel = m_stageChannels[stage.linkAddress];
     if (channel == 0)
         channel = m_hub->dial(stage.linkAddress);
     const std::string bytes = link::encode(step);
@@ -114,7 +114,7 @@
         m_unsent[channel].push_back(bytes);
 }
 
-void sidecar::tellEntry(const std::string& request, std::uint32_t generation, const link::message& message)
+void sidecar::sendToEntry(const std::string& request, std::uint32_t generation, const link::message& message)
 {
     send(m_core.gate().channelOf({ request, generation }), message);
 }
--- a/src/app/sidecar/target_adapter.cpp
+++ b/src/app/sidecar/target_adapter.cpp
@@ -12,13 +12,13 @@
 
 using nlohmann::json;
 
-constexpr milliseconds probePatience { 800 };
-constexpr milliseconds cancelPatience { 500 };
+constexpr milliseconds probeTimeout { 800 };
+constexpr milliseconds cancelTimeout { 500 };
 constexpr int firstErrorStatus = 400;
 constexpr int firstServerErrorStatus = 500;
 constexpr int staleFenceStatus = 409;
 constexpr const char* jsonType = "application/json";
-constexpr const char* requestHeader = "X-Request-Id";
+constexpr const char* requestIdHeader = "X-Request-Id";
 constexpr const char* attemptHeader = "X-Attempt";
 
 http::client_response get(const std::string& address, const std::string& path)
@@ -27,7 +27,7 @@
     request.address = address;
     request.method = "GET";
     request.path = path;
-    request.deadline = steadyNow() + probePatience;
+    request.deadline = steadyNow() + probeTimeout;
     return http::call(request);
 }
 
@@ -49,9 +49,9 @@
     return request;
 }
 
-void addIdentity(http::client_request& request, const attempt_id& attempt)
+void addAttemptHeaders(http::client_request& request, const attempt_id& attempt)
 {
-    request.headers.push_back({ requestHeader, attempt.request });
+    request.headers.push_back({ requestIdHeader, attempt.request });
     request.headers.push_back({ attemptHeader, std::to_string(attempt.number) });
 }
 
@@ -91,39 +91,39 @@
 /// Cuts a stream of server-sent events into the data of each.
 class event_splitter {
 public:
-    /// @param take gets the data of each event; false stops
-    bool add(const char* data, std::size_t size, const std::function<bool(const std::string&)>& take)
+    /// @param onEvent gets the data of each event; false stops
+    bool add(const char* data, std::size_t size, const std::function<bool(const std::string&)>& onEvent)
     {
-        m_rest.append(data, size);
-        for (auto end = m_rest.find("\n\n"); end != std::string::npos; end = m_rest.find("\n\n")) {
-            std::string event = m_rest.substr(0, end);
-            m_rest.erase(0, end + 2);
-            if (event.starts_with("data: ") && !take(event.substr(std::string_view("data: ").size())))
+        m_buffer.append(data, size);
+        for (auto end = m_buffer.find("\n\n"); end != std::string::npos; end = m_buffer.find("\n\n")) {
+            std::string event = m_buffer.substr(0, end);
+            m_buffer.erase(0, end + 2);
+            if (event.starts_with("data: ") && !onEvent(event.substr(std::string_view("data: ").size())))
                 return false;
         }
         return true;
     }
 
 private:
-    std::string m_rest;
+    std::string m_buffer;
 };
 
 /// Orders go the same way to every kind that holds a model.
-class model_dialect : public target_dialect {
+class model_adapter : public target_adapter {
 public:
-    explicit model_dialect(std::string address)
+    explicit model_adapter(std::string address)
         : m_address(std::move(address))
     {
     }
 
-    bool order(const dispatch::target_order& order, steady_time deadline) override
+    bool sendOrder(const dispatch::target_order& order, steady_time deadline) override
     {
         const json body = { { "fence", order.fence }, { "model", order.model }, { "version", order.version } };
         const auto response = http::call(makePost(m_address, "/engine/order", body, deadline));
         return response.status != staleFenceStatus;
     }
 
-    std::pair<std::string, std::string> loaded() override
+    std::pair<std::string, std::string> loadedModel() override
     {
         const json body = json::parse(get(m_address, "/engine/loaded").body, nullptr, false);
         if (!body.is_object())
@@ -139,18 +139,18 @@
 };
 
 /// Shared by the two kinds that stream tokens as server-sent events.
-class streaming_dialect : public model_dialect {
+class streaming_adapter : public model_adapter {
 public:
-    using model_dialect::model_dialect;
+    using model_adapter::model_adapter;
 
     work_outcome run(const attempt_id& attempt, const dispatch::work_order& work, steady_time deadline,
         http::call_canceller& canceller, const frame_sink& sink) override
     {
         auto request = makePost(address(), pathFor(work), bodyFor(work), deadline);
-        addIdentity(request, attempt);
+        addAttemptHeaders(request, attempt);
         event_splitter splitter;
         std::string finishReason;
-        std::string fault;
+        std::string parseError;
         const auto takeEvent = [&](const std::string& data) {
             if (!finishReason.empty())
                 return true; // the answer is over: a target that gives it again is not listened to
@@ -160,7 +160,7 @@
                 if (readEvent(data, frame.bytes, finishReason))
                     sink(std::move(frame));
             } catch (const json::exception& error) {
-                fault = error.what();
+                parseError = error.what();
                 return false;
             }
             return true;
@@ -169,8 +169,8 @@
         const auto response = http::call(request, {}, onBody, &canceller);
         work_outcome outcome = outcomeOf(response);
         outcome.finishReason = finishReason;
-        if (!fault.empty())
-            return { result_code::TargetFailed, "an event can't be read: " + fault, "", false };
+        if (!parseError.empty())
+            return { result_code::TargetFailed, "an event can't be read: " + parseError, "", false };
         if (outcome.code == result_code::Ok && finishReason.empty())
             return { result_code::AnswerIncomplete, "the stream ended without a finish reason", "", false };
         return outcome;
@@ -179,7 +179,7 @@
     void cancel(const attempt_id& attempt) override
     {
         auto request = makePost(address(), "/cancel", { { "request", attempt.request }, { "attempt", attempt.number } },
-            steadyNow() + cancelPatience);
+            steadyNow() + cancelTimeout);
         (void)http::call(request);
     }
 
@@ -190,14 +190,14 @@
     virtual bool readEvent(const std::string& data, std::string& token, std::string& finishReason) const = 0;
 };
 
-class openai_dialect : public streaming_dialect {
+class openai_adapter : public streaming_adapter {
 public:
-    using streaming_dialect::streaming_dialect;
+    using streaming_adapter::streaming_adapter;
 
-    target_condition probe() override
+    target_status probe() override
     {
-        target_condition condition;
-        condition.ready = isOk(get(address(), "/health"));
+        target_status status;
+        status.ready = isOk(get(address(), "/health"));
         const auto metrics = get(address(), "/metrics");
         std::istringstream lines(metrics.body);
         for (std::string line; std::getline(lines, line);) {
@@ -207,11 +207,11 @@
             if (!(words >> name >> value))
                 continue;
             if (name == "num_requests_running")
-                condition.running = static_cast<std::uint32_t>(value);
+                status.running = static_cast<std::uint32_t>(value);
             if (name == "num_requests_waiting")
-                condition.waiting = static_cast<std::uint32_t>(value);
+                status.waiting = static_cast<std::uint32_t>(value);
         }
-        return condition;
+        return status;
     }
 
 protected:
@@ -236,31 +236,31 @@
     }
 };
 
-class kserve_dialect : public streaming_dialect {
+class kserve_adapter : public streaming_adapter {
 public:
-    kserve_dialect(const std::string& address, std::string model, std::string version)
-        : streaming_dialect(address)
-        , m_model("/v2/models/" + std::move(model) + "/versions/" + std::move(version))
+    kserve_adapter(const std::string& address, std::string model, std::string version)
+        : streaming_adapter(address)
+        , m_modelPath("/v2/models/" + std::move(model) + "/versions/" + std::move(version))
     {
     }
 
-    target_condition probe() override
+    target_status probe() override
     {
-        target_condition condition;
-        condition.ready = isOk(get(address(), "/v2/health/ready")) && isOk(get(address(), m_model + "/ready"));
-        const auto stats = get(address(), m_model + "/stats");
+        target_status status;
+        status.ready = isOk(get(address(), "/v2/health/ready")) && isOk(get(address(), m_modelPath + "/ready"));
+        const auto stats = get(address(), m_modelPath + "/stats");
         const json body = json::parse(stats.body, nullptr, false);
         if (body.is_object()) {
-            condition.running = body.value("executing", 0U);
-            condition.waiting = body.value("pending", 0U);
+            status.running = body.value("executing", 0U);
+            status.waiting = body.value("pending", 0U);
         }
-        return condition;
+        return status;
     }
 
 protected:
     [[nodiscard]] std::string pathFor(const dispatch::work_order& /*work*/) const override
     {
-        return m_model + "/generate_stream";
+        return m_modelPath + "/generate_stream";
     }
 
     [[nodiscard]] json bodyFor(const dispatch::work_order& work) const override
@@ -278,23 +278,23 @@
     }
 
 private:
-    std::string m_model; ///< path of the model's version
+    std::string m_modelPath; ///< path of the model's version
 };
 
-class layer_range_dialect : public model_dialect {
+class layer_range_adapter : public model_adapter {
 public:
-    using model_dialect::model_dialect;
+    using model_adapter::model_adapter;
 
-    target_condition probe() override
+    target_status probe() override
     {
-        target_condition condition;
+        target_status status;
         const json body = json::parse(get(address(), "/engine/state").body, nullptr, false);
         if (!body.is_object())
-            return condition;
-        condition.ready = body.value("ready", false);
-        condition.running = body.value("running", 0U);
-        condition.waiting = body.value("waiting", 0U);
-        return condition;
+            return status;
+        status.ready = body.value("ready", false);
+        status.running = body.value("running", 0U);
+        status.waiting = body.value("waiting", 0U);
+        return status;
     }
 
     work_outcome run(const attempt_id& /*attempt*/, const dispatch::work_order& /*work*/, steady_time /*deadline*/,
@@ -303,7 +303,7 @@
         return { result_code::TargetRejected, "a layer_range target runs only steps of chains", "", true };
     }
 
-    step_outcome step(const step_order& order, steady_time deadline) override
+    step_outcome runStep(const step_order& order, steady_time deadline) override
     {
         const auto& step = order.step;
         const json body = { { "request", step.request }, { "generation", step.generation }, { "token", step.token },
@@ -324,23 +324,22 @@
 
     void closeStage(const std::string& request) override
     {
-        (void)http::call(
-            makePost(address(), "/engine/close", { { "request", request } }, steadyNow() + cancelPatience));
+        (void)http::call(makePost(address(), "/engine/close", { { "request", request } }, steadyNow() + cancelTimeout));
     }
 };
 
-class plain_service_dialect : public target_dialect {
+class plain_service_adapter : public target_adapter {
 public:
-    explicit plain_service_dialect(std::string address)
+    explicit plain_service_adapter(std::string address)
         : m_address(std::move(address))
     {
     }
 
-    target_condition probe() override
+    target_status probe() override
     {
-        target_condition condition;
-        condition.ready = isOk(get(m_address, "/healthz"));
-        return condition;
+        target_status status;
+        status.ready = isOk(get(m_address, "/healthz"));
+        return status;
     }
 
     work_outcome run(const attempt_id& attempt, const dispatch::work_order& work, steady_time deadline,
@@ -353,7 +352,7 @@
         request.body = work.body;
         request.headers = work.headers;
         request.deadline = deadline;
-        addIdentity(request, attempt);
+        addAttemptHeaders(request, attempt);
         const auto onHead = [&](int status, const std::vector<http::header_field>& headers) {
             dispatch::response_frame head;
             head.attempt = attempt;
@@ -376,8 +375,8 @@
         return outcomeOf(response);
     }
 
-    bool order(const dispatch::target_order& /*order*/, steady_time /*deadline*/) override { return true; }
-    std::pair<std::string, std::string> loaded() override { return {}; }
+    bool sendOrder(const dispatch::target_order& /*order*/, steady_time /*deadline*/) override { return true; }
+    std::pair<std::string, std::string> loadedModel() override { return {}; }
 
 private:
     std::string m_address;
@@ -385,24 +384,24 @@
 
 } // namespace
 
-step_outcome target_dialect::step(const step_order& /*order*/, steady_time /*deadline*/)
+step_outcome target_adapter::runStep(const step_order& /*order*/, steady_time /*deadline*/)
 {
     return { result_code::TargetRejected, "the target doesn't hold a range of layers", "", false, "" };
 }
 
-std::unique_ptr<target_dialect> makeDialect(const settings::settings& settings)
+std::unique_ptr<target_adapter> makeTargetAdapter(const settings::settings& settings)
 {
     switch (valueIn(membership::targetKindNames, settings.targetKind).value_or(membership::target_kind::OpenAi)) {
     case membership::target_kind::KServe:
-        return std::make_unique<kserve_dialect>(settings.targetAddress, settings.model, settings.version);
+        return std::make_unique<kserve_adapter>(settings.targetAddress, settings.model, settings.version);
     case membership::target_kind::LayerRange:
-        return std::make_unique<layer_range_dialect>(settings.targetAddress);
+        return std::make_unique<layer_range_adapter>(settings.targetAddress);
     case membership::target_kind::PlainService:
-        return std::make_unique<plain_service_dialect>(settings.targetAddress);
+        return std::make_unique<plain_service_adapter>(settings.targetAddress);
     case membership::target_kind::OpenAi:
         break;
     }
-    return std::make_unique<openai_dialect>(settings.targetAddress);
+    return std::make_unique<openai_adapter>(settings.targetAddress);
 }
 
 } // namespace buckthornrail::app
--- a/src/app/sidecar/target_adapter.hpp
+++ b/src/app/sidecar/target_adapter.hpp
@@ -13,7 +13,7 @@
 
 namespace buckthornrail::app {
 
-struct target_condition {
+struct target_status {
     bool ready = false;
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
@@ -41,28 +41,28 @@
 };
 
 /// @brief One kind of target. Functions are called from several threads.
-class target_dialect {
+class target_adapter {
 public:
-    target_dialect() = default;
-    target_dialect(const target_dialect&) = delete;
-    target_dialect& operator=(const target_dialect&) = delete;
-    virtual ~target_dialect() = default;
+    target_adapter() = default;
+    target_adapter(const target_adapter&) = delete;
+    target_adapter& operator=(const target_adapter&) = delete;
+    virtual ~target_adapter() = default;
 
-    virtual target_condition probe() = 0;
+    virtual target_status probe() = 0;
     virtual work_outcome run(const attempt_id& attempt, const dispatch::work_order& work, steady_time deadline,
         http::call_canceller& canceller, const frame_sink& sink)
         = 0;
     /// @brief Stops what a closed connection alone might not stop.
     virtual void cancel(const attempt_id& attempt) { (void)attempt; }
-    virtual step_outcome step(const step_order& order, steady_time deadline);
+    virtual step_outcome runStep(const step_order& order, steady_time deadline);
     /// @brief Tells the target to load a version. @return false when it knows a higher fencing number
-    virtual bool order(const dispatch::target_order& order, steady_time deadline) = 0;
+    virtual bool sendOrder(const dispatch::target_order& order, steady_time deadline) = 0;
     /// @brief What the target has loaded: model and version.
-    virtual std::pair<std::string, std::string> loaded() = 0;
+    virtual std::pair<std::string, std::string> loadedModel() = 0;
     virtual void closeStage(const std::string& request) { (void)request; }
 };
 
 /// @brief Makes the dialect that the settings name.
-std::unique_ptr<target_dialect> makeDialect(const settings::settings& settings);
+std::unique_ptr<target_adapter> makeTargetAdapter(const settings::settings& settings);
 
 } // namespace buckthornrail::app
