--- a/src/app/sidecar/sidecar.cpp
+++ b/src/app/sidecar/sidecar.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Wiring of gate, stage guard, target and links.
+/// @brief Connects the dispatch core, the stage guard, the target and the links.
 #include "app/sidecar/sidecar.hpp"
 
 #include "app/shared/role_runner.hpp"
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr milliseconds tickPeriod { 50 };
-constexpr milliseconds leaveTimeout { 1500 };
-constexpr std::size_t extraThreads = 4; ///< beside one for each slot: probes, cancellations, steps
+constexpr milliseconds leaveTimeout { 1500 }; ///< for the acknowledgement of the state Left
+constexpr std::size_t extraThreads = 4; ///< in addition to one per slot: for probes, cancellations, orders and steps
 
 dispatch::gate_options gateOptions(const settings::settings& settings, incarnation_number incarnation)
 {
@@ -163,7 +163,8 @@
 
 void sidecar::onHello(link::channel_number channel, const link::link_hello& hello)
 {
-    // What an earlier link of the same peer still holds must not arrive after this.
+    // Only the newest link of a peer stays open, so that messages still in transit on an older one can't arrive after
+    // messages on the newer one.
     std::vector<link::channel_number> superseded;
     for (const auto& [other, known] : m_peers) {
         if (known.instance != hello.instance || other == channel || hello.epoch == 0)
--- a/src/app/sidecar/sidecar_links.cpp
+++ b/src/app/sidecar/sidecar_links.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Opening links and keeping what waits for them.
+/// @brief Dials links to sidecars and queues messages until they are open.
 #include "app/sidecar/sidecar_links.hpp"
 
 namespace buckthornrail::app {
--- a/src/app/sidecar/sidecar_links.hpp
+++ b/src/app/sidecar/sidecar_links.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief An entry's links to sidecars, opened when first needed.
+/// @brief An entry's links to sidecars, each opened with the first message for it.
 #pragma once
 
 #include "buckthornrail/link/link_hub.hpp"
@@ -11,13 +11,13 @@
 namespace buckthornrail::app {
 
 struct sidecar_link_callbacks {
-    /// An offer waited for a link that did not open: it can't have left this process.
+    /// A link closed while an offer was still queued for it, so that the offer has not left this process.
     std::function<void(const attempt_id&)> offerNotSent;
-    /// A link closed; called after offerNotSent.
+    /// A link closed. Called after offerNotSent.
     std::function<void(const instance_id&)> linkLost;
 };
 
-/// @brief Lives on the loop thread.
+/// @brief Used on the loop thread only.
 class sidecar_links {
 public:
     sidecar_links(
@@ -29,13 +29,15 @@
     {
     }
 
-    /// @brief Sends over the instance's link, or when it opens.
+    /// @brief Sends a message over the link to an instance. Dials the link first if there is none, and queues the
+    /// message until it is open.
+    /// @param address link address of the instance, used when dialling
     void send(const instance_id& instance, const std::string& address, const link::message& message);
     void close(const instance_id& instance);
 
     void onOpened(link::channel_number channel);
     void onClosed(link::channel_number channel);
-    /// @return the sidecar at the other end, or an empty name.
+    /// @return the sidecar at the other end, or an empty identifier for a channel that isn't one of these links
     [[nodiscard]] instance_id instanceOf(link::channel_number channel) const
     {
         const auto found = m_byChannel.find(channel);
@@ -46,12 +48,12 @@
 private:
     struct unsent_message {
         std::string bytes;
-        std::optional<attempt_id> offer;
+        std::optional<attempt_id> offer; ///< set if the message is an offer
     };
     struct sidecar_link {
         link::channel_number channel = 0;
         bool open = false;
-        std::vector<unsent_message> unsent;
+        std::vector<unsent_message> unsent; ///< queued until the link is open
     };
 
     link::link_hub& m_hub;
@@ -60,7 +62,7 @@
     sidecar_link_callbacks m_callbacks;
     std::map<instance_id, sidecar_link> m_links;
     std::map<link::channel_number, instance_id> m_byChannel;
-    std::uint64_t m_epoch = 0; ///< counts the links dialled; tells a sidecar which is the newest
+    std::uint64_t m_epoch = 0; ///< number of links opened; tells a sidecar which of them is the newest
 };
 
 } // namespace buckthornrail::app
--- a/src/app/sidecar/sidecar_stages.cpp
+++ b/src/app/sidecar/sidecar_stages.cpp
@@ -1,11 +1,11 @@
 /// @file
-/// @brief The sidecar's part in split models: opening stages, running steps, passing them on.
+/// @brief Stages of split models: opens them, runs their steps and forwards the results.
 #include "app/sidecar/sidecar.hpp"
 
 namespace buckthornrail::app {
 namespace {
 
-constexpr milliseconds stepTimeout { 3000 }; ///< shorter than an entry's patience with a chain
+constexpr milliseconds stepTimeout { 3000 }; ///< shorter than an entry's timeout for a chain
 
 } // namespace
 
@@ -49,7 +49,7 @@
         m_core.startFailed(work.attempt, opened.error(), steadyNow());
         return;
     }
-    endStage(request); // an older generation's stage gives up its slot
+    endStage(request); // frees the slot of an older generation's stage
     m_stageAttempts[request] = work.attempt;
     m_core.stageOpened(work.attempt);
 }
@@ -82,7 +82,7 @@
 {
     const auto* plan = m_guard.planOf(step.request);
     if (plan == nullptr || plan->generation != step.generation)
-        return; // fenced while the target was at it
+        return; // fenced or closed while the target ran the step
     if (outcome.code != result_code::Ok) {
         sendToEntry(step.request, step.generation,
             link::stage_failed { step.request, step.generation, step.stage, outcome.code, outcome.reason });
--- a/src/app/sidecar/target_adapter.cpp
+++ b/src/app/sidecar/target_adapter.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The four dialects.
+/// @brief Adapters to the four kinds of targets.
 #include "app/sidecar/target_adapter.hpp"
 
 #include "app/shared/process.hpp"
@@ -55,14 +55,14 @@
     request.headers.push_back({ attemptHeader, std::to_string(attempt.number) });
 }
 
-/// What a call that did not end well means for the work.
+/// Outcome of work whose call to the target has ended; Ok only for a successful response.
 work_outcome outcomeOf(const http::client_response& response)
 {
     work_outcome outcome;
     switch (response.outcome) {
     case http::client_outcome::NotSent:
         outcome.code = result_code::TargetNotReady;
-        outcome.reason = "the target accepts no connection";
+        outcome.reason = "can't connect to the target";
         outcome.startFailed = true;
         return outcome;
     case http::client_outcome::TimedOut:
@@ -73,25 +73,26 @@
         return outcome;
     case http::client_outcome::Broken:
         outcome.code = result_code::TargetFailed;
-        outcome.reason = "the target's connection ended early";
+        outcome.reason = "the connection to the target was lost before the response was complete";
         return outcome;
     case http::client_outcome::Ok:
         break;
     }
     if (response.status >= firstServerErrorStatus) {
         outcome.code = result_code::TargetFailed;
-        outcome.reason = "the target answered " + std::to_string(response.status);
+        outcome.reason = "the target responded with status " + std::to_string(response.status);
     } else if (response.status >= firstErrorStatus) {
         outcome.code = result_code::TargetRejected;
-        outcome.reason = "the target answered " + std::to_string(response.status);
+        outcome.reason = "the target responded with status " + std::to_string(response.status);
     }
     return outcome;
 }
 
-/// Cuts a stream of server-sent events into the data of each.
+/// Splits a stream of server-sent events.
 class event_splitter {
 public:
-    /// @param onEvent gets the data of each event; false stops
+    /// @param onEvent receives the data of each complete event; returns false to stop
+    /// @return false if onEvent stopped
     bool add(const char* data, std::size_t size, const std::function<bool(const std::string&)>& onEvent)
     {
         m_buffer.append(data, size);
@@ -108,7 +109,7 @@
     std::string m_buffer;
 };
 
-/// Orders go the same way to every kind that holds a model.
+/// Orders to load a model, which all kinds of targets that hold one accept in the same form.
 class model_adapter : public target_adapter {
 public:
     explicit model_adapter(std::string address)
@@ -138,7 +139,7 @@
     std::string m_address;
 };
 
-/// Shared by the two kinds that stream tokens as server-sent events.
+/// Base of the two kinds that stream tokens as server-sent events.
 class streaming_adapter : public model_adapter {
 public:
     using model_adapter::model_adapter;
@@ -153,7 +154,7 @@
         std::string parseError;
         const auto takeEvent = [&](const std::string& data) {
             if (!finishReason.empty())
-                return true; // the answer is over: a target that gives it again is not listened to
+                return true; // the response is complete: ignore a target that sends it again
             try {
                 dispatch::response_frame frame;
                 frame.attempt = attempt;
@@ -170,7 +171,7 @@
         work_outcome outcome = outcomeOf(response);
         outcome.finishReason = finishReason;
         if (!parseError.empty())
-            return { result_code::TargetFailed, "an event can't be read: " + parseError, "", false };
+            return { result_code::TargetFailed, "malformed event in the stream: " + parseError, "", false };
         if (outcome.code == result_code::Ok && finishReason.empty())
             return { result_code::AnswerIncomplete, "the stream ended without a finish reason", "", false };
         return outcome;
@@ -186,7 +187,8 @@
 protected:
     [[nodiscard]] virtual std::string pathFor(const dispatch::work_order& work) const = 0;
     [[nodiscard]] virtual json bodyFor(const dispatch::work_order& work) const = 0;
-    /// @return true when the event holds a token
+    /// @param finishReason set if the event ends the response
+    /// @return whether the event holds a token
     virtual bool readEvent(const std::string& data, std::string& token, std::string& finishReason) const = 0;
 };
 
@@ -278,7 +280,7 @@
     }
 
 private:
-    std::string m_modelPath; ///< path of the model's version
+    std::string m_modelPath; ///< of the model's version
 };
 
 class layer_range_adapter : public model_adapter {
@@ -300,7 +302,7 @@
     work_outcome run(const attempt_id& /*attempt*/, const dispatch::work_order& /*work*/, steady_time /*deadline*/,
         http::call_canceller& /*canceller*/, const frame_sink& /*sink*/) override
     {
-        return { result_code::TargetRejected, "a layer_range target runs only steps of chains", "", true };
+        return { result_code::TargetRejected, "a layer_range target can't run whole requests", "", true };
     }
 
     step_outcome runStep(const step_order& order, steady_time deadline) override
@@ -369,7 +371,7 @@
             return true;
         };
         const auto response = http::call(request, onHead, onBody, &canceller);
-        // Whatever status a service gives is its answer and is passed on.
+        // Error statuses of a plain service are part of its response, and are forwarded to the caller.
         if (response.outcome == http::client_outcome::Ok)
             return {};
         return outcomeOf(response);
@@ -386,7 +388,8 @@
 
 step_outcome target_adapter::runStep(const step_order& /*order*/, steady_time /*deadline*/)
 {
-    return { result_code::TargetRejected, "the target doesn't hold a range of layers", "", false, "" };
+    return { result_code::TargetRejected, "the target can't run steps: it doesn't hold a range of layers", "", false,
+        "" };
 }
 
 std::unique_ptr<target_adapter> makeTargetAdapter(const settings::settings& settings)
--- a/src/app/sidecar/target_adapter.hpp
+++ b/src/app/sidecar/target_adapter.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Dialects of targets: how each kind is asked for readiness, load and work. Calls block.
+/// @brief Adapters to the kinds of targets: probes, work, cancellation and orders over HTTP. Calls block.
 #pragma once
 
 #include "buckthornrail/dispatch/order_sequencer.hpp"
@@ -13,34 +13,36 @@
 
 namespace buckthornrail::app {
 
+/// What a target reports about itself when it is probed.
 struct target_status {
     bool ready = false;
-    std::uint32_t running = 0;
-    std::uint32_t waiting = 0;
+    std::uint32_t running = 0; ///< requests in progress
+    std::uint32_t waiting = 0; ///< requests queued
 };
 
 using dispatch::work_outcome;
 
-/// Gets the frames of an answer as they come; sequence numbers are set by the caller.
+/// Receives the frames of a response as they arrive, without sequence numbers: the receiver sets them.
 using frame_sink = std::function<void(dispatch::response_frame)>;
 
-/// One step of a split request at a layer-range engine.
+/// One step of a split request, to be run by a layer_range target.
 struct step_order {
     execution::stage_step step;
     std::uint32_t firstLayer = 0;
-    std::uint32_t endLayer = 0;
+    std::uint32_t endLayer = 0; ///< exclusive
     bool isLastStage = false;
-    std::uint32_t maxTokens = 0;
+    std::uint32_t maxTokens = 0; ///< limit on the tokens of this generation
 };
+/// Result of a step.
 struct step_outcome {
     result_code code = result_code::Ok;
     std::string reason;
-    std::string output; ///< activations, or the token's text at the last stage
-    bool last = false;
-    std::string finishReason;
+    std::string output; ///< activations, or the text of the token at the last stage
+    bool last = false; ///< no token follows
+    std::string finishReason; ///< set with the last token
 };
 
-/// @brief One kind of target. Functions are called from several threads.
+/// @brief Calls a target of one kind. Functions are called from several threads at once.
 class target_adapter {
 public:
     target_adapter() = default;
@@ -48,21 +50,29 @@
     target_adapter& operator=(const target_adapter&) = delete;
     virtual ~target_adapter() = default;
 
+    /// @brief Asks the target for its readiness and load. A target that doesn't respond is not ready.
     virtual target_status probe() = 0;
+    /// @brief Runs an attempt at the target, until it has ended or the canceller is used.
+    /// @param sink receives the frames of the response on the calling thread
     virtual work_outcome run(const attempt_id& attempt, const dispatch::work_order& work, steady_time deadline,
         http::call_canceller& canceller, const frame_sink& sink)
         = 0;
-    /// @brief Stops what a closed connection alone might not stop.
+    /// @brief Tells the target to stop an attempt, because it may not stop when the connection closes.
     virtual void cancel(const attempt_id& attempt) { (void)attempt; }
+    /// @brief Runs a step.
+    /// @return TargetRejected if the target doesn't hold a range of layers
     virtual step_outcome runStep(const step_order& order, steady_time deadline);
-    /// @brief Tells the target to load a version. @return false when it knows a higher fencing number
+    /// @brief Tells the target to load a version of a model.
+    /// @return false if the target refuses the order because it has seen a higher fencing token; true otherwise, also
+    /// when the call fails
     virtual bool sendOrder(const dispatch::target_order& order, steady_time deadline) = 0;
-    /// @brief What the target has loaded: model and version.
+    /// @return model and version that the target has loaded, empty if unknown
     virtual std::pair<std::string, std::string> loadedModel() = 0;
+    /// @brief Tells the target that it can discard the state of a split request.
     virtual void closeStage(const std::string& request) { (void)request; }
 };
 
-/// @brief Makes the dialect that the settings name.
+/// @brief Makes the adapter for the kind of target that is set.
 std::unique_ptr<target_adapter> makeTargetAdapter(const settings::settings& settings);
 
 } // namespace buckthornrail::app
