--- a/src/app/controller/controller.cpp
+++ b/src/app/controller/controller.cpp
@@ -83,7 +83,7 @@
 
 void controller::submit(command_body body, result_callback callback, milliseconds patience)
 {
-    const command value { randomName(), std::move(body) };
+    const command value { randomId(), std::move(body) };
     m_log->submit(
         value.id, encodeCommand(value),
         [this, callback = std::move(callback)](bool committed) {
--- a/src/app/controller/controller_api.cpp
+++ b/src/app/controller/controller_api.cpp
@@ -100,8 +100,8 @@
 
     void status(const http_request& /*request*/, http_exchange& exchange)
     {
-        const auto status
-            = askLoop<controller_status>(m_loop, loopPatience, [this](const auto& reply) { reply(m_role.status()); });
+        const auto status = callOnLoop<controller_status>(
+            m_loop, loopPatience, [this](const auto& reply) { reply(m_role.status()); });
         if (!status) {
             refuse(exchange, { result_code::NoQuorum, "the controller is busy" });
             return;
@@ -113,7 +113,7 @@
     {
         using outcome = tl::expected<void, failure>;
         const auto done
-            = askLoop<outcome>(m_loop, loopPatience, [this](const auto& reply) { reply(m_role.initialize()); });
+            = callOnLoop<outcome>(m_loop, loopPatience, [this](const auto& reply) { reply(m_role.initialize()); });
         if (!done || !*done) {
             refuse(exchange, done ? done->error() : failure { result_code::NoQuorum, "the controller is busy" });
             return;
@@ -166,7 +166,7 @@
 
     result_or_failure commit(command_body body)
     {
-        const auto result = askLoop<result_or_failure>(m_loop, loopPatience,
+        const auto result = callOnLoop<result_or_failure>(m_loop, loopPatience,
             [this, body = std::move(body)](const auto& reply) { m_role.submit(body, reply, commitPatience); });
         return result.value_or(tl::make_unexpected(failure { result_code::NoQuorum, "the controller is busy" }));
     }
@@ -174,7 +174,7 @@
     std::optional<configuration_reading> readConfirmed()
     {
         using reading = std::optional<configuration_reading>;
-        const auto answer = askLoop<reading>(m_loop, loopPatience, [this](const auto& reply) {
+        const auto answer = callOnLoop<reading>(m_loop, loopPatience, [this](const auto& reply) {
             m_role.confirm(
                 [this, reply](bool current) {
                     if (!current) {
--- a/src/app/entry/entry.cpp
+++ b/src/app/entry/entry.cpp
@@ -381,7 +381,7 @@
 {
     const auto& request = active.context.request;
     link::claim_request message;
-    message.commandId = randomName();
+    message.commandId = randomId();
     message.command.key = { request.workspace, request.idempotencyKey };
     message.command.requestDigest = request.digest;
     message.command.holder = claim.holder;
--- a/src/app/entry/entry_api.cpp
+++ b/src/app/entry/entry_api.cpp
@@ -49,7 +49,7 @@
     const http_request& request, const settings::settings& settings, steady_time now)
 {
     caller_request result;
-    result.id = randomName();
+    result.id = randomId();
     result.workspace = request.header("X-Workspace").value_or("");
     if (result.workspace.empty())
         return wrong(result_code::BadHeader, "X-Workspace is missing");
@@ -300,7 +300,7 @@
     void models(const http_request& request, http_exchange& exchange)
     {
         const std::string workspace = request.header("X-Workspace").value_or("");
-        const auto names = askLoop<std::vector<std::string>>(
+        const auto names = callOnLoop<std::vector<std::string>>(
             m_loop, loopPatience, [this, workspace](const auto& reply) { reply(m_role.pipelinesOf(workspace)); });
         json list = json::array();
         for (const auto& name : names.value_or(std::vector<std::string> {}))
@@ -311,7 +311,7 @@
     void explain(const http_request& request, http_exchange& exchange)
     {
         const std::string id = request.path.substr(explainPrefix.size());
-        const auto decisions = askLoop<std::vector<std::string>>(
+        const auto decisions = callOnLoop<std::vector<std::string>>(
             m_loop, loopPatience, [this, id](const auto& reply) { reply(m_role.explain(id)); });
         if (!decisions || decisions->empty()) {
             http::respondError(exchange, { result_code::NotFound, "no recent request has this id" }, ran_state::No);
--- a/src/app/registry/registry.cpp
+++ b/src/app/registry/registry.cpp
@@ -3,7 +3,7 @@
 /// hold the rest of the class.
 #include "app/registry/registry.hpp"
 
-#include "app/shared/control_answer.hpp"
+#include "app/shared/control_response.hpp"
 #include "app/shared/pushback_page.hpp"
 #include "app/shared/role_runner.hpp"
 
@@ -195,7 +195,7 @@
         respond(errorResponse(503, "the cluster has fewer than two voting members"));
         return;
     }
-    const std::string id = randomName();
+    const std::string id = randomId();
     m_log->submit(
         id, encodePublish(id, { version, std::move(call.text) }),
         [respondCommitted, respond](bool committed) {
@@ -206,7 +206,7 @@
             logCall("publish", 503, "not committed in time");
             respond(errorResponse(503, "no quorum committed the change in time"));
         },
-        callPatience);
+        controlCallTimeout);
 }
 
 void registry_role::onRead(const net::responder& respond)
@@ -222,7 +222,7 @@
             logCall("read", 200, "version " + std::to_string(held.version));
             respond(net::plainResponse(200, held.text));
         },
-        callPatience);
+        controlCallTimeout);
 }
 
 void registry_role::onMessage(link::channel_number channel, const std::string& bytes)
--- a/src/app/registry/registry_quarantine.cpp
+++ b/src/app/registry/registry_quarantine.cpp
@@ -2,7 +2,7 @@
 /// @brief Quarantine of requests that crash targets: gateways' reports are committed to the log, entries expire
 /// by the leader's clock, and operators list and clear them.
 #include "app/registry/registry.hpp"
-#include "app/shared/control_answer.hpp"
+#include "app/shared/control_response.hpp"
 #include "buckthornrail/link/state_json.hpp"
 
 #include <algorithm>
@@ -58,7 +58,7 @@
         return;
     m_isQuarantineInFlight = true;
     auto submission = std::exchange(m_pendingQuarantine, {});
-    const std::string id = randomName();
+    const std::string id = randomId();
     std::string bytes = encodeQuarantine(id, submission.change);
     m_log->submit(
         id, std::move(bytes),
@@ -67,7 +67,7 @@
             onQuarantineResult(submission, committed);
             submitQuarantine();
         },
-        callPatience);
+        controlCallTimeout);
 }
 
 void registry_role::onQuarantineResult(const quarantine_submission& submission, bool committed)
@@ -186,7 +186,7 @@
         refuse(badRequest, "a fingerprint has 32 hexadecimal digits");
         return;
     }
-    const std::string id = randomName();
+    const std::string id = randomId();
     m_log->submit(
         id, encodeQuarantine(id, change),
         [what, respond, count = change.cleared.size()](bool committed) {
@@ -198,7 +198,7 @@
             logCall(what, 200, std::to_string(count) + " cleared");
             respond(net::plainResponse(200, "{\"cleared\":" + std::to_string(count) + "}"));
         },
-        callPatience);
+        controlCallTimeout);
 }
 
 } // namespace buckthornrail::app
--- a/src/app/registry/registry_targets.cpp
+++ b/src/app/registry/registry_targets.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// @brief Announcements of targets: detects new, late and invalid ones.
 #include "app/registry/registry.hpp"
-#include "app/shared/control_answer.hpp"
+#include "app/shared/control_response.hpp"
 #include "app/shared/preferred_address.hpp"
 
 #include <algorithm>
@@ -128,8 +128,8 @@
 
 void registry_role::submitTargets(const std::vector<registry::target_record>& records, std::function<void(bool)> done)
 {
-    const std::string id = randomName();
-    m_log->submit(id, encodeTargets(id, records), std::move(done), callPatience);
+    const std::string id = randomId();
+    m_log->submit(id, encodeTargets(id, records), std::move(done), controlCallTimeout);
 }
 
 } // namespace buckthornrail::app
--- a/src/app/shared/control_answer.cpp
+++ b/src/app/shared/control_response.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// @brief Answers to calls for control.
-#include "app/shared/control_answer.hpp"
+#include "app/shared/control_response.hpp"
 
 namespace buckthornrail::app {
 
--- a/src/app/shared/control_answer.hpp
+++ b/src/app/shared/control_response.hpp
@@ -8,7 +8,7 @@
 namespace buckthornrail::app {
 
 /// An operator's call goes to another member after a second without an answer.
-inline constexpr milliseconds callPatience { 900 };
+inline constexpr milliseconds controlCallTimeout { 900 };
 
 /// @brief An answer with a reason, as JSON.
 net::whole_response errorResponse(int status, const std::string& reason);
--- a/src/app/shared/preferred_address.cpp
+++ b/src/app/shared/preferred_address.cpp
@@ -9,12 +9,12 @@
 
 std::string preferredAddress(const std::string& key, const std::vector<std::string>& addresses)
 {
-    const auto rank = [&key](const std::string& address) {
-        const std::string both = key + '@' + address;
-        return XXH64(both.data(), both.size(), 0);
+    const auto scoreOf = [&key](const std::string& address) {
+        const std::string input = key + '@' + address;
+        return XXH64(input.data(), input.size(), 0);
     };
-    const auto best = std::max_element(
-        addresses.begin(), addresses.end(), [&rank](const auto& a, const auto& b) { return rank(a) < rank(b); });
+    const auto best = std::max_element(addresses.begin(), addresses.end(),
+        [&scoreOf](const auto& a, const auto& b) { return scoreOf(a) < scoreOf(b); });
     return best == addresses.end() ? std::string() : *best;
 }
 
--- a/src/app/shared/process.cpp
+++ b/src/app/shared/process.cpp
@@ -24,7 +24,7 @@
     return draw(device);
 }
 
-std::string randomName()
+std::string randomId()
 {
     std::array<char, 33> text {};
     std::snprintf(text.data(), text.size(), "%016lx%016lx", randomNumber(), randomNumber());
--- a/src/app/shared/process.hpp
+++ b/src/app/shared/process.hpp
@@ -27,7 +27,7 @@
 std::uint64_t randomNumber();
 
 /// @brief A random name: 32 hexadecimal digits.
-std::string randomName();
+std::string randomId();
 
 /// @brief Calls functions on the loop when SIGTERM or SIGINT, or SIGHUP, comes. Call before any thread is started.
 class signal_watch {
@@ -63,8 +63,8 @@
 /// @brief Starts a function on the loop and waits for the result that it gives to its callback.
 /// @return nothing when none came in time
 template <typename Result>
-std::optional<Result> askLoop(
-    link::event_loop& loop, milliseconds patience, std::function<void(std::function<void(Result)>)> task)
+std::optional<Result> callOnLoop(
+    link::event_loop& loop, milliseconds timeout, std::function<void(std::function<void(Result)>)> task)
 {
     auto promise = std::make_shared<std::promise<Result>>();
     auto answered = std::make_shared<std::atomic<bool>>(false);
@@ -75,7 +75,7 @@
                 promise->set_value(std::move(result));
         });
     });
-    if (future.wait_for(patience) != std::future_status::ready)
+    if (future.wait_for(timeout) != std::future_status::ready)
         return std::nullopt;
     return future.get();
 }
--- a/src/app/shell/control_shell.cpp
+++ b/src/app/shell/control_shell.cpp
@@ -161,7 +161,7 @@
         base = current.body.value("version", std::uint64_t { 0 });
     }
     // The same id goes to each controller that is tried: a change whose answer was lost is not made twice.
-    const std::string changeId = options.changeId.empty() ? randomName() : options.changeId;
+    const std::string changeId = options.changeId.empty() ? randomId() : options.changeId;
     const json change
         = { { "base", base }, { "change_id", changeId }, { "author", options.author }, { "document", document } };
     const auto answer = callAny(options, "PUT", "/v1/config", change.dump());
