--- a/src/app/controller/controller.hpp
+++ b/src/app/controller/controller.hpp
@@ -31,7 +31,7 @@
 };
 
 /// @brief Lives on the loop thread.
-class controller : public replicated_state {
+class controller : public state_machine {
 public:
     using result_callback = std::function<void(tl::expected<command_result, failure>)>;
 
--- a/src/app/registry/registry_state.hpp
+++ b/src/app/registry/registry_state.hpp
@@ -27,7 +27,7 @@
 
 /// @brief Deterministic state machine. The highest version of the document is active; publishing a lower or the same
 /// one changes nothing.
-class registry_state : public replicated_state {
+class registry_state : public state_machine {
 public:
     std::string applyCommand(const std::string& bytes) override;
     [[nodiscard]] std::string saveState() const override;
--- a/src/app/shared/replicated_log.cpp
+++ b/src/app/shared/replicated_log.cpp
@@ -11,18 +11,18 @@
 
 constexpr milliseconds tickPeriod { 20 };
 constexpr milliseconds slowTickPeriod { 200 };
-constexpr milliseconds joinWishLifetime { 2000 };
+constexpr milliseconds joinRequestLifetime { 2000 };
 /// A failed disk is read again after so long: it may have been full or hung for a moment.
 constexpr milliseconds recoverPeriod { 500 };
 /// A voter out of reach for so long may be replaced by a learner that stands ready. Longer than a restart takes.
 constexpr milliseconds replaceAfter { 2500 };
 /// Without a learner a voter is only dropped where one more than needed votes, and after longer.
 constexpr milliseconds dropAfter { 8000 };
-constexpr std::size_t maxJoinWishes = 16;
+constexpr std::size_t maxPendingJoins = 16;
 /// Stands for the link to the leader at the leader itself.
 constexpr link::channel_number ownChannel = ~link::channel_number { 0 };
 /// Members say where they are every 200 ms.
-constexpr milliseconds introductionLifetime { 2000 };
+constexpr milliseconds helloLifetime { 2000 };
 
 agreement::replica_options replicaOptions(std::uint32_t electionTimeoutMs)
 {
@@ -37,10 +37,10 @@
 } // namespace
 
 replicated_log::replicated_log(
-    link::event_loop& loop, link::link_hub& hub, replicated_state& state, replicated_log_options options)
+    link::event_loop& loop, link::link_hub& hub, state_machine& stateMachine, replicated_log_options options)
     : m_loop(loop)
     , m_hub(hub)
-    , m_state(state)
+    , m_stateMachine(stateMachine)
     , m_options(std::move(options))
 {
 }
@@ -75,7 +75,7 @@
         return tl::make_unexpected(loaded.error());
     const bool isReopened = m_replica != nullptr;
     if (loaded->lastSnapshot.index > 0 || isReopened) {
-        if (auto restored = m_state.restoreState(loaded->lastSnapshot.state); !restored)
+        if (auto restored = m_stateMachine.restoreState(loaded->lastSnapshot.state); !restored)
             return restored;
     }
     m_applied = loaded->lastSnapshot.index;
@@ -138,18 +138,18 @@
     } else if (const auto* forwarded = std::get_if<link::forward_command>(&message)) {
         m_replica->propose(forwarded->bytes);
     } else if (const auto* join = std::get_if<link::join_request>(&message)) {
-        noteWish(join->member, join->address);
+        recordJoinRequest(join->member, join->address);
     } else if (const auto* hello = std::get_if<link::controller_hello>(&message)) {
-        m_dialledBy[channel] = hello->member;
-        m_introduced[hello->member]
-            = { { hello->address, hello->controlAddress, hello->failureDomain }, steadyNow() + introductionLifetime };
+        m_acceptedLinks[channel] = hello->member;
+        m_hellos[hello->member]
+            = { { hello->address, hello->controlAddress, hello->failureDomain }, steadyNow() + helloLifetime };
         m_peers[hello->address].initialized = hello->initialized;
         dialNow(hello->address);
         const auto& members = m_replica->members();
         const bool isMember = std::any_of(
             members.begin(), members.end(), [hello](const auto& member) { return member.id == hello->member; });
         if (hello->initialized && !isMember && isLeader() && m_options.admitsUnlisted)
-            noteWish(hello->member, hello->address); // it was dropped while it was away
+            recordJoinRequest(hello->member, hello->address); // it was dropped while it was away
     } else {
         return false;
     }
@@ -157,12 +157,12 @@
     return true;
 }
 
-void replicated_log::noteWish(agreement::member_id id, const std::string& address)
+void replicated_log::recordJoinRequest(agreement::member_id id, const std::string& address)
 {
     if (!isLeader())
         sendToLeader(link::join_request { id, address });
-    if (m_joins.contains(id) || m_joins.size() < maxJoinWishes)
-        m_joins[id] = { address, steadyNow() + joinWishLifetime };
+    if (m_pendingJoins.contains(id) || m_pendingJoins.size() < maxPendingJoins)
+        m_pendingJoins[id] = { address, steadyNow() + joinRequestLifetime };
 }
 
 void replicated_log::tick()
@@ -225,7 +225,7 @@
     }
     if (!effects.installed)
         return true;
-    if (auto restored = m_state.restoreState(effects.installed->state); !restored) {
+    if (auto restored = m_stateMachine.restoreState(effects.installed->state); !restored) {
         disable(restored.error());
         return false;
     }
@@ -247,7 +247,7 @@
                 { { "members", std::to_string(entry.members.size()) }, { "index", std::to_string(entry.index) } });
         if (entry.kind != agreement::entry_kind::Command)
             continue;
-        const std::string id = m_state.applyCommand(entry.command);
+        const std::string id = m_stateMachine.applyCommand(entry.command);
         if (id.empty())
             telemetry::logEvent(event_code::MessageRejected, { { "index", std::to_string(entry.index) } });
         const auto waiting = m_commands.find(id);
@@ -284,7 +284,7 @@
     const bool isDue = m_applied - m_replica->snapshotIndex() >= m_options.snapshotEntries;
     if (m_replica->role() == agreement::replica_role::Faulted || !isDue)
         return;
-    const auto base = m_replica->compact(m_applied, m_state.saveState());
+    const auto base = m_replica->compact(m_applied, m_stateMachine.saveState());
     const auto saved = m_store->saveSnapshot(base, m_replica->hardState(), m_replica->entriesAfterSnapshot());
     if (!saved) {
         disable(saved.error());
@@ -334,16 +334,16 @@
 void replicated_log::admitMembers()
 {
     const steady_time now = steadyNow();
-    std::erase_if(m_joins, [now](const auto& item) { return now >= item.second.deadline; });
+    std::erase_if(m_pendingJoins, [now](const auto& item) { return now >= item.second.deadline; });
     if (!isLeader()) {
         m_deadAfter.clear();
         return;
     }
-    std::vector<agreement::joining_replica> wishes;
-    for (const auto& [id, wish] : m_joins) {
+    std::vector<agreement::joining_replica> joining;
+    for (const auto& [id, request] : m_pendingJoins) {
         const auto& listed = m_options.seeds;
-        if (m_options.admitsUnlisted || std::find(listed.begin(), listed.end(), wish.address) != listed.end())
-            wishes.push_back({ id, wish.address });
+        if (m_options.admitsUnlisted || std::find(listed.begin(), listed.end(), request.address) != listed.end())
+            joining.push_back({ id, request.address });
     }
     std::vector<agreement::member_id> replaceable;
     std::vector<agreement::member_id> droppable;
@@ -358,7 +358,7 @@
         if (now >= since + dropAfter)
             droppable.push_back(member.id);
     }
-    auto next = agreement::nextMembers(*m_replica, wishes, now);
+    auto next = agreement::nextMembers(*m_replica, joining, now);
     if (!next)
         next = agreement::withoutDeadMember(*m_replica, replaceable, droppable, now);
     if (next)
--- a/src/app/shared/replicated_log.hpp
+++ b/src/app/shared/replicated_log.hpp
@@ -13,12 +13,12 @@
 namespace buckthornrail::app {
 
 /// @brief The state machine over the log; deterministic.
-class replicated_state {
+class state_machine {
 public:
-    replicated_state() = default;
-    replicated_state(const replicated_state&) = delete;
-    replicated_state& operator=(const replicated_state&) = delete;
-    virtual ~replicated_state() = default;
+    state_machine() = default;
+    state_machine(const state_machine&) = delete;
+    state_machine& operator=(const state_machine&) = delete;
+    virtual ~state_machine() = default;
 
     /// @brief Applies a committed command. @return its id, by which its proposer is answered; empty when unreadable
     virtual std::string applyCommand(const std::string& bytes) = 0;
@@ -45,7 +45,7 @@
     using done_callback = std::function<void(bool committed)>;
 
     replicated_log(
-        link::event_loop& loop, link::link_hub& hub, replicated_state& state, replicated_log_options options);
+        link::event_loop& loop, link::link_hub& hub, state_machine& stateMachine, replicated_log_options options);
     replicated_log(const replicated_log&) = delete;
     replicated_log& operator=(const replicated_log&) = delete;
     ~replicated_log();
@@ -114,12 +114,12 @@
         bool heardBeforeDial = false; ///< the open dial was begun knowing that the peer is up
         steady_time dialDeadline {}; ///< not before, after a failure
     };
-    struct open_wish {
+    struct pending_join {
         std::string address;
         steady_time deadline {};
     };
     /// A member that has said where it is, whether or not this one knows of it.
-    struct introduction {
+    struct received_hello {
         link::controller_place place;
         steady_time deadline {}; ///< forgotten then, unless it says so again
     };
@@ -142,14 +142,14 @@
     void forward(pending_command& command, steady_time now);
     [[nodiscard]] link::channel_number leaderChannel() const;
     void admitMembers();
-    void noteWish(agreement::member_id id, const std::string& address);
+    void recordJoinRequest(agreement::member_id id, const std::string& address);
     void watchLeadership();
     void disable(const failure& why);
     void recoverWhenPossible();
 
     link::event_loop& m_loop;
     link::link_hub& m_hub;
-    replicated_state& m_state;
+    state_machine& m_stateMachine;
     replicated_log_options m_options;
     std::unique_ptr<storage::storage_device> m_device;
     std::unique_ptr<storage::log_store> m_store;
@@ -159,9 +159,10 @@
     std::map<std::uint64_t, pending_confirmation> m_confirmations;
     std::uint64_t m_lastReadId = 0;
     std::map<std::string, peer_link> m_peers; ///< by address
-    std::map<agreement::member_id, open_wish> m_joins;
-    std::map<agreement::member_id, introduction> m_introduced;
-    std::map<link::channel_number, agreement::member_id> m_dialledBy; ///< members at the other end of accepted links
+    std::map<agreement::member_id, pending_join> m_pendingJoins;
+    std::map<agreement::member_id, received_hello> m_hellos;
+    std::map<link::channel_number, agreement::member_id>
+        m_acceptedLinks; ///< members at the other end of accepted links
     std::map<agreement::member_id, steady_time> m_deadAfter; ///< voters out of reach: given up then
     bool m_wasLeader = false;
     bool m_flushScheduled = false;
--- a/src/app/shared/replicated_log_links.cpp
+++ b/src/app/shared/replicated_log_links.cpp
@@ -39,7 +39,7 @@
 
 bool replicated_log::onClosed(link::channel_number channel)
 {
-    m_dialledBy.erase(channel);
+    m_acceptedLinks.erase(channel);
     for (auto& [address, peer] : m_peers) {
         if (peer.channel != channel)
             continue;
@@ -54,8 +54,8 @@
 
 void replicated_log::onProgress(link::channel_number channel)
 {
-    if (const auto dialled = m_dialledBy.find(channel); dialled != m_dialledBy.end()) {
-        m_replica->recordContact(dialled->second, steadyNow());
+    if (const auto accepted = m_acceptedLinks.find(channel); accepted != m_acceptedLinks.end()) {
+        m_replica->recordContact(accepted->second, steadyNow());
         return;
     }
     for (const auto& member : m_replica->members()) {
@@ -93,7 +93,7 @@
         auto& place = all.emplace_back();
         if (member.id == m_replica->self())
             place = { {}, m_options.controlAddress, m_options.failureDomain };
-        else if (const auto known = m_introduced.find(member.id); known != m_introduced.end())
+        else if (const auto known = m_hellos.find(member.id); known != m_hellos.end())
             place = known->second.place;
         place.address = member.address;
     }
@@ -113,7 +113,7 @@
         if (member.address != m_options.ownAddress)
             m_peers.try_emplace(member.address);
     }
-    std::erase_if(m_introduced, [now](const auto& item) { return now >= item.second.deadline; });
+    std::erase_if(m_hellos, [now](const auto& item) { return now >= item.second.deadline; });
     std::erase_if(
         m_peers, [this](const auto& item) { return item.second.channel == 0 && !isWorthDialling(item.first); });
     const bool isBlank = members.empty();
@@ -156,8 +156,8 @@
         return;
     }
     // An answer to a leader that this blank or outdated replica doesn't know yet. It has said where it is.
-    const auto known = m_introduced.find(message.to);
-    if (known != m_introduced.end())
+    const auto known = m_hellos.find(message.to);
+    if (known != m_hellos.end())
         sendToPeer(known->second.place.address, message);
 }
 
@@ -168,7 +168,7 @@
     return std::find(seeds.begin(), seeds.end(), address) != seeds.end()
         || std::any_of(
             members.begin(), members.end(), [&address](const auto& member) { return member.address == address; })
-        || std::any_of(m_introduced.begin(), m_introduced.end(),
+        || std::any_of(m_hellos.begin(), m_hellos.end(),
             [&address](const auto& item) { return item.second.place.address == address; });
 }
 
