--- a/src/app/shared/replicated_log.cpp
+++ b/src/app/shared/replicated_log.cpp
@@ -13,11 +13,11 @@
 constexpr milliseconds slowTickPeriod { 200 };
 constexpr milliseconds joinRequestLifetime { 2000 };
 /// A failed disk is read again after so long: it may have been full or hung for a moment.
-constexpr milliseconds recoverPeriod { 500 };
+constexpr milliseconds recoveryInterval { 500 };
 /// A voter out of reach for so long may be replaced by a learner that stands ready. Longer than a restart takes.
-constexpr milliseconds replaceAfter { 2500 };
+constexpr milliseconds replaceableAfter { 2500 };
 /// Without a learner a voter is only dropped where one more than needed votes, and after longer.
-constexpr milliseconds dropAfter { 8000 };
+constexpr milliseconds droppableAfter { 8000 };
 constexpr std::size_t maxPendingJoins = 16;
 /// Stands for the link to the leader at the leader itself.
 constexpr link::channel_number ownChannel = ~link::channel_number { 0 };
@@ -115,18 +115,18 @@
     return done;
 }
 
-void replicated_log::submit(const std::string& id, std::string bytes, done_callback done, milliseconds patience)
+void replicated_log::submit(const std::string& id, std::string bytes, done_callback done, milliseconds timeout)
 {
     const steady_time now = steadyNow();
-    m_commands[id] = { std::move(bytes), std::move(done), now + patience, 0, 0, {} };
-    resendCommands();
+    m_commands[id] = { std::move(bytes), std::move(done), now + timeout, 0, 0, {} };
+    forwardCommands();
     scheduleFlush();
 }
 
-void replicated_log::confirm(std::function<void(bool)> callback, milliseconds patience)
+void replicated_log::confirm(std::function<void(bool)> callback, milliseconds timeout)
 {
     const std::uint64_t readId = ++m_lastReadId;
-    m_confirmations[readId] = { std::move(callback), steadyNow() + patience, 0 };
+    m_confirmations[readId] = { std::move(callback), steadyNow() + timeout, 0 };
     m_replica->requestReadIndex(readId);
     scheduleFlush();
 }
@@ -144,7 +144,7 @@
         m_hellos[hello->member]
             = { { hello->address, hello->controlAddress, hello->failureDomain }, steadyNow() + helloLifetime };
         m_peers[hello->address].initialized = hello->initialized;
-        dialNow(hello->address);
+        redial(hello->address);
         const auto& members = m_replica->members();
         const bool isMember = std::any_of(
             members.begin(), members.end(), [hello](const auto& member) { return member.id == hello->member; });
@@ -173,10 +173,10 @@
 
 void replicated_log::slowTick()
 {
-    recoverWhenPossible();
+    tryRecover();
     dialPeers();
-    admitMembers();
-    resendCommands();
+    updateMembers();
+    forwardCommands();
     scheduleFlush();
 }
 
@@ -205,13 +205,13 @@
             if (found != m_confirmations.end())
                 found->second.index = std::max<agreement::log_index>(read.index, 1);
         }
-        releaseConfirmations();
+        completeConfirmations();
         const bool idle = !effects.needsPersist() && effects.messages.empty() && effects.committed.empty();
         if (idle)
             break;
     }
-    saveSnapshotWhenDue();
-    watchLeadership();
+    saveSnapshotIfDue();
+    checkLeadership();
 }
 
 bool replicated_log::persist(const agreement::effects& effects)
@@ -220,13 +220,13 @@
         return true;
     const auto saved = m_store->persist(effects);
     if (!saved) {
-        disable(saved.error());
+        markFaulted(saved.error());
         return false;
     }
     if (!effects.installed)
         return true;
     if (auto restored = m_stateMachine.restoreState(effects.installed->state); !restored) {
-        disable(restored.error());
+        markFaulted(restored.error());
         return false;
     }
     telemetry::logEvent(event_code::SnapshotInstalled,
@@ -250,112 +250,112 @@
         const std::string id = m_stateMachine.applyCommand(entry.command);
         if (id.empty())
             telemetry::logEvent(event_code::MessageRejected, { { "index", std::to_string(entry.index) } });
-        const auto waiting = m_commands.find(id);
-        if (waiting == m_commands.end())
+        const auto pending = m_commands.find(id);
+        if (pending == m_commands.end())
             continue;
-        const auto done = std::move(waiting->second.done);
-        m_commands.erase(waiting);
+        const auto done = std::move(pending->second.done);
+        m_commands.erase(pending);
         done(true);
     }
     if (!entries.empty() && changed)
         changed();
 }
 
-void replicated_log::releaseConfirmations()
+void replicated_log::completeConfirmations()
 {
     const steady_time now = steadyNow();
     std::vector<std::pair<std::function<void(bool)>, bool>> answered;
     for (auto at = m_confirmations.begin(); at != m_confirmations.end();) {
-        const auto& waiting = at->second;
-        const bool current = waiting.index != 0 && m_applied >= waiting.index;
-        if (!current && now < waiting.deadline) {
+        const auto& pending = at->second;
+        const bool current = pending.index != 0 && m_applied >= pending.index;
+        if (!current && now < pending.deadline) {
             ++at;
             continue;
         }
-        answered.emplace_back(waiting.callback, current);
+        answered.emplace_back(pending.callback, current);
         at = m_confirmations.erase(at);
     }
     for (const auto& [callback, current] : answered)
         callback(current);
 }
 
-void replicated_log::saveSnapshotWhenDue()
+void replicated_log::saveSnapshotIfDue()
 {
     const bool isDue = m_applied - m_replica->snapshotIndex() >= m_options.snapshotEntries;
     if (m_replica->role() == agreement::replica_role::Faulted || !isDue)
         return;
-    const auto base = m_replica->compact(m_applied, m_stateMachine.saveState());
-    const auto saved = m_store->saveSnapshot(base, m_replica->hardState(), m_replica->entriesAfterSnapshot());
+    const auto snapshot = m_replica->compact(m_applied, m_stateMachine.saveState());
+    const auto saved = m_store->saveSnapshot(snapshot, m_replica->hardState(), m_replica->entriesAfterSnapshot());
     if (!saved) {
-        disable(saved.error());
+        markFaulted(saved.error());
         return;
     }
     telemetry::logEvent(event_code::SnapshotSaved,
-        { { "index", std::to_string(base.index) }, { "bytes", std::to_string(base.state.size()) } });
+        { { "index", std::to_string(snapshot.index) }, { "bytes", std::to_string(snapshot.state.size()) } });
 }
 
-void replicated_log::resendCommands()
+void replicated_log::forwardCommands()
 {
     const steady_time now = steadyNow();
-    std::vector<done_callback> late;
+    std::vector<done_callback> expired;
     for (auto at = m_commands.begin(); at != m_commands.end();) {
-        auto& waiting = at->second;
-        if (now >= waiting.deadline) {
-            late.push_back(std::move(waiting.done));
+        auto& pending = at->second;
+        if (now >= pending.deadline) {
+            expired.push_back(std::move(pending.done));
             at = m_commands.erase(at);
             continue;
         }
-        forward(waiting, now);
+        forward(pending, now);
         ++at;
     }
-    for (const auto& done : late)
+    for (const auto& done : expired)
         done(false);
 }
 
 void replicated_log::forward(pending_command& command, steady_time now)
 {
     const link::channel_number channel = isLeader() ? ownChannel : leaderChannel();
-    const bool isUnderWay = command.forwardedOver == channel && command.forwardedIn == m_replica->term();
-    if (channel == 0 || isUnderWay)
+    const bool isInFlight = command.forwardedChannel == channel && command.forwardedTerm == m_replica->term();
+    if (channel == 0 || isInFlight)
         return;
     const bool isSent = isLeader() ? m_replica->propose(command.bytes).has_value()
                                    : m_hub.send(channel, link::encode(link::forward_command { command.bytes }));
     if (!isSent)
         return;
-    if (command.forwardedOver != 0)
+    if (command.forwardedChannel != 0)
         telemetry::logEvent(event_code::CommandForwardedAgain,
             { { "leader", leaderAddress() }, { "bytes", std::to_string(command.bytes.size()) },
                 { "after_ms", std::to_string(between(command.forwardedAt, now).count()) } });
-    command.forwardedOver = channel;
-    command.forwardedIn = m_replica->term();
+    command.forwardedChannel = channel;
+    command.forwardedTerm = m_replica->term();
     command.forwardedAt = now;
 }
 
-void replicated_log::admitMembers()
+void replicated_log::updateMembers()
 {
     const steady_time now = steadyNow();
     std::erase_if(m_pendingJoins, [now](const auto& item) { return now >= item.second.deadline; });
     if (!isLeader()) {
-        m_deadAfter.clear();
+        m_unreachableSince.clear();
         return;
     }
     std::vector<agreement::joining_replica> joining;
     for (const auto& [id, request] : m_pendingJoins) {
-        const auto& listed = m_options.seeds;
-        if (m_options.admitsUnlisted || std::find(listed.begin(), listed.end(), request.address) != listed.end())
+        const auto& seeds = m_options.seeds;
+        if (m_options.admitsUnlisted || std::find(seeds.begin(), seeds.end(), request.address) != seeds.end())
             joining.push_back({ id, request.address });
     }
     std::vector<agreement::member_id> replaceable;
     std::vector<agreement::member_id> droppable;
     for (const auto& member : m_replica->members()) {
         if (!m_options.dropsDeadMembers || m_replica->isReachable(member.id, now)) {
-            m_deadAfter.erase(member.id);
+            m_unreachableSince.erase(member.id);
             continue;
         }
-        const steady_time since = m_deadAfter.try_emplace(member.id, now).first->second;
-        if (now >= since + replaceAfter)
+        const steady_time since = m_unreachableSince.try_emplace(member.id, now).first->second;
+        if (now >= since + replaceableAfter)
             replaceable.push_back(member.id);
-        if (now >= since + dropAfter)
+        if (now >= since + droppableAfter)
             droppable.push_back(member.id);
     }
     auto next = agreement::nextMembers(*m_replica, joining, now);
@@ -365,7 +365,7 @@
         (void)m_replica->proposeMembers(std::move(*next)); // refused while another change is open; asked again
 }
 
-void replicated_log::watchLeadership()
+void replicated_log::checkLeadership()
 {
     const bool leads = isLeader();
     if (leads == m_wasLeader)
@@ -377,20 +377,20 @@
         leadershipChanged(leads);
 }
 
-void replicated_log::disable(const failure& why)
+void replicated_log::markFaulted(const failure& error)
 {
     m_replica->markFaulted();
-    m_recoverDeadline = steadyNow() + recoverPeriod;
+    m_nextRecoveryAt = steadyNow() + recoveryInterval;
     telemetry::logEvent(event_code::StorageFault,
-        { { "code", std::to_string(static_cast<int>(why.code)) }, { "reason", why.reason } },
+        { { "code", std::to_string(static_cast<int>(error.code)) }, { "reason", error.reason } },
         telemetry::severity::Error);
 }
 
-void replicated_log::recoverWhenPossible()
+void replicated_log::tryRecover()
 {
-    if (m_replica->role() != agreement::replica_role::Faulted || steadyNow() < m_recoverDeadline)
+    if (m_replica->role() != agreement::replica_role::Faulted || steadyNow() < m_nextRecoveryAt)
         return;
-    m_recoverDeadline = steadyNow() + recoverPeriod;
+    m_nextRecoveryAt = steadyNow() + recoveryInterval;
     // Nothing was promised since the failed write: what stands on disk now is all that counts, as after a restart.
     const auto opened = openStore();
     if (!opened)
--- a/src/app/shared/replicated_log.hpp
+++ b/src/app/shared/replicated_log.hpp
@@ -59,10 +59,10 @@
 
     /// @brief Forms a new log with this member alone; the others then join by themselves.
     tl::expected<void, failure> initialize();
-    /// @brief Commits a command through whoever leads; `done(false)` when that isn't known within the patience.
-    void submit(const std::string& id, std::string bytes, done_callback done, milliseconds patience);
+    /// @brief Commits a command through whoever leads; `done(false)` when that isn't known within the timeout.
+    void submit(const std::string& id, std::string bytes, done_callback done, milliseconds timeout);
     /// @brief Calls back once a quorum has confirmed that this member's state is current, or with false.
-    void confirm(std::function<void(bool)> callback, milliseconds patience);
+    void confirm(std::function<void(bool)> callback, milliseconds timeout);
 
     /// @return true when the event was the log's
     bool onOpened(link::channel_number channel);
@@ -98,8 +98,8 @@
         steady_time deadline {};
         /// Over which it went to the leader; 0: not yet. What was sent over a link arrives unless the link ends, and
         /// its leader has it unless it leads no more: sent again before, it would only wait behind itself.
-        link::channel_number forwardedOver = 0;
-        agreement::term_number forwardedIn = 0;
+        link::channel_number forwardedChannel = 0;
+        agreement::term_number forwardedTerm = 0;
         steady_time forwardedAt {};
     };
     struct pending_confirmation {
@@ -111,8 +111,8 @@
         link::channel_number channel = 0;
         bool open = false;
         bool initialized = false;
-        bool heardBeforeDial = false; ///< the open dial was begun knowing that the peer is up
-        steady_time dialDeadline {}; ///< not before, after a failure
+        bool isDialledAfterHello = false; ///< the open dial was begun knowing that the peer is up
+        steady_time nextDialAt {}; ///< not before, after a failure
     };
     struct pending_join {
         std::string address;
@@ -127,25 +127,25 @@
     tl::expected<void, failure> openStore();
     void dialPeers();
     /// @brief A peer that has just spoken is up: whatever was dialled before it came up is dialled anew.
-    void dialNow(const std::string& address);
+    void redial(const std::string& address);
     void sendToPeer(const std::string& address, const link::message& message);
     void tick();
     void slowTick();
     void flush();
     void deliver(const agreement::peer_message& message);
-    [[nodiscard]] bool isWorthDialling(const std::string& address) const;
+    [[nodiscard]] bool isKnownAddress(const std::string& address) const;
     bool persist(const agreement::effects& effects);
     void applyCommitted(const std::vector<agreement::log_entry>& entries);
-    void releaseConfirmations();
-    void saveSnapshotWhenDue();
-    void resendCommands();
+    void completeConfirmations();
+    void saveSnapshotIfDue();
+    void forwardCommands();
     void forward(pending_command& command, steady_time now);
     [[nodiscard]] link::channel_number leaderChannel() const;
-    void admitMembers();
+    void updateMembers();
     void recordJoinRequest(agreement::member_id id, const std::string& address);
-    void watchLeadership();
-    void disable(const failure& why);
-    void recoverWhenPossible();
+    void checkLeadership();
+    void markFaulted(const failure& error);
+    void tryRecover();
 
     link::event_loop& m_loop;
     link::link_hub& m_hub;
@@ -163,10 +163,10 @@
     std::map<agreement::member_id, received_hello> m_hellos;
     std::map<link::channel_number, agreement::member_id>
         m_acceptedLinks; ///< members at the other end of accepted links
-    std::map<agreement::member_id, steady_time> m_deadAfter; ///< voters out of reach: given up then
+    std::map<agreement::member_id, steady_time> m_unreachableSince; ///< voters out of reach: given up then
     bool m_wasLeader = false;
     bool m_flushScheduled = false;
-    steady_time m_recoverDeadline {}; ///< a failed disk is tried again then
+    steady_time m_nextRecoveryAt {}; ///< a failed disk is tried again then
     std::unique_ptr<periodic_task> m_ticker;
     std::unique_ptr<periodic_task> m_slowTicker;
 };
--- a/src/app/shared/replicated_log_links.cpp
+++ b/src/app/shared/replicated_log_links.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// A peer that can't be reached is dialled again after so long.
-constexpr milliseconds dialPause { 300 };
+constexpr milliseconds dialBackoff { 300 };
 
 } // namespace
 
@@ -44,9 +44,9 @@
         if (peer.channel != channel)
             continue;
         peer.channel = 0;
-        peer.dialDeadline = peer.open ? steady_time {} : steadyNow() + dialPause;
+        peer.nextDialAt = peer.open ? steady_time {} : steadyNow() + dialBackoff;
         peer.open = false;
-        peer.heardBeforeDial = false;
+        peer.isDialledAfterHello = false;
         return true;
     }
     return false;
@@ -115,10 +115,10 @@
     }
     std::erase_if(m_hellos, [now](const auto& item) { return now >= item.second.deadline; });
     std::erase_if(
-        m_peers, [this](const auto& item) { return item.second.channel == 0 && !isWorthDialling(item.first); });
+        m_peers, [this](const auto& item) { return item.second.channel == 0 && !isKnownAddress(item.first); });
     const bool isBlank = members.empty();
     for (auto& [address, peer] : m_peers) {
-        if (peer.channel == 0 && now >= peer.dialDeadline)
+        if (peer.channel == 0 && now >= peer.nextDialAt)
             peer.channel = m_hub.dial(address);
         sendToPeer(address,
             link::controller_hello {
@@ -128,14 +128,14 @@
     }
 }
 
-void replicated_log::dialNow(const std::string& address)
+void replicated_log::redial(const std::string& address)
 {
     auto& peer = m_peers[address];
-    if (peer.open || peer.heardBeforeDial)
+    if (peer.open || peer.isDialledAfterHello)
         return;
     if (peer.channel != 0)
         m_hub.close(peer.channel); // dialled while the peer was down: it may hang until its timeout
-    peer.heardBeforeDial = true;
+    peer.isDialledAfterHello = true;
     peer.channel = m_hub.dial(address);
 }
 
@@ -161,7 +161,7 @@
         sendToPeer(known->second.place.address, message);
 }
 
-bool replicated_log::isWorthDialling(const std::string& address) const
+bool replicated_log::isKnownAddress(const std::string& address) const
 {
     const auto& seeds = m_options.seeds;
     const auto& members = m_replica->members();
