--- a/src/app/entry/entry.cpp
+++ b/src/app/entry/entry.cpp
@@ -459,7 +459,7 @@
         m_leaveDeadline = now + leavePatience;
         return;
     }
-    if (m_session->isAnnounced() || now >= m_leaveDeadline)
+    if (m_session->isStateAcknowledged() || now >= m_leaveDeadline)
         std::exchange(m_whenDrained, {})();
 }
 
--- a/src/app/gateway/gateway.cpp
+++ b/src/app/gateway/gateway.cpp
@@ -342,7 +342,7 @@
 int runGateway(const settings::settings& settings, const gateway::traffic_dialect& traffic,
     const gateway::control_dialect& control)
 {
-    return runDirectRole<gateway_role>(
+    return runReloadableRole<gateway_role>(
         settings, settings::process_role::Gateway, [&](link::event_loop& loop, telemetry::metrics& metrics) {
             return std::make_unique<gateway_role>(loop, settings, traffic, control, metrics);
         });
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -24,12 +24,12 @@
     int (*run)(const settings::settings&);
 };
 
-int runGateway(const settings::settings& values)
+int runGateway(const settings::settings& settings)
 {
-    return app::runGateway(values, platform::trafficDialect(), platform::controlDialect());
+    return app::runGateway(settings, platform::trafficDialect(), platform::controlDialect());
 }
 
-int runRegistry(const settings::settings& values) { return app::runRegistry(values, platform::controlDialect()); }
+int runRegistry(const settings::settings& settings) { return app::runRegistry(settings, platform::controlDialect()); }
 
 constexpr std::array daemonCommands {
     daemon_command { settings::process_role::Entry, app::runEntry },
@@ -51,26 +51,26 @@
 {
     const std::string name(nameIn(settings::processRoleNames, command.role));
     std::string file;
-    bool onlyCheck = false;
+    bool isCheckOnly = false;
     try {
         TCLAP::CmdLine line("Runs the role '" + name + "' until SIGTERM.", ' ', version);
         TCLAP::ValueArg<std::string> settingsFile("s", "settings", "Settings file (INI)", true, "", "file", line);
         TCLAP::SwitchArg check("", "check", "Check the settings file and exit", line);
-        std::vector<std::string> copy = arguments;
-        line.parse(copy);
+        std::vector<std::string> remaining = arguments;
+        line.parse(remaining);
         file = settingsFile.getValue();
-        onlyCheck = check.getValue();
-    } catch (const TCLAP::ArgException& fault) {
-        std::cerr << "buckthornrail " << name << ": " << fault.error() << " " << fault.argId() << "\n";
+        isCheckOnly = check.getValue();
+    } catch (const TCLAP::ArgException& error) {
+        std::cerr << "buckthornrail " << name << ": " << error.error() << " " << error.argId() << "\n";
         return app::exitBadSettings;
     }
     const auto loaded = settings::loadSettings(file, command.role);
     if (!loaded) {
-        for (const auto& fault : loaded.error())
-            std::cerr << settings::toString(fault) << "\n";
+        for (const auto& error : loaded.error())
+            std::cerr << settings::toString(error) << "\n";
         return app::exitBadSettings;
     }
-    if (onlyCheck) {
+    if (isCheckOnly) {
         std::cout << file << ": valid\n";
         return app::exitOk;
     }
@@ -109,8 +109,8 @@
     std::signal(SIGPIPE, SIG_IGN);
     try {
         return runCommand({ argv, argv + argc });
-    } catch (const std::exception& fault) {
-        std::cerr << "buckthornrail: " << fault.what() << "\n";
+    } catch (const std::exception& error) {
+        std::cerr << "buckthornrail: " << error.what() << "\n";
         return app::exitFailure;
     }
 }
--- a/src/app/registry/registry.cpp
+++ b/src/app/registry/registry.cpp
@@ -365,7 +365,7 @@
 
 int runRegistry(const settings::settings& settings, const gateway::control_dialect& dialect)
 {
-    return runDirectRole<registry_role>(
+    return runReloadableRole<registry_role>(
         settings, settings::process_role::Registry, [&](link::event_loop& loop, telemetry::metrics& metrics) {
             return std::make_unique<registry_role>(loop, settings, dialect, metrics);
         });
--- a/src/app/shared/pushback_page.cpp
+++ b/src/app/shared/pushback_page.cpp
@@ -6,18 +6,18 @@
 
 namespace buckthornrail::app {
 
-std::string pushbackPage(const std::vector<gateway::restricted_target>& held)
+std::string pushbackPage(const std::vector<gateway::restricted_target>& restricted)
 {
     auto rows = nlohmann::json::array();
-    for (const auto& one : held) {
-        nlohmann::json row { { "target", text(one.target) } };
-        if (one.perSecond) {
-            row["per_second"] = *one.perSecond;
-            row["heard_ms_ago"] = one.limitAge.count();
+    for (const auto& target : restricted) {
+        nlohmann::json row { { "target", text(target.target) } };
+        if (target.perSecond) {
+            row["per_second"] = *target.perSecond;
+            row["heard_ms_ago"] = target.limitAge.count();
         }
-        if (one.backoffLeft > milliseconds(0))
-            row["rest_left_ms"] = one.backoffLeft.count();
-        if (one.isLeaving)
+        if (target.backoffLeft > milliseconds(0))
+            row["rest_left_ms"] = target.backoffLeft.count();
+        if (target.isLeaving)
             row["leaving"] = true;
         rows.push_back(std::move(row));
     }
--- a/src/app/shared/pushback_page.hpp
+++ b/src/app/shared/pushback_page.hpp
@@ -9,6 +9,6 @@
 inline constexpr std::string_view pushbackPath = "/pushback";
 
 /// @brief The page's body, as JSON.
-std::string pushbackPage(const std::vector<gateway::restricted_target>& held);
+std::string pushbackPage(const std::vector<gateway::restricted_target>& restricted);
 
 } // namespace buckthornrail::app
--- a/src/app/shared/role_runner.cpp
+++ b/src/app/shared/role_runner.cpp
@@ -15,7 +15,7 @@
     return std::nullopt;
 }
 
-void reportHeldLoop(link::event_loop& loop, telemetry::metrics& metrics)
+void reportSlowWork(link::event_loop& loop, telemetry::metrics& metrics)
 {
     loop.watchWork([&metrics](const link::held_loop& held) {
         metrics.count("loop_holds", std::string(held.work));
--- a/src/app/shared/role_runner.hpp
+++ b/src/app/shared/role_runner.hpp
@@ -10,21 +10,21 @@
 namespace buckthornrail::app {
 
 /// Lines gather for so long: one wake-up and one write for many.
-inline constexpr milliseconds logFlushPeriod { 100 };
+inline constexpr milliseconds logFlushInterval { 100 };
 
 /// @brief Decodes a message; logs one that can't be read, and closes its link.
 std::optional<link::message> decodeOrClose(link::link_hub& hub, link::channel_number channel, const std::string& bytes);
 
 /// @brief Logs and counts named work that holds the loop up.
-void reportHeldLoop(link::event_loop& loop, telemetry::metrics& metrics);
+void reportSlowWork(link::event_loop& loop, telemetry::metrics& metrics);
 
 /// @brief Starts a role, serves HTTP and runs until a signal has ended the role's work.
 /// @tparam Role has start(), isReady() and stop(std::function<void()>)
-/// @param routesOf gives the role's own routes; those for health are added
+/// @param makeRoutes gives the role's own routes; those for health are added
 /// @return the exit status
 template <typename Role>
 int runRole(const settings::settings& settings, settings::process_role kind,
-    const std::function<std::vector<http::http_route>(link::event_loop&, Role&)>& routesOf)
+    const std::function<std::vector<http::http_route>(link::event_loop&, Role&)>& makeRoutes)
 {
     link::event_loop loop;
     telemetry::metrics metrics;
@@ -35,14 +35,14 @@
     });
     role = std::make_unique<Role>(loop, settings, metrics);
     if (const auto started = role->start(); !started) {
-        const auto& why = started.error();
-        const bool isStorage = why.code == result_code::StorageFailed || why.code == result_code::StorageCorrupt;
+        const auto& error = started.error();
+        const bool isStorage = error.code == result_code::StorageFailed || error.code == result_code::StorageCorrupt;
         telemetry::logEvent(isStorage ? event_code::StorageFault : event_code::SettingsRejected,
-            { { "code", std::to_string(static_cast<int>(why.code)) }, { "reason", why.reason } },
+            { { "code", std::to_string(static_cast<int>(error.code)) }, { "reason", error.reason } },
             telemetry::severity::Error);
         return exitFailure;
     }
-    auto routes = routesOf(loop, *role);
+    auto routes = makeRoutes(loop, *role);
     for (auto& route : healthRoutes(metrics, [&role] { return role->isReady(); }))
         routes.push_back(std::move(route));
     auto server = startHttp(settings, std::move(routes));
@@ -53,11 +53,11 @@
     telemetry::logEvent(event_code::ProcessStarted,
         { { "role", std::string(nameIn(settings::processRoleNames, kind)) }, { "instance", settings.id },
             { "link", settings.linkAddress }, { "http", settings.httpAddress } });
-    const periodic_task logs(loop, logFlushPeriod, [&loop] {
+    const periodic_task logFlush(loop, logFlushInterval, [&loop] {
         const link::named_work work(loop, "log");
         telemetry::flushLog();
     });
-    reportHeldLoop(loop, metrics);
+    reportSlowWork(loop, metrics);
     loop.run();
     server->reset();
     role.reset();
@@ -68,24 +68,24 @@
 /// @brief Starts a role that serves its own addresses, and runs until a signal has ended its work. Settings are taken
 /// up again when they change.
 /// @tparam Role has start(), stop(std::function<void()>) and reload(const settings::settings&)
-/// @param make makes the role
+/// @param makeRole makes the role
 /// @return the exit status
 template <typename Role>
-int runDirectRole(const settings::settings& settings, settings::process_role kind,
-    const std::function<std::unique_ptr<Role>(link::event_loop&, telemetry::metrics&)>& make)
+int runReloadableRole(const settings::settings& settings, settings::process_role kind,
+    const std::function<std::unique_ptr<Role>(link::event_loop&, telemetry::metrics&)>& makeRole)
 {
     link::event_loop loop;
     telemetry::metrics metrics;
     std::unique_ptr<Role> role;
-    std::unique_ptr<settings_watch> reload;
+    std::unique_ptr<settings_watch> settingsWatch;
     const signal_watch watch(
         loop,
         [&] {
             telemetry::logEvent(event_code::ProcessStopping, { { "instance", settings.id } });
             role->stop([&loop] { loop.stop(); });
         },
-        [&reload] { reload->read(true); });
-    role = make(loop, metrics);
+        [&settingsWatch] { settingsWatch->read(true); });
+    role = makeRole(loop, metrics);
     if (const auto started = role->start(); !started) {
         telemetry::logEvent(
             event_code::SettingsRejected, { { "reason", started.error().reason } }, telemetry::severity::Error);
@@ -95,15 +95,15 @@
         { { "role", std::string(nameIn(settings::processRoleNames, kind)) }, { "instance", settings.id },
             { "link", settings.linkAddress }, { "callers", settings.gatewayAddress },
             { "http", settings.httpAddress } });
-    reload = std::make_unique<settings_watch>(
+    settingsWatch = std::make_unique<settings_watch>(
         loop, settings, kind, [&role](const settings::settings& changed) { role->reload(changed); });
-    const periodic_task logs(loop, logFlushPeriod, [&loop] {
+    const periodic_task logFlush(loop, logFlushInterval, [&loop] {
         const link::named_work work(loop, "log");
         telemetry::flushLog();
     });
-    reportHeldLoop(loop, metrics);
+    reportSlowWork(loop, metrics);
     loop.run();
-    reload.reset();
+    settingsWatch.reset();
     role.reset();
     telemetry::logEvent(event_code::ProcessStopped, { { "instance", settings.id } });
     return exitOk;
--- a/src/app/shared/session_client.cpp
+++ b/src/app/shared/session_client.cpp
@@ -7,7 +7,7 @@
 namespace buckthornrail::app {
 namespace {
 
-constexpr std::size_t maxOpenHeartbeats = 64;
+constexpr std::size_t maxUnackedHeartbeats = 64;
 
 } // namespace
 
@@ -18,8 +18,8 @@
     , m_record(std::move(record))
     , m_wantsState(wantsState)
     , m_callbacks(std::move(callbacks))
-    , m_controller(std::hash<std::string>()(m_record.id) % settings.controllers.size())
-    , m_heartbeat(loop, milliseconds(settings.heartbeatMs), [this] { beat(); })
+    , m_controllerIndex(std::hash<std::string>()(m_record.id) % settings.controllers.size())
+    , m_heartbeat(loop, milliseconds(settings.heartbeatMs), [this] { sendHeartbeat(); })
 {
     loop.post([this] { connect(); });
 }
@@ -30,11 +30,11 @@
         return false;
     m_open = true;
     m_sentAt.clear();
-    m_silenceDeadline = steadyNow() + milliseconds(m_settings.leaseMs / 2);
-    m_pages.clear();
+    m_answerDeadline = steadyNow() + milliseconds(m_settings.leaseMs / 2);
+    m_pageBytes.clear();
     m_nextPage = 0;
     announce();
-    beat();
+    sendHeartbeat();
     return true;
 }
 
@@ -44,7 +44,7 @@
         return false;
     m_open = false;
     m_channel = 0;
-    m_controller = (m_controller + 1) % m_settings.controllers.size();
+    m_controllerIndex = (m_controllerIndex + 1) % m_settings.controllers.size();
     return true;
 }
 
@@ -67,7 +67,7 @@
 {
     // What is on its way is no silence: left now, it would be sent anew from its first byte.
     if (channel == m_channel)
-        m_silenceDeadline = steadyNow() + milliseconds(m_settings.leaseMs / 2);
+        m_answerDeadline = steadyNow() + milliseconds(m_settings.leaseMs / 2);
 }
 
 void session_client::setState(membership::instance_state state)
@@ -75,11 +75,11 @@
     if (m_record.state == state)
         return;
     m_record.state = state;
-    m_announcedSequence = m_sequence + 1; // settled by the answer to the next heartbeat
+    m_stateSequence = m_sequence + 1; // settled by the answer to the next heartbeat
     if (!m_open)
         return;
     announce();
-    beat();
+    sendHeartbeat();
 }
 
 void session_client::setModel(const std::string& model, const std::string& version)
@@ -98,16 +98,16 @@
 void session_client::connect()
 {
     if (m_channel == 0)
-        m_channel = m_hub.dial(m_settings.controllers[m_controller]);
+        m_channel = m_hub.dial(m_settings.controllers[m_controllerIndex]);
 }
 
 void session_client::announce()
 {
-    const configuration_version held = m_needsSnapshot ? 0 : m_configuration.version();
-    send(link::session_announce { m_record, held, m_membership.revision(), m_wantsState });
+    const configuration_version heldVersion = m_needsSnapshot ? 0 : m_configuration.version();
+    send(link::session_announce { m_record, heldVersion, m_membership.revision(), m_wantsState });
 }
 
-void session_client::beat()
+void session_client::sendHeartbeat()
 {
     const steady_time now = steadyNow();
     if (!hasLease() && !m_leaseExpiryLogged) {
@@ -120,13 +120,13 @@
     }
     if (!m_open)
         return;
-    if (now >= m_silenceDeadline) {
+    if (now >= m_answerDeadline) {
         m_hub.close(m_channel); // cut off, or without a quorum: try the next one
         return;
     }
     ++m_sequence;
     m_sentAt[m_sequence] = now;
-    if (m_sentAt.size() > maxOpenHeartbeats)
+    if (m_sentAt.size() > maxUnackedHeartbeats)
         m_sentAt.erase(m_sentAt.begin());
     send(link::session_heartbeat { m_sequence });
 }
@@ -139,7 +139,7 @@
     const steady_time sentAt = sent->second;
     m_sentAt.erase(m_sentAt.begin(), std::next(sent));
     m_ackedSequence = std::max(m_ackedSequence, ack.sequence);
-    m_silenceDeadline = steadyNow() + milliseconds(m_settings.leaseMs / 2);
+    m_answerDeadline = steadyNow() + milliseconds(m_settings.leaseMs / 2);
     if (!ack.known)
         announce();
     if (!m_wantsState && ack.configuration > m_version) {
@@ -147,9 +147,9 @@
         telemetry::logEvent(
             event_code::ConfigurationApplied, { { "version", std::to_string(m_version) }, { "form", "version" } });
     }
-    const configuration_version held = m_wantsState ? m_configuration.version() : m_version;
+    const configuration_version heldVersion = m_wantsState ? m_configuration.version() : m_version;
     // The controller was current at some time after sentAt, and has sent all that it knew by then.
-    if (ack.configuration == held && held != 0) {
+    if (ack.configuration == heldVersion && heldVersion != 0) {
         m_leaseDeadline = std::max(m_leaseDeadline, sentAt + milliseconds(m_settings.leaseMs));
         m_leaseExpiryLogged = false;
         m_callbacks.leaseRenewed(ack.configuration, m_leaseDeadline);
@@ -162,17 +162,17 @@
 void session_client::onPage(const link::configuration_page& page)
 {
     if (page.page == 0) {
-        m_pages.clear();
+        m_pageBytes.clear();
         m_nextPage = 0;
     }
     if (page.page != m_nextPage)
         return;
-    m_pages += page.bytes;
+    m_pageBytes += page.bytes;
     ++m_nextPage;
     if (m_nextPage < page.pages)
         return;
-    const auto applied = m_configuration.apply({ page.from, page.to, std::move(m_pages) });
-    m_pages.clear();
+    const auto applied = m_configuration.apply({ page.from, page.to, std::move(m_pageBytes) });
+    m_pageBytes.clear();
     if (!applied) {
         telemetry::logEvent(event_code::ConfigurationRejected,
             { { "version", std::to_string(page.to) }, { "reason", applied.error().reason } },
--- a/src/app/shared/session_client.hpp
+++ b/src/app/shared/session_client.hpp
@@ -44,12 +44,12 @@
     [[nodiscard]] const membership::membership_view& membership() const { return m_membership; }
     [[nodiscard]] const membership::instance_record& record() const { return m_record; }
     /// @brief True when the controller has acknowledged the state set last.
-    [[nodiscard]] bool isAnnounced() const { return m_announcedSequence <= m_ackedSequence; }
+    [[nodiscard]] bool isStateAcknowledged() const { return m_stateSequence <= m_ackedSequence; }
 
 private:
     void connect();
     void announce();
-    void beat();
+    void sendHeartbeat();
     void onAck(const link::session_ack& ack);
     void onPage(const link::configuration_page& page);
     void onMembership(const membership::membership_delta& delta);
@@ -61,18 +61,18 @@
     session_callbacks m_callbacks;
     link::channel_number m_channel = 0;
     bool m_open = false;
-    std::size_t m_controller = 0; ///< position in the settings' list
+    std::size_t m_controllerIndex = 0; ///< position in the settings' list
     std::uint64_t m_sequence = 0;
     std::uint64_t m_ackedSequence = 0;
-    std::uint64_t m_announcedSequence = 0;
+    std::uint64_t m_stateSequence = 0;
     std::map<std::uint64_t, steady_time> m_sentAt; ///< heartbeats without an answer
     steady_time m_leaseDeadline {};
-    steady_time m_silenceDeadline {}; ///< without an answer until then, another controller is tried
+    steady_time m_answerDeadline {}; ///< without an answer until then, another controller is tried
     bool m_leaseExpiryLogged = true;
     configuration_version m_version = 0; ///< without the document, when the state isn't wanted
     configuration::configuration_view m_configuration;
     membership::membership_view m_membership;
-    std::string m_pages; ///< of the update that is being received
+    std::string m_pageBytes; ///< of the update that is being received
     std::uint32_t m_nextPage = 0;
     bool m_needsSnapshot = false; ///< a delta did not fit
     periodic_task m_heartbeat;
--- a/src/app/shared/settings_watch.cpp
+++ b/src/app/shared/settings_watch.cpp
@@ -6,27 +6,27 @@
 namespace {
 
 /// The file may change without a signal; addresses of controllers in it are good for about as long.
-constexpr milliseconds readPeriod { 2000 };
+constexpr milliseconds pollInterval { 2000 };
 
 } // namespace
 
-settings_watch::settings_watch(link::event_loop& loop, const settings::settings& first, settings::process_role role,
-    std::function<void(const settings::settings&)> changed)
-    : m_file(first.sourceFile)
+settings_watch::settings_watch(link::event_loop& loop, const settings::settings& initial, settings::process_role role,
+    std::function<void(const settings::settings&)> onChange)
+    : m_file(initial.sourceFile)
     , m_role(role)
     , m_text(settings::readText(m_file).value_or(""))
-    , m_changed(std::move(changed))
-    , m_reads(loop, readPeriod, [this] { read(false); })
+    , m_onChange(std::move(onChange))
+    , m_poll(loop, pollInterval, [this] { read(false); })
 {
 }
 
-void settings_watch::read(bool asked)
+void settings_watch::read(bool isRequested)
 {
     auto text = settings::readText(m_file);
-    const bool isNew = text && *text != m_text;
-    if (!isNew && !asked)
+    const bool isChanged = text && *text != m_text;
+    if (!isChanged && !isRequested)
         return;
-    if (!isNew) {
+    if (!isChanged) {
         telemetry::logEvent(event_code::SettingsReloaded,
             { { "file", m_file }, { "outcome", text ? "unchanged" : "unreadable, kept" } });
         return;
@@ -40,7 +40,7 @@
         return;
     }
     telemetry::logEvent(event_code::SettingsReloaded, { { "file", m_file }, { "outcome", "taken" } });
-    m_changed(*parsed);
+    m_onChange(*parsed);
 }
 
 } // namespace buckthornrail::app
--- a/src/app/sidecar/sidecar.cpp
+++ b/src/app/sidecar/sidecar.cpp
@@ -317,7 +317,7 @@
         m_leaveDeadline = now + leavePatience;
         return;
     }
-    if (m_session->isAnnounced() || now >= m_leaveDeadline)
+    if (m_session->isStateAcknowledged() || now >= m_leaveDeadline)
         std::exchange(m_whenDrained, {})();
 }
 
