--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The one binary: picks the role by its sub-command.
+/// @brief Entry point of the binary, which runs the role or tool that the first argument names.
 #include "app/controller/controller.hpp"
 #include "app/entry/entry.hpp"
 #include "app/gateway/gateway.hpp"
@@ -18,7 +18,7 @@
 
 constexpr const char* version = "0.1.0";
 
-/// One sub-command that runs a daemon.
+/// A sub-command that runs a role as a daemon.
 struct daemon_command {
     settings::process_role role;
     int (*run)(const settings::settings&);
--- a/src/app/shared/control_response.cpp
+++ b/src/app/shared/control_response.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Answers to calls for control.
+/// @brief Error responses to operators' calls, and the log of the calls.
 #include "app/shared/control_response.hpp"
 
 namespace buckthornrail::app {
--- a/src/app/shared/control_response.hpp
+++ b/src/app/shared/control_response.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Answers to calls for control, and their log line.
+/// @brief Error responses to operators' calls, and the log of the calls.
 #pragma once
 
 #include "app/shared/process.hpp"
@@ -7,13 +7,18 @@
 
 namespace buckthornrail::app {
 
-/// An operator's call goes to another member after a second without an answer.
+/// Time limit for committing or confirming what a call asks for. Operators' clients go to another controller after one
+/// second without a response.
 inline constexpr milliseconds controlCallTimeout { 900 };
 
-/// @brief An answer with a reason, as JSON.
+/// @param status HTTP status
+/// @param reason returned in the JSON body
+/// @return an error response
 net::whole_response errorResponse(int status, const std::string& reason);
 
-/// @brief Logs what became of a call.
+/// @brief Logs the outcome of a call.
+/// @param what the requested operation
+/// @param status HTTP status of the response
 void logCall(const std::string& what, int status, const std::string& detail);
 
 } // namespace buckthornrail::app
--- a/src/app/shared/preferred_address.cpp
+++ b/src/app/shared/preferred_address.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Rendezvous hashing.
+/// @brief Rendezvous hashing over controller addresses.
 #include "app/shared/preferred_address.hpp"
 
 #include <algorithm>
--- a/src/app/shared/process.cpp
+++ b/src/app/shared/process.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Signals, timers, health pages.
+/// @brief Signal handling, timers and health endpoints.
 #include "app/shared/process.hpp"
 
 #include <array>
@@ -43,7 +43,7 @@
     sigaddset(&set, SIGTERM);
     sigaddset(&set, SIGINT);
     sigaddset(&set, SIGHUP);
-    sigaddset(&set, SIGUSR1); // only ends the watch
+    sigaddset(&set, SIGUSR1); // sent by the destructor to end the thread
     pthread_sigmask(SIG_BLOCK, &set, nullptr);
     m_implementation->thread = std::thread([&loop, set, onStop = std::move(onStop), onReload = std::move(onReload)] {
         while (true) {
--- a/src/app/shared/process.hpp
+++ b/src/app/shared/process.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What every role needs: the loop, signals, metrics, health pages, random numbers.
+/// @brief Facilities that all roles share: signals, timers, health endpoints and random numbers.
 #pragma once
 
 #include "buckthornrail/core/identifiers.hpp"
@@ -17,22 +17,24 @@
 
 namespace buckthornrail::app {
 
-/// @brief The boot clock; cores get its values passed in.
+/// @brief The current time on the boot clock. Classes without I/O don't call it; their callers pass the time in.
 inline steady_time steadyNow() { return boot_clock::now(); }
 
-/// @brief Seconds since 1970 by this machine's clock.
+/// @return the time of day in seconds since 1970
 std::uint64_t wallSeconds();
 
-/// @brief A random number from the operating system; never 0.
+/// @return a random number from the operating system; never 0
 std::uint64_t randomNumber();
 
-/// @brief A random name: 32 hexadecimal digits.
+/// @return a random identifier of 32 hexadecimal digits
 std::string randomId();
 
-/// @brief Calls functions on the loop when SIGTERM or SIGINT, or SIGHUP, comes. Call before any thread is started.
+/// @brief Handles SIGTERM, SIGINT and SIGHUP on the loop thread. Construct it before any other thread is started, as
+/// threads inherit the blocked signals.
 class signal_watch {
 public:
-    /// @param onReload for SIGHUP; without one it does nothing
+    /// @param onStop called on SIGTERM and SIGINT
+    /// @param onReload called on SIGHUP; empty: SIGHUP is ignored
     signal_watch(link::event_loop& loop, std::function<void()> onStop, std::function<void()> onReload = {});
     signal_watch(const signal_watch&) = delete;
     signal_watch& operator=(const signal_watch&) = delete;
@@ -43,9 +45,10 @@
     std::unique_ptr<implementation> m_implementation;
 };
 
-/// @brief Runs a function on the loop every period until it is destroyed.
+/// @brief Runs a function on the loop thread until this object is destroyed.
 class periodic_task {
 public:
+    /// @param period from the end of a run to the start of the next
     periodic_task(link::event_loop& loop, milliseconds period, std::function<void()> task);
     periodic_task(const periodic_task&) = delete;
     periodic_task& operator=(const periodic_task&) = delete;
@@ -60,8 +63,9 @@
     std::shared_ptr<int> m_alive = std::make_shared<int>(0);
 };
 
-/// @brief Starts a function on the loop and waits for the result that it gives to its callback.
-/// @return nothing when none came in time
+/// @brief Runs a function on the loop thread and waits for the result that it passes to its callback. Must not be
+/// called on the loop thread.
+/// @return nothing when there was no result within the timeout; a later one is discarded
 template <typename Result>
 std::optional<Result> callOnLoop(
     link::event_loop& loop, milliseconds timeout, std::function<void(std::function<void(Result)>)> task)
@@ -80,15 +84,17 @@
     return future.get();
 }
 
-/// @brief Routes /healthz, /readyz and /metrics.
+/// @return the routes /healthz, /readyz and /metrics
+/// @param isReady called on threads of the HTTP server
 std::vector<http::http_route> healthRoutes(telemetry::metrics& metrics, std::function<bool()> isReady);
 
 /// @brief Starts the HTTP server of a role.
+/// @return the server, or why it could not be started
 tl::expected<std::unique_ptr<http::http_server>, std::string> startHttp(
     const settings::settings& settings, std::vector<http::http_route> routes);
 
 inline constexpr int exitOk = 0;
 inline constexpr int exitFailure = 1;
-inline constexpr int exitBadSettings = 2;
+inline constexpr int exitBadSettings = 2; ///< also for an invalid command line
 
 } // namespace buckthornrail::app
--- a/src/app/shared/pushback_page.cpp
+++ b/src/app/shared/pushback_page.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Held targets as JSON.
+/// @brief Formats restricted targets as JSON.
 #include "app/shared/pushback_page.hpp"
 
 #include <nlohmann/json.hpp>
--- a/src/app/shared/pushback_page.hpp
+++ b/src/app/shared/pushback_page.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The page on which gateways and registries list what targets have said of how they want to be treated.
+/// @brief Page on which gateways and registries list the targets that are rate-limited, backing off or leaving.
 #pragma once
 
 #include "buckthornrail/gateway/target_pool.hpp"
@@ -8,7 +8,7 @@
 
 inline constexpr std::string_view pushbackPath = "/pushback";
 
-/// @brief The page's body, as JSON.
+/// @return the body of the page, as JSON
 std::string pushbackPage(const std::vector<gateway::restricted_target>& restricted);
 
 } // namespace buckthornrail::app
--- a/src/app/shared/replicated_log.cpp
+++ b/src/app/shared/replicated_log.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Driving a replica: events in, effects carried out in order.
+/// @brief Passes events to the replica and carries out its effects.
 #include "app/shared/replicated_log.hpp"
 
 #include "buckthornrail/agreement/admission.hpp"
@@ -12,16 +12,18 @@
 constexpr milliseconds tickPeriod { 20 };
 constexpr milliseconds slowTickPeriod { 200 };
 constexpr milliseconds joinRequestLifetime { 2000 };
-/// A failed disk is read again after so long: it may have been full or hung for a moment.
+/// Interval between attempts to reopen a failed disk, which may have been full or unresponsive only for a moment.
 constexpr milliseconds recoveryInterval { 500 };
-/// A voter out of reach for so long may be replaced by a learner that stands ready. Longer than a restart takes.
+/// Unreachable time after which a voter may be removed once a promoted learner has made the number of voters even.
+/// Longer than a restart takes.
 constexpr milliseconds replaceableAfter { 2500 };
-/// Without a learner a voter is only dropped where one more than needed votes, and after longer.
+/// Unreachable time after which a learner, or any member of a full set, may be removed. Longer, as no learner
+/// is ready to replace it.
 constexpr milliseconds droppableAfter { 8000 };
 constexpr std::size_t maxPendingJoins = 16;
-/// Stands for the link to the leader at the leader itself.
+/// Stands for the link to the leader when this member leads.
 constexpr link::channel_number ownChannel = ~link::channel_number { 0 };
-/// Members say where they are every 200 ms.
+/// Members send a hello every 200 ms.
 constexpr milliseconds helloLifetime { 2000 };
 
 agreement::replica_options replicaOptions(std::uint32_t electionTimeoutMs)
@@ -149,7 +151,7 @@
         const bool isMember = std::any_of(
             members.begin(), members.end(), [hello](const auto& member) { return member.id == hello->member; });
         if (hello->initialized && !isMember && isLeader() && m_options.admitsUnlisted)
-            recordJoinRequest(hello->member, hello->address); // it was dropped while it was away
+            recordJoinRequest(hello->member, hello->address); // it was removed while it was unreachable
     } else {
         return false;
     }
@@ -362,7 +364,7 @@
     if (!next)
         next = agreement::withoutDeadMember(*m_replica, replaceable, droppable, now);
     if (next)
-        (void)m_replica->proposeMembers(std::move(*next)); // refused while another change is open; asked again
+        (void)m_replica->proposeMembers(std::move(*next)); // rejected while another change is pending, and then retried
 }
 
 void replicated_log::checkLeadership()
@@ -391,7 +393,8 @@
     if (m_replica->role() != agreement::replica_role::Faulted || steadyNow() < m_nextRecoveryAt)
         return;
     m_nextRecoveryAt = steadyNow() + recoveryInterval;
-    // Nothing was promised since the failed write: what stands on disk now is all that counts, as after a restart.
+    // Nothing has been acknowledged since the failed write, so the replica continues from what is on disk, as after a
+    // restart.
     const auto opened = openStore();
     if (!opened)
         return;
--- a/src/app/shared/replicated_log.hpp
+++ b/src/app/shared/replicated_log.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Drives one replica of the replicated log over disk and links, for any state machine.
+/// @brief Runs a replica of the replicated log on storage and links, for any state machine.
 #pragma once
 
 #include "app/shared/process.hpp"
@@ -12,7 +12,7 @@
 
 namespace buckthornrail::app {
 
-/// @brief The state machine over the log; deterministic.
+/// @brief A deterministic state machine that the log replicates.
 class state_machine {
 public:
     state_machine() = default;
@@ -20,26 +20,30 @@
     state_machine& operator=(const state_machine&) = delete;
     virtual ~state_machine() = default;
 
-    /// @brief Applies a committed command. @return its id, by which its proposer is answered; empty when unreadable
+    /// @brief Applies a committed command.
+    /// @return the id that it was submitted under; empty when it is malformed
     virtual std::string applyCommand(const std::string& bytes) = 0;
+    /// @return the serialized state, for restoreState()
     [[nodiscard]] virtual std::string saveState() const = 0;
-    /// @brief Takes a saved state over. @param bytes empty: the state before the first command
+    /// @brief Replaces the state with a saved one.
+    /// @param bytes result of saveState(); empty: the state before the first command
     virtual tl::expected<void, failure> restoreState(const std::string& bytes) = 0;
 };
 
 struct replicated_log_options {
     std::string dataFolder;
-    std::string ownAddress; ///< where other members reach this one
-    std::string controlAddress; ///< of this one, for HTTP calls; told to the others
-    std::string failureDomain; ///< the same
-    std::vector<std::string> seeds; ///< members to begin with
+    std::string ownAddress; ///< link address of this member
+    std::string controlAddress; ///< HTTP address of this member, sent to the others
+    std::string failureDomain; ///< of this member, sent to the others
+    std::vector<std::string> seeds; ///< link addresses to dial besides those of known members
     std::uint32_t electionTimeoutMs = 700;
     std::uint32_t snapshotEntries = 2000;
-    bool admitsUnlisted = false; ///< members at other addresses than the seeds may join
-    bool dropsDeadMembers = false; ///< a voter that is long out of reach gives its place to a learner
+    bool admitsUnlisted = false; ///< replicas at other addresses than the seeds may join
+    bool dropsDeadMembers = false; ///< removes unreachable members; see agreement::withoutDeadMember()
 };
 
-/// @brief Lives on the loop thread.
+/// @brief Passes timer ticks and messages to a replica, and carries out its effects in order. Used on the loop thread
+/// only. The owner's hub handlers forward link events to it.
 class replicated_log {
 public:
     using done_callback = std::function<void(bool committed)>;
@@ -50,54 +54,63 @@
     replicated_log& operator=(const replicated_log&) = delete;
     ~replicated_log();
 
-    /// @brief Reads the data folder.
+    /// @brief Loads the data folder and starts to dial the other members.
+    /// @return the failure to open or read the data folder, or to restore the state
     tl::expected<void, failure> start();
-    /// @brief Hands leadership over.
+    /// @brief Hands leadership over to another member if this one leads.
     void stop();
-    /// @brief Takes other seeds over.
+    /// @brief Replaces the seeds.
     void setSeeds(std::vector<std::string> seeds);
 
-    /// @brief Forms a new log with this member alone; the others then join by themselves.
+    /// @brief Forms a new log with this member as the only voter. The others then join without further calls.
+    /// @return AlreadyInitialized when this or another controller already has a log
     tl::expected<void, failure> initialize();
-    /// @brief Commits a command through whoever leads; `done(false)` when that isn't known within the timeout.
+    /// @brief Sends a command to the leader to be committed.
+    /// @param id that applyCommand() returns for the command
+    /// @param done called with true once it is committed and applied here, with false after the timeout, when it may
+    /// still be committed
     void submit(const std::string& id, std::string bytes, done_callback done, milliseconds timeout);
-    /// @brief Calls back once a quorum has confirmed that this member's state is current, or with false.
+    /// @brief Confirms with a quorum that this member's state includes everything committed before the call.
+    /// @param callback called with false when that isn't confirmed within the timeout
     void confirm(std::function<void(bool)> callback, milliseconds timeout);
 
-    /// @return true when the event was the log's
+    /// @return whether the event concerned the log
     bool onOpened(link::channel_number channel);
-    /// @brief Logs why a link to a peer ends; onClosed() follows.
+    /// @brief Logs why a link to a peer is closing. onClosed() follows.
     void onEnding(link::channel_number channel, const link::link_end& end) const;
     bool onClosed(link::channel_number channel);
     bool onMessage(link::channel_number channel, const link::message& message);
-    /// @brief A part of a long message came over a channel, or was taken at its other end.
+    /// @brief Part of a long message was received over a channel, or acknowledged by the other end.
     void onProgress(link::channel_number channel);
-    /// @brief Sends to the member that leads, if one is known and reachable.
+    /// @brief Sends a message to the leader.
+    /// @return false when no leader is known, there is no open link to it, or this member leads
     bool sendToLeader(const link::message& message);
 
-    /// @brief Carries out what the replica wants done, soon.
+    /// @brief Schedules the replica's effects to be carried out on the loop.
     void scheduleFlush();
 
     [[nodiscard]] const agreement::replica& replica() const { return *m_replica; }
     [[nodiscard]] bool isLeader() const { return m_replica->role() == agreement::replica_role::Leader; }
+    /// @return link address of the leader; empty: unknown
     [[nodiscard]] std::string leaderAddress() const;
-    /// @brief True when this member leads, or hears of a leader that it has an open link to.
+    /// @brief Whether this member leads, or has an open link to the known leader.
     [[nodiscard]] bool reachesLeader() const { return isLeader() || leaderChannel() != 0; }
-    /// @brief All members.
+    /// @return the addresses of all members; only the link address for one that sent no hello lately
     [[nodiscard]] std::vector<link::controller_place> places() const;
-    /// @brief True when a member elsewhere holds a log.
+    /// @brief Whether another controller has reported that it has a log.
     [[nodiscard]] bool knowsOtherLog() const;
 
-    std::function<void()> changed; ///< after entries were applied or a snapshot was taken over
-    std::function<void(bool leads)> leadershipChanged;
+    /// Called after entries were applied, a snapshot was installed or storage was reopened. May be empty.
+    std::function<void()> changed;
+    std::function<void(bool leads)> leadershipChanged; ///< may be empty
 
 private:
     struct pending_command {
         std::string bytes;
         done_callback done;
         steady_time deadline {};
-        /// Over which it went to the leader; 0: not yet. What was sent over a link arrives unless the link ends, and
-        /// its leader has it unless it leads no more: sent again before, it would only wait behind itself.
+        /// Link that the command was forwarded over; 0: not forwarded yet. It isn't sent again while the link is open
+        /// and the term lasts: the link delivers it, and a second copy would only queue behind the first.
         link::channel_number forwardedChannel = 0;
         agreement::term_number forwardedTerm = 0;
         steady_time forwardedAt {};
@@ -105,46 +118,62 @@
     struct pending_confirmation {
         std::function<void(bool)> callback;
         steady_time deadline {};
-        agreement::log_index index = 0; ///< 0: not yet confirmed
+        agreement::log_index index = 0; ///< to be applied before the callback; 0: not confirmed yet
     };
     struct peer_link {
         link::channel_number channel = 0;
         bool open = false;
-        bool initialized = false;
-        bool isDialledAfterHello = false; ///< the open dial was begun knowing that the peer is up
-        steady_time nextDialAt {}; ///< not before, after a failure
+        bool initialized = false; ///< the peer has reported that it has a log
+        bool isDialledAfterHello = false; ///< it was known to be up when `channel` was dialled
+        steady_time nextDialAt {}; ///< a failed dial is retried then
     };
+    /// A replica that has asked to become a member.
     struct pending_join {
         std::string address;
-        steady_time deadline {};
+        steady_time deadline {}; ///< dropped then, unless it asks again
     };
-    /// A member that has said where it is, whether or not this one knows of it.
+    /// The last hello of a controller, which need not be a known member.
     struct received_hello {
         link::controller_place place;
-        steady_time deadline {}; ///< forgotten then, unless it says so again
+        steady_time deadline {}; ///< dropped then, unless another one arrives
     };
 
     tl::expected<void, failure> openStore();
+    /// @brief Dials peers without a link, and sends a hello, and a join request if this replica is blank, over open
+    /// links.
     void dialPeers();
-    /// @brief A peer that has just spoken is up: whatever was dialled before it came up is dialled anew.
+    /// @brief Dials a peer that has sent a hello. An attempt from before, which may have met a peer that was down, is
+    /// given up.
     void redial(const std::string& address);
     void sendToPeer(const std::string& address, const link::message& message);
     void tick();
+    /// @brief Runs tasks that need no exact timing: recovery, dialling, membership and retries.
     void slowTick();
+    /// @brief Carries out the replica's effects until there are none.
     void flush();
     void deliver(const agreement::peer_message& message);
+    /// @brief Whether an address belongs to a seed, a member or a controller that sent a hello lately.
     [[nodiscard]] bool isKnownAddress(const std::string& address) const;
+    /// @return false when writing, or restoring an installed snapshot, failed
     bool persist(const agreement::effects& effects);
     void applyCommitted(const std::vector<agreement::log_entry>& entries);
+    /// @brief Calls back for confirmations whose index is applied or whose timeout has passed.
     void completeConfirmations();
     void saveSnapshotIfDue();
+    /// @brief Forwards pending commands that the current leader lacks, and fails those whose timeout has passed.
     void forwardCommands();
     void forward(pending_command& command, steady_time now);
+    /// @return the open link to the leader; 0: none
     [[nodiscard]] link::channel_number leaderChannel() const;
+    /// @brief At the leader: proposes a membership change if one is due.
     void updateMembers();
+    /// @brief Records a request to join, and forwards it to the leader.
     void recordJoinRequest(agreement::member_id id, const std::string& address);
+    /// @brief Reports when this member has gained or lost the leadership.
     void checkLeadership();
+    /// @brief Takes the replica out of the protocol until tryRecover() succeeds.
     void markFaulted(const failure& error);
+    /// @brief Reopens storage after a disk failure when the next attempt is due.
     void tryRecover();
 
     link::event_loop& m_loop;
@@ -155,18 +184,17 @@
     std::unique_ptr<storage::log_store> m_store;
     std::unique_ptr<agreement::replica> m_replica;
     agreement::log_index m_applied = 0;
-    std::map<std::string, pending_command> m_commands;
-    std::map<std::uint64_t, pending_confirmation> m_confirmations;
+    std::map<std::string, pending_command> m_commands; ///< by id
+    std::map<std::uint64_t, pending_confirmation> m_confirmations; ///< by read id
     std::uint64_t m_lastReadId = 0;
     std::map<std::string, peer_link> m_peers; ///< by address
     std::map<agreement::member_id, pending_join> m_pendingJoins;
     std::map<agreement::member_id, received_hello> m_hellos;
-    std::map<link::channel_number, agreement::member_id>
-        m_acceptedLinks; ///< members at the other end of accepted links
-    std::map<agreement::member_id, steady_time> m_unreachableSince; ///< voters out of reach: given up then
+    std::map<link::channel_number, agreement::member_id> m_acceptedLinks; ///< the other end of each accepted link
+    std::map<agreement::member_id, steady_time> m_unreachableSince; ///< at the leader: unreachable members
     bool m_wasLeader = false;
     bool m_flushScheduled = false;
-    steady_time m_nextRecoveryAt {}; ///< a failed disk is tried again then
+    steady_time m_nextRecoveryAt {}; ///< a failed disk is not reopened before
     std::unique_ptr<periodic_task> m_ticker;
     std::unique_ptr<periodic_task> m_slowTicker;
 };
--- a/src/app/shared/replicated_log_links.cpp
+++ b/src/app/shared/replicated_log_links.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A replica's links to its peers.
+/// @brief Links between a replica and its peers.
 #include "app/shared/replicated_log.hpp"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 namespace buckthornrail::app {
 namespace {
 
-/// A peer that can't be reached is dialled again after so long.
+/// Time before a peer is dialled again after a failed attempt.
 constexpr milliseconds dialBackoff { 300 };
 
 } // namespace
@@ -19,7 +19,7 @@
             continue;
         peer.open = true;
         telemetry::logEvent(event_code::LinkOpened, { { "peer", address } });
-        dialPeers(); // introduces this member at once
+        dialPeers(); // sends a hello at once
         return true;
     }
     return false;
@@ -134,7 +134,7 @@
     if (peer.open || peer.isDialledAfterHello)
         return;
     if (peer.channel != 0)
-        m_hub.close(peer.channel); // dialled while the peer was down: it may hang until its timeout
+        m_hub.close(peer.channel); // the peer was down when it was dialled, so it may hang until its timeout
     peer.isDialledAfterHello = true;
     peer.channel = m_hub.dial(address);
 }
@@ -155,7 +155,7 @@
         sendToPeer(to->address, message);
         return;
     }
-    // An answer to a leader that this blank or outdated replica doesn't know yet. It has said where it is.
+    // A reply to a leader that this blank or outdated replica doesn't know as a member yet. Its hello has the address.
     const auto known = m_hellos.find(message.to);
     if (known != m_hellos.end())
         sendToPeer(known->second.place.address, message);
--- a/src/app/shared/role_runner.hpp
+++ b/src/app/shared/role_runner.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Running a daemon from its settings to its exit status.
+/// @brief Runs a role as a daemon, from loaded settings to the exit status.
 #pragma once
 
 #include "app/shared/process.hpp"
@@ -9,18 +9,19 @@
 
 namespace buckthornrail::app {
 
-/// Lines gather for so long: one wake-up and one write for many.
+/// Log lines are collected for this long, so that many take one wake-up and one write.
 inline constexpr milliseconds logFlushInterval { 100 };
 
-/// @brief Decodes a message; logs one that can't be read, and closes its link.
+/// @brief Decodes a message. A malformed one is logged, and its link is closed.
+/// @return nothing for a malformed message
 std::optional<link::message> decodeOrClose(link::link_hub& hub, link::channel_number channel, const std::string& bytes);
 
-/// @brief Logs and counts named work that holds the loop up.
+/// @brief Logs and counts named work that blocks the loop for longer than its limit.
 void reportSlowWork(link::event_loop& loop, telemetry::metrics& metrics);
 
-/// @brief Starts a role, serves HTTP and runs until a signal has ended the role's work.
+/// @brief Runs a role and its HTTP server until the role has stopped after SIGTERM or SIGINT.
 /// @tparam Role has start(), isReady() and stop(std::function<void()>)
-/// @param makeRoutes gives the role's own routes; those for health are added
+/// @param makeRoutes returns the role's own routes; the health routes are added to them
 /// @return the exit status
 template <typename Role>
 int runRole(const settings::settings& settings, settings::process_role kind,
@@ -65,10 +66,10 @@
     return exitOk;
 }
 
-/// @brief Starts a role that serves its own addresses, and runs until a signal has ended its work. Settings are taken
-/// up again when they change.
+/// @brief Runs a role, which serves HTTP itself, until it has stopped after SIGTERM or SIGINT. Passes changed settings
+/// to the role.
 /// @tparam Role has start(), stop(std::function<void()>) and reload(const settings::settings&)
-/// @param makeRole makes the role
+/// @param makeRole creates the role
 /// @return the exit status
 template <typename Role>
 int runReloadableRole(const settings::settings& settings, settings::process_role kind,
--- a/src/app/shared/session_client.cpp
+++ b/src/app/shared/session_client.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Keeping a session and the configuration lease.
+/// @brief Maintains the session and the configuration lease.
 #include "app/shared/session_client.hpp"
 
 #include <functional>
@@ -65,7 +65,7 @@
 
 void session_client::onProgress(link::channel_number channel)
 {
-    // What is on its way is no silence: left now, it would be sent anew from its first byte.
+    // Part of a long message counts as a sign of life: on a new link it would be sent again from its first byte.
     if (channel == m_channel)
         m_answerDeadline = steadyNow() + milliseconds(m_settings.leaseMs / 2);
 }
@@ -75,7 +75,7 @@
     if (m_record.state == state)
         return;
     m_record.state = state;
-    m_stateSequence = m_sequence + 1; // settled by the answer to the next heartbeat
+    m_stateSequence = m_sequence + 1; // the ack of the next heartbeat confirms the state
     if (!m_open)
         return;
     announce();
@@ -121,7 +121,7 @@
     if (!m_open)
         return;
     if (now >= m_answerDeadline) {
-        m_hub.close(m_channel); // cut off, or without a quorum: try the next one
+        m_hub.close(m_channel); // it is unreachable or without a quorum: try the next one
         return;
     }
     ++m_sequence;
@@ -148,7 +148,8 @@
             event_code::ConfigurationApplied, { { "version", std::to_string(m_version) }, { "form", "version" } });
     }
     const configuration_version heldVersion = m_wantsState ? m_configuration.version() : m_version;
-    // The controller was current at some time after sentAt, and has sent all that it knew by then.
+    // The controller was current at some time after sentAt, and has sent everything that it knew by then. So the lease
+    // runs from sentAt.
     if (ack.configuration == heldVersion && heldVersion != 0) {
         m_leaseDeadline = std::max(m_leaseDeadline, sentAt + milliseconds(m_settings.leaseMs));
         m_leaseExpiryLogged = false;
@@ -178,7 +179,7 @@
             { { "version", std::to_string(page.to) }, { "reason", applied.error().reason } },
             telemetry::severity::Error);
         m_needsSnapshot = true;
-        m_hub.close(m_channel); // the next session begins with a whole document
+        m_hub.close(m_channel); // the next session starts with the complete document
         return;
     }
     m_needsSnapshot = false;
--- a/src/app/shared/session_client.hpp
+++ b/src/app/shared/session_client.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A daemon's session with one of the controllers: announcement, heartbeats, configuration, membership.
+/// @brief A daemon's session with one of the controllers: announcement, heartbeats, configuration and membership.
 #pragma once
 
 #include "app/shared/process.hpp"
@@ -10,6 +10,7 @@
 
 namespace buckthornrail::app {
 
+/// Called on the loop thread; none may be empty.
 struct session_callbacks {
     std::function<void(configuration_version, steady_time leaseDeadline)> leaseRenewed;
     std::function<void(const configuration::document&, configuration_version)> configurationApplied;
@@ -19,31 +20,34 @@
     std::function<void(const dispatch::target_order&)> orderReceived;
 };
 
-/// @brief Lives on the loop thread. The owner's hub handlers pass on what concerns the session's channel.
+/// @brief Keeps a session open, and moves to the next controller when one is lost. Used on the loop thread only. The
+/// owner's hub handlers forward link events to it.
 class session_client {
 public:
+    /// @param record of this instance, as announced
+    /// @param wantsState whether to receive the configuration document and the membership
     session_client(link::event_loop& loop, link::link_hub& hub, const settings::settings& settings,
         membership::instance_record record, bool wantsState, session_callbacks callbacks);
 
-    /// @return true when the channel is the session's.
+    /// @return whether the channel belongs to the session
     bool onOpened(link::channel_number channel);
     bool onClosed(link::channel_number channel);
     bool onMessage(link::channel_number channel, const link::message& message);
-    /// @brief A part of a long message came over a channel, or was taken at its other end.
+    /// @brief Part of a long message was received over a channel, or acknowledged by the other end.
     void onProgress(link::channel_number channel);
 
     /// @brief Announces a change of this instance's state.
     void setState(membership::instance_state state);
-    /// @brief Announces that the target holds another version now.
+    /// @brief Announces that the target has loaded another model or version.
     void setModel(const std::string& model, const std::string& version);
-    /// @return false when there is no open session.
+    /// @return false when no session is open
     bool send(const link::message& message);
 
     [[nodiscard]] bool hasLease() const { return steadyNow() < m_leaseDeadline; }
     [[nodiscard]] const configuration::configuration_view& configuration() const { return m_configuration; }
     [[nodiscard]] const membership::membership_view& membership() const { return m_membership; }
     [[nodiscard]] const membership::instance_record& record() const { return m_record; }
-    /// @brief True when the controller has acknowledged the state set last.
+    /// @brief Whether a controller has acknowledged the last state passed to setState().
     [[nodiscard]] bool isStateAcknowledged() const { return m_stateSequence <= m_ackedSequence; }
 
 private:
@@ -61,20 +65,20 @@
     session_callbacks m_callbacks;
     link::channel_number m_channel = 0;
     bool m_open = false;
-    std::size_t m_controllerIndex = 0; ///< position in the settings' list
-    std::uint64_t m_sequence = 0;
-    std::uint64_t m_ackedSequence = 0;
-    std::uint64_t m_stateSequence = 0;
-    std::map<std::uint64_t, steady_time> m_sentAt; ///< heartbeats without an answer
+    std::size_t m_controllerIndex = 0; ///< in the settings' list
+    std::uint64_t m_sequence = 0; ///< of the last heartbeat
+    std::uint64_t m_ackedSequence = 0; ///< highest acknowledged heartbeat
+    std::uint64_t m_stateSequence = 0; ///< heartbeat whose ack confirms the last state set
+    std::map<std::uint64_t, steady_time> m_sentAt; ///< heartbeats without an ack
     steady_time m_leaseDeadline {};
-    steady_time m_answerDeadline {}; ///< without an answer until then, another controller is tried
+    steady_time m_answerDeadline {}; ///< another controller is tried after it, unless this one answers
     bool m_leaseExpiryLogged = true;
-    configuration_version m_version = 0; ///< without the document, when the state isn't wanted
+    configuration_version m_version = 0; ///< last acknowledged by a controller; used without m_wantsState
     configuration::configuration_view m_configuration;
     membership::membership_view m_membership;
-    std::string m_pageBytes; ///< of the update that is being received
+    std::string m_pageBytes; ///< received pages of an incomplete configuration update
     std::uint32_t m_nextPage = 0;
-    bool m_needsSnapshot = false; ///< a delta did not fit
+    bool m_needsSnapshot = false; ///< a delta could not be applied
     periodic_task m_heartbeat;
 };
 
--- a/src/app/shared/settings_watch.cpp
+++ b/src/app/shared/settings_watch.cpp
@@ -1,11 +1,11 @@
 /// @file
-/// @brief Reloading settings.
+/// @brief Reloads the settings file when it changes.
 #include "app/shared/settings_watch.hpp"
 
 namespace buckthornrail::app {
 namespace {
 
-/// The file may change without a signal; addresses of controllers in it are good for about as long.
+/// The file may change without a signal. An outdated list of controllers is used for about this long at most.
 constexpr milliseconds pollInterval { 2000 };
 
 } // namespace
--- a/src/app/shared/settings_watch.hpp
+++ b/src/app/shared/settings_watch.hpp
@@ -1,25 +1,27 @@
 /// @file
-/// @brief Takes changes of a process's settings file up while it runs.
+/// @brief Reloads the settings file of a running process.
 #pragma once
 
 #include "app/shared/process.hpp"
 
 namespace buckthornrail::app {
 
-/// @brief Reads the settings file again on request and every few seconds. Lives on the loop thread.
+/// @brief Reads the settings file on request and every few seconds. Used on the loop thread only.
 class settings_watch {
 public:
-    /// @param onChange is given settings that are valid and differ from those before
+    /// @param initial settings as loaded at the start
+    /// @param onChange called with the new settings when the text of the file has changed and is valid
     settings_watch(link::event_loop& loop, const settings::settings& initial, settings::process_role role,
         std::function<void(const settings::settings&)> onChange);
 
-    /// @brief Reads now. @param isRequested a signal asked for it, so that the outcome is logged in any case
+    /// @brief Reads the file now.
+    /// @param isRequested by a signal: logs the outcome even if nothing has changed
     void read(bool isRequested);
 
 private:
     std::string m_file;
     settings::process_role m_role;
-    std::string m_text; ///< as read last
+    std::string m_text; ///< of the file when it was last read
     std::function<void(const settings::settings&)> m_onChange;
     periodic_task m_poll;
 };
