--- a/src/app/shared/replicated_log.cpp
+++ b/src/app/shared/replicated_log.cpp
@@ -364,7 +364,7 @@
     if (!next)
         next = agreement::withoutDeadMember(*m_replica, replaceable, droppable, now);
     if (next)
-        (void)m_replica->proposeMembers(std::move(*next)); // rejected while another change is pending, and then retried
+        (void)m_replica->proposeMembers(std::move(*next)); // rejected while another change is pending; retried
 }
 
 void replicated_log::checkLeadership()
