--- a/src/app/entry/entry.cpp
+++ b/src/app/entry/entry.cpp
@@ -381,7 +381,7 @@
 {
     const auto& request = active.context.request;
     link::claim_request message;
-    message.commandId = randomName();
+    message.commandId = randomId();
     message.command.key = { request.workspace, request.idempotencyKey };
     message.command.requestDigest = request.digest;
     message.command.holder = claim.holder;
@@ -459,7 +459,7 @@
         m_leaveDeadline = now + leaveTimeout;
         return;
     }
-    if (m_session->isAnnounced() || now >= m_leaveDeadline)
+    if (m_session->isStateAcknowledged() || now >= m_leaveDeadline)
         std::exchange(m_onDrained, {})();
 }
 
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The one binary: picks the role by its sub-command.
+/// @brief Entry point of the binary, which runs the role or tool that the first argument names.
 #include "app/controller/controller.hpp"
 #include "app/entry/entry.hpp"
 #include "app/gateway/gateway.hpp"
@@ -18,18 +18,18 @@
 
 constexpr const char* version = "0.1.0";
 
-/// One sub-command that runs a daemon.
+/// A sub-command that runs a role as a daemon.
 struct daemon_command {
     settings::process_role role;
     int (*run)(const settings::settings&);
 };
 
-int runGateway(const settings::settings& values)
+int runGateway(const settings::settings& settings)
 {
-    return app::runGateway(values, platform::trafficDialect(), platform::controlDialect());
+    return app::runGateway(settings, platform::trafficDialect(), platform::controlDialect());
 }
 
-int runRegistry(const settings::settings& values) { return app::runRegistry(values, platform::controlDialect()); }
+int runRegistry(const settings::settings& settings) { return app::runRegistry(settings, platform::controlDialect()); }
 
 constexpr std::array daemonCommands {
     daemon_command { settings::process_role::Entry, app::runEntry },
@@ -51,26 +51,26 @@
 {
     const std::string name(nameIn(settings::processRoleNames, command.role));
     std::string file;
-    bool onlyCheck = false;
+    bool isCheckOnly = false;
     try {
         TCLAP::CmdLine line("Runs the role '" + name + "' until SIGTERM.", ' ', version);
         TCLAP::ValueArg<std::string> settingsFile("s", "settings", "Settings file (INI)", true, "", "file", line);
         TCLAP::SwitchArg check("", "check", "Check the settings file and exit", line);
-        std::vector<std::string> copy = arguments;
-        line.parse(copy);
+        std::vector<std::string> remaining = arguments;
+        line.parse(remaining);
         file = settingsFile.getValue();
-        onlyCheck = check.getValue();
-    } catch (const TCLAP::ArgException& fault) {
-        std::cerr << "buckthornrail " << name << ": " << fault.error() << " " << fault.argId() << "\n";
+        isCheckOnly = check.getValue();
+    } catch (const TCLAP::ArgException& error) {
+        std::cerr << "buckthornrail " << name << ": " << error.error() << " " << error.argId() << "\n";
         return app::exitBadSettings;
     }
     const auto loaded = settings::loadSettings(file, command.role);
     if (!loaded) {
-        for (const auto& fault : loaded.error())
-            std::cerr << settings::toString(fault) << "\n";
+        for (const auto& error : loaded.error())
+            std::cerr << settings::toString(error) << "\n";
         return app::exitBadSettings;
     }
-    if (onlyCheck) {
+    if (isCheckOnly) {
         std::cout << file << ": valid\n";
         return app::exitOk;
     }
@@ -109,8 +109,8 @@
     std::signal(SIGPIPE, SIG_IGN);
     try {
         return runCommand({ argv, argv + argc });
-    } catch (const std::exception& fault) {
-        std::cerr << "buckthornrail: " << fault.what() << "\n";
+    } catch (const std::exception& error) {
+        std::cerr << "buckthornrail: " << error.what() << "\n";
         return app::exitFailure;
     }
 }
--- a/src/app/shared/replicated_log_links.cpp
+++ b/src/app/shared/replicated_log_links.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A replica's links to its peers.
+/// @brief Links between a replica and its peers.
 #include "app/shared/replicated_log.hpp"
 
 #include <algorithm>
@@ -7,8 +7,8 @@
 namespace buckthornrail::app {
 namespace {
 
-/// A peer that can't be reached is dialled again after so long.
-constexpr milliseconds dialPause { 300 };
+/// Time before a peer is dialled again after a failed attempt.
+constexpr milliseconds dialBackoff { 300 };
 
 } // namespace
 
@@ -19,7 +19,7 @@
             continue;
         peer.open = true;
         telemetry::logEvent(event_code::LinkOpened, { { "peer", address } });
-        dialPeers(); // introduces this member at once
+        dialPeers(); // sends a hello at once
         return true;
     }
     return false;
@@ -39,14 +39,14 @@
 
 bool replicated_log::onClosed(link::channel_number channel)
 {
-    m_dialledBy.erase(channel);
+    m_acceptedLinks.erase(channel);
     for (auto& [address, peer] : m_peers) {
         if (peer.channel != channel)
             continue;
         peer.channel = 0;
-        peer.dialDeadline = peer.open ? steady_time {} : steadyNow() + dialPause;
+        peer.nextDialAt = peer.open ? steady_time {} : steadyNow() + dialBackoff;
         peer.open = false;
-        peer.heardBeforeDial = false;
+        peer.isDialledAfterHello = false;
         return true;
     }
     return false;
@@ -54,8 +54,8 @@
 
 void replicated_log::onProgress(link::channel_number channel)
 {
-    if (const auto dialled = m_dialledBy.find(channel); dialled != m_dialledBy.end()) {
-        m_replica->recordContact(dialled->second, steadyNow());
+    if (const auto accepted = m_acceptedLinks.find(channel); accepted != m_acceptedLinks.end()) {
+        m_replica->recordContact(accepted->second, steadyNow());
         return;
     }
     for (const auto& member : m_replica->members()) {
@@ -93,7 +93,7 @@
         auto& place = all.emplace_back();
         if (member.id == m_replica->self())
             place = { {}, m_options.controlAddress, m_options.failureDomain };
-        else if (const auto known = m_introduced.find(member.id); known != m_introduced.end())
+        else if (const auto known = m_hellos.find(member.id); known != m_hellos.end())
             place = known->second.place;
         place.address = member.address;
     }
@@ -113,12 +113,12 @@
         if (member.address != m_options.ownAddress)
             m_peers.try_emplace(member.address);
     }
-    std::erase_if(m_introduced, [now](const auto& item) { return now >= item.second.deadline; });
+    std::erase_if(m_hellos, [now](const auto& item) { return now >= item.second.deadline; });
     std::erase_if(
-        m_peers, [this](const auto& item) { return item.second.channel == 0 && !isWorthDialling(item.first); });
+        m_peers, [this](const auto& item) { return item.second.channel == 0 && !isKnownAddress(item.first); });
     const bool isBlank = members.empty();
     for (auto& [address, peer] : m_peers) {
-        if (peer.channel == 0 && now >= peer.dialDeadline)
+        if (peer.channel == 0 && now >= peer.nextDialAt)
             peer.channel = m_hub.dial(address);
         sendToPeer(address,
             link::controller_hello {
@@ -128,14 +128,14 @@
     }
 }
 
-void replicated_log::dialNow(const std::string& address)
+void replicated_log::redial(const std::string& address)
 {
     auto& peer = m_peers[address];
-    if (peer.open || peer.heardBeforeDial)
+    if (peer.open || peer.isDialledAfterHello)
         return;
     if (peer.channel != 0)
-        m_hub.close(peer.channel); // dialled while the peer was down: it may hang until its timeout
-    peer.heardBeforeDial = true;
+        m_hub.close(peer.channel); // the peer was down when it was dialled, so it may hang until its timeout
+    peer.isDialledAfterHello = true;
     peer.channel = m_hub.dial(address);
 }
 
@@ -155,20 +155,20 @@
         sendToPeer(to->address, message);
         return;
     }
-    // An answer to a leader that this blank or outdated replica doesn't know yet. It has said where it is.
-    const auto known = m_introduced.find(message.to);
-    if (known != m_introduced.end())
+    // A reply to a leader that this blank or outdated replica doesn't know as a member yet. Its hello has the address.
+    const auto known = m_hellos.find(message.to);
+    if (known != m_hellos.end())
         sendToPeer(known->second.place.address, message);
 }
 
-bool replicated_log::isWorthDialling(const std::string& address) const
+bool replicated_log::isKnownAddress(const std::string& address) const
 {
     const auto& seeds = m_options.seeds;
     const auto& members = m_replica->members();
     return std::find(seeds.begin(), seeds.end(), address) != seeds.end()
         || std::any_of(
             members.begin(), members.end(), [&address](const auto& member) { return member.address == address; })
-        || std::any_of(m_introduced.begin(), m_introduced.end(),
+        || std::any_of(m_hellos.begin(), m_hellos.end(),
             [&address](const auto& item) { return item.second.place.address == address; });
 }
 
--- a/src/app/shared/role_runner.cpp
+++ b/src/app/shared/role_runner.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Reading messages off links.
+/// @brief Decoding of received messages, and reporting of slow work on the loop.
 #include "app/shared/role_runner.hpp"
 
 namespace buckthornrail::app {
@@ -15,7 +15,7 @@
     return std::nullopt;
 }
 
-void reportHeldLoop(link::event_loop& loop, telemetry::metrics& metrics)
+void reportSlowTasks(link::event_loop& loop, telemetry::metrics& metrics)
 {
     loop.reportSlowTasks([&metrics](const link::slow_task& task) {
         metrics.count("loop_holds", std::string(task.name));
