--- a/src/app/gateway/gateway.cpp
+++ b/src/app/gateway/gateway.cpp
@@ -78,7 +78,7 @@
     , m_stallCheck(loop, stallCheckPeriod, [this] { checkForStall(); })
 {
     m_context.reachability
-        = std::make_unique<net::reachability_checks>(loop, [this](const std::string& address, net::reachability found) {
+        = std::make_unique<net::reachability_prober>(loop, [this](const std::string& address, net::reachability found) {
               if (found == net::reachability::Open)
                   onReachable(address);
               else
@@ -328,7 +328,7 @@
     if (request.head.target == "/metrics") {
         m_context.metrics.gauge("quarantined_requests", static_cast<double>(m_context.quarantine.size()));
         m_context.metrics.gauge("limited_targets", static_cast<double>(m_context.pool.limitedCount(steadyNow())));
-        m_context.metrics.gauge("members_dialled", static_cast<double>(m_context.reachability->trials()));
+        m_context.metrics.gauge("members_dialled", static_cast<double>(m_context.reachability->probeCount()));
         respond(net::plainResponse(200, m_context.metrics.text(), "text/plain"));
         return;
     }
--- a/src/app/gateway/gateway_call.cpp
+++ b/src/app/gateway/gateway_call.cpp
@@ -258,7 +258,7 @@
                   return other->m_exchange && other->m_exchange->hadEventThrough(part.target, aliveSince);
               });
         if (!isResponsive)
-            m_context.reachability->check(part.address);
+            m_context.reachability->probe(part.address);
     }
 }
 
@@ -296,7 +296,7 @@
     if (loss == gateway::attempt_failure::ConnectionLost
         && m_context.crashes.mayHaveCrashedTarget(m_number, steadyNow())) {
         (void)m_context.crashes.onConnectionLost(m_number, fingerprint(), steadyNow());
-        m_context.reachability->checkAnew(m_selection.parts.front().address);
+        m_context.reachability->reprobe(m_selection.parts.front().address);
     }
     m_exchange->onAttemptFailed(loss, steadyNow());
 }
--- a/src/app/gateway/gateway_call.hpp
+++ b/src/app/gateway/gateway_call.hpp
@@ -33,7 +33,7 @@
     steady_time stopDeadline {}; ///< while stopping: requests that can't finish by then are refused
     steady_time acceptStreamsUntil {}; ///< while stopping: a later stream may outlast the process
     std::set<class gateway_call*> openCalls;
-    std::unique_ptr<net::reachability_checks> reachability;
+    std::unique_ptr<net::reachability_prober> reachability;
     gateway::crash_watch crashes = gateway::crash_watch();
     gateway::quarantine_gate quarantine { random() };
     std::function<void()> requestHeartbeat; ///< soon, to report changes of the quarantine
--- a/src/buckthornrail/net/reachability.cpp
+++ b/src/buckthornrail/net/reachability.cpp
@@ -8,14 +8,14 @@
 
 namespace buckthornrail::net {
 
-struct reachability_checks::trial {
-    explicit trial(link::event_loop& loop)
+struct reachability_prober::probe_state {
+    explicit probe_state(link::event_loop& loop)
         : timer(loop)
     {
     }
-    trial(const trial&) = delete;
-    trial& operator=(const trial&) = delete;
-    ~trial() { closeAll(); }
+    probe_state(const probe_state&) = delete;
+    probe_state& operator=(const probe_state&) = delete;
+    ~probe_state() { closeAll(); }
 
     void closeAll()
     {
@@ -27,57 +27,58 @@
 
     loop_timer timer;
     std::array<channel_pointer, 2> channels;
-    std::size_t dialled = 0;
-    std::optional<reachability> found; ///< empty: under way
-    bool tellsOpen = false;
-    steady_time keepUntil {}; ///< settled: what was found holds until then
+    std::size_t connectionCount = 0;
+    std::optional<reachability> result; ///< empty: under way
+    bool reportsOpen = false;
+    steady_time expiresAt {}; ///< settled: the result is kept until then
 };
 
-reachability_checks::reachability_checks(link::event_loop& loop, verdict tell, const reachability_options& options)
+reachability_prober::reachability_prober(
+    link::event_loop& loop, result_callback onResult, const reachability_options& options)
     : m_loop(loop)
-    , m_tell(std::move(tell))
+    , m_onResult(std::move(onResult))
     , m_options(options)
 {
 }
 
-reachability_checks::~reachability_checks()
+reachability_prober::~reachability_prober()
 {
-    for (auto& [address, one] : m_watched) {
-        if (one.channel)
-            one.channel->abort(false);
+    for (auto& [address, watched] : m_watchedByAddress) {
+        if (watched.channel)
+            watched.channel->abort(false);
     }
 }
 
-void reachability_checks::watch(const std::string& address)
+void reachability_prober::watch(const std::string& address)
 {
     const steady_time now = boot_clock::now();
-    auto& one = m_watched[address];
-    one.keepUntil = now + m_options.keepWatching;
-    if (!one.channel && now >= one.dialAgainAt)
-        openWatch(address, one, now);
-    if (now >= m_dropAt)
-        dropUnwatched(now);
+    auto& watched = m_watchedByAddress[address];
+    watched.expiresAt = now + m_options.watchLifetime;
+    if (!watched.channel && now >= watched.reconnectAt)
+        connectWatch(address, watched, now);
+    if (now >= m_nextExpiryCheckAt)
+        removeExpiredWatches(now);
 }
 
-void reachability_checks::openWatch(const std::string& address, watched& one, steady_time now)
+void reachability_prober::connectWatch(const std::string& address, watched_address& watched, steady_time now)
 {
-    one.dialAgainAt = now + m_options.watchAgainAfter;
+    watched.reconnectAt = now + m_options.watchReconnectDelay;
     channel_handlers handlers;
     handlers.ended = [this, address](channel_end) {
-        const auto known = m_watched.find(address);
-        if (known == m_watched.end())
+        const auto known = m_watchedByAddress.find(address);
+        if (known == m_watchedByAddress.end())
             return;
         known->second.channel = nullptr;
-        check(address);
+        probe(address);
     };
-    one.channel = dial(m_loop, address, std::move(handlers));
+    watched.channel = dial(m_loop, address, std::move(handlers));
 }
 
-void reachability_checks::dropUnwatched(steady_time now)
+void reachability_prober::removeExpiredWatches(steady_time now)
 {
-    m_dropAt = now + m_options.watchAgainAfter;
-    std::erase_if(m_watched, [now](auto& item) {
-        if (now < item.second.keepUntil)
+    m_nextExpiryCheckAt = now + m_options.watchReconnectDelay;
+    std::erase_if(m_watchedByAddress, [now](auto& item) {
+        if (now < item.second.expiresAt)
             return false;
         if (item.second.channel)
             item.second.channel->abort(false);
@@ -85,88 +86,89 @@
     });
 }
 
-void reachability_checks::check(const std::string& address)
+void reachability_prober::probe(const std::string& address)
 {
     const steady_time now = boot_clock::now();
     std::erase_if(
-        m_trialsByAddress, [now](const auto& item) { return item.second->found && now >= item.second->keepUntil; });
-    const auto known = m_trialsByAddress.find(address);
-    if (known == m_trialsByAddress.end()) {
-        begin(address);
+        m_probesByAddress, [now](const auto& item) { return item.second->result && now >= item.second->expiresAt; });
+    const auto known = m_probesByAddress.find(address);
+    if (known == m_probesByAddress.end()) {
+        startProbe(address);
         return;
     }
-    const auto found = known->second->found;
-    if (!found || *found == reachability::Open)
+    const auto result = known->second->result;
+    if (!result || *result == reachability::Open)
         return;
-    known->second->timer.set(now, [this, address, found] { m_tell(address, *found); });
+    known->second->timer.set(now, [this, address, result] { m_onResult(address, *result); });
 }
 
-void reachability_checks::checkAnew(const std::string& address)
+void reachability_prober::reprobe(const std::string& address)
 {
-    const auto known = m_trialsByAddress.find(address);
-    if (known != m_trialsByAddress.end() && known->second->found == reachability::Open)
-        m_trialsByAddress.erase(known);
-    check(address);
-    if (const auto begun = m_trialsByAddress.find(address); begun != m_trialsByAddress.end())
-        begun->second->tellsOpen = true;
+    const auto known = m_probesByAddress.find(address);
+    if (known != m_probesByAddress.end() && known->second->result == reachability::Open)
+        m_probesByAddress.erase(known);
+    probe(address);
+    if (const auto begun = m_probesByAddress.find(address); begun != m_probesByAddress.end())
+        begun->second->reportsOpen = true;
 }
 
-void reachability_checks::begin(const std::string& address)
+void reachability_prober::startProbe(const std::string& address)
 {
-    ++m_trials;
-    auto one = std::make_shared<trial>(m_loop);
-    m_trialsByAddress[address] = one;
-    dialOnce(address, one);
+    ++m_probeCount;
+    auto state = std::make_shared<probe_state>(m_loop);
+    m_probesByAddress[address] = state;
+    startConnection(address, state);
     const steady_time now = boot_clock::now();
-    one->timer.set(now + m_options.secondTryAfter, [this, address, weak = std::weak_ptr(one), now] {
-        const auto open = weak.lock();
-        if (!open || open->found)
+    state->timer.set(now + m_options.retryDelay, [this, address, weak = std::weak_ptr(state), now] {
+        const auto current = weak.lock();
+        if (!current || current->result)
             return;
-        dialOnce(address, open);
-        awaitVerdict(address, now + m_options.patience);
+        startConnection(address, current);
+        scheduleTimeout(address, now + m_options.timeout);
     });
 }
 
-void reachability_checks::dialOnce(const std::string& address, const std::shared_ptr<trial>& one)
+void reachability_prober::startConnection(const std::string& address, const std::shared_ptr<probe_state>& state)
 {
-    const auto settleAs = [this, address, weak = std::weak_ptr(one)](reachability found) {
-        const auto open = weak.lock();
-        if (open && !open->found)
-            settle(address, found);
+    const auto finishAs = [this, address, weak = std::weak_ptr(state)](reachability result) {
+        const auto current = weak.lock();
+        if (current && !current->result)
+            finishProbe(address, result);
     };
     channel_handlers handlers;
-    handlers.opened = [settleAs] { settleAs(reachability::Open); };
-    handlers.ended = [settleAs](channel_end) { settleAs(reachability::Refused); };
-    one->channels[one->dialled++] = dial(m_loop, address, std::move(handlers));
+    handlers.opened = [finishAs] { finishAs(reachability::Open); };
+    handlers.ended = [finishAs](channel_end) { finishAs(reachability::Refused); };
+    state->channels[state->connectionCount++] = dial(m_loop, address, std::move(handlers));
 }
 
-void reachability_checks::awaitVerdict(const std::string& address, steady_time due)
+void reachability_prober::scheduleTimeout(const std::string& address, steady_time deadline)
 {
-    const auto known = m_trialsByAddress.find(address);
-    if (known == m_trialsByAddress.end())
+    const auto known = m_probesByAddress.find(address);
+    if (known == m_probesByAddress.end())
         return;
-    known->second->timer.set(due, [this, address, due] {
+    known->second->timer.set(deadline, [this, address, deadline] {
         const steady_time now = boot_clock::now();
-        if (now - due > m_options.mostOwnDelay)
-            awaitVerdict(address, now + m_options.secondTryAfter);
+        if (now - deadline > m_options.maxTimerDelay)
+            scheduleTimeout(address, now + m_options.retryDelay);
         else
-            settle(address, reachability::Silent);
+            finishProbe(address, reachability::Silent);
     });
 }
 
-void reachability_checks::settle(const std::string& address, reachability found)
+void reachability_prober::finishProbe(const std::string& address, reachability result)
 {
-    const auto known = m_trialsByAddress.find(address);
-    if (known == m_trialsByAddress.end())
+    const auto known = m_probesByAddress.find(address);
+    if (known == m_probesByAddress.end())
         return;
     const auto keep = known->second;
     const steady_time now = boot_clock::now();
-    keep->found = found;
-    keep->keepUntil = now + (found == reachability::Open ? m_options.keepOpen : m_options.keepUnreachable);
+    keep->result = result;
+    keep->expiresAt
+        = now + (result == reachability::Open ? m_options.openResultLifetime : m_options.unreachableResultLifetime);
     keep->timer.cancel();
     keep->closeAll();
-    if (found != reachability::Open || keep->tellsOpen)
-        m_tell(address, found);
+    if (result != reachability::Open || keep->reportsOpen)
+        m_onResult(address, result);
 }
 
 } // namespace buckthornrail::net
--- a/src/buckthornrail/net/reachability_test.cpp
+++ b/src/buckthornrail/net/reachability_test.cpp
@@ -11,18 +11,18 @@
 
 namespace {
 
-struct told_verdict {
+struct probe_result {
     std::string address;
-    reachability found;
-    bool operator==(const told_verdict&) const = default;
+    reachability result;
+    bool operator==(const probe_result&) const = default;
 };
 
 /// A loop with checks that notes what it is told.
-struct bench {
+struct probe_fixture {
     link::event_loop loop;
-    std::vector<told_verdict> told;
-    reachability_checks checks { loop, [this](const std::string& address, reachability found) {
-                                    told.push_back({ address, found });
+    std::vector<probe_result> results;
+    reachability_prober prober { loop, [this](const std::string& address, reachability result) {
+                                    results.push_back({ address, result });
                                 } };
 
     /// @brief Does something, and lets the loop run for a while.
@@ -34,20 +34,20 @@
     }
 };
 
-constexpr milliseconds longEnough { 400 };
+constexpr milliseconds runTime { 400 };
 
 } // namespace
 
 TEST_CASE("reachability: who takes connections is not told of, and not dialled again at once", "[net]")
 {
     const mute_listener open;
-    bench bench;
-    bench.run(longEnough, [&] {
-        bench.checks.check(open.address());
-        bench.checks.check(open.address());
+    probe_fixture fixture;
+    fixture.run(runTime, [&] {
+        fixture.prober.probe(open.address());
+        fixture.prober.probe(open.address());
     });
-    CHECK(bench.told.empty());
-    CHECK(bench.checks.trials() == 1);
+    CHECK(fixture.results.empty());
+    CHECK(fixture.prober.probeCount() == 1);
 }
 
 TEST_CASE("reachability: a port without a listener is told of, each time that it is asked for", "[net]")
@@ -55,31 +55,31 @@
     mute_listener ended;
     const auto address = ended.address();
     ended.stop();
-    bench bench;
-    bench.run(longEnough, [&] {
-        bench.checks.check(address);
-        bench.loop.runAt(boot_clock::now() + longEnough / 4, [&] { bench.checks.check(address); });
+    probe_fixture fixture;
+    fixture.run(runTime, [&] {
+        fixture.prober.probe(address);
+        fixture.loop.runAt(boot_clock::now() + runTime / 4, [&] { fixture.prober.probe(address); });
     });
-    CHECK(bench.told == std::vector<told_verdict>(2, { address, reachability::Refused }));
-    CHECK(bench.checks.trials() == 1);
+    CHECK(fixture.results == std::vector<probe_result>(2, { address, reachability::Refused }));
+    CHECK(fixture.prober.probeCount() == 1);
 }
 
 TEST_CASE("reachability: an address that answers no opening packet is silent", "[net]")
 {
     mute_listener full(0);
     full.fill();
-    bench bench;
-    bench.run(longEnough, [&] { bench.checks.check(full.address()); });
-    CHECK(bench.told == std::vector<told_verdict> { { full.address(), reachability::Silent } });
+    probe_fixture fixture;
+    fixture.run(runTime, [&] { fixture.prober.probe(full.address()); });
+    CHECK(fixture.results == std::vector<probe_result> { { full.address(), reachability::Silent } });
 }
 
 TEST_CASE("reachability: the end of a watched process is told of without a question", "[net]")
 {
     mute_listener watched;
-    bench bench;
-    bench.run(longEnough, [&] {
-        bench.checks.watch(watched.address());
-        bench.loop.runAt(boot_clock::now() + longEnough / 4, [&] { watched.stop(); });
+    probe_fixture fixture;
+    fixture.run(runTime, [&] {
+        fixture.prober.watch(watched.address());
+        fixture.loop.runAt(boot_clock::now() + runTime / 4, [&] { watched.stop(); });
     });
-    CHECK(bench.told == std::vector<told_verdict> { { watched.address(), reachability::Refused } });
+    CHECK(fixture.results == std::vector<probe_result> { { watched.address(), reachability::Refused } });
 }
