--- a/include/buckthornrail/http1/event_stream.hpp
+++ b/include/buckthornrail/http1/event_stream.hpp
@@ -22,7 +22,7 @@
     /// @brief Takes bytes in. @return the events that are whole now
     std::vector<stream_event> put(std::string_view bytes);
     /// @brief True when part of an event has come.
-    [[nodiscard]] bool hasPart() const { return !m_pending.empty(); }
+    [[nodiscard]] bool hasPartialEvent() const { return !m_pending.empty(); }
 
 private:
     std::string m_pending;
--- a/include/buckthornrail/http1/message.hpp
+++ b/include/buckthornrail/http1/message.hpp
@@ -18,7 +18,7 @@
 };
 
 /// How the end of a body is told.
-enum class body_form : std::uint8_t {
+enum class body_framing : std::uint8_t {
     None, ///< there is none
     Length, ///< Content-Length
     Chunked,
@@ -40,11 +40,11 @@
     std::string reason;
     std::vector<field> fields;
     bool keepAlive = true;
-    body_form form = body_form::None;
+    body_framing framing = body_framing::None;
 };
 
 /// @brief Compares names of header fields.
-bool sameName(std::string_view a, std::string_view b);
+bool areFieldNamesEqual(std::string_view a, std::string_view b);
 
 /// @brief Value of the first field with that name, if any.
 std::optional<std::string_view> valueOf(const std::vector<field>& fields, std::string_view name);
@@ -53,7 +53,7 @@
 void removeFields(std::vector<field>& fields, std::string_view name);
 
 /// @brief Removes what concerns one connection only: Connection and the fields that it names, framing, upgrades.
-void removeConnectionFields(std::vector<field>& fields);
+void removeHopByHopFields(std::vector<field>& fields);
 
 /// @brief The request as bytes, with a Content-Length when there is a body or the method usually has one.
 std::string formatRequest(const request_head& head, std::string_view body);
--- a/include/buckthornrail/http1/message_parser.hpp
+++ b/include/buckthornrail/http1/message_parser.hpp
@@ -15,11 +15,11 @@
     Head, ///< the head isn't whole yet
     Body,
     Done, ///< the message is whole; what follows belongs to another one
-    Bad, ///< not HTTP, or over a limit
+    Invalid, ///< not HTTP, or over a limit
 };
 
 /// Why a message is refused.
-enum class parse_fault : std::uint8_t { None, Malformed, HeadTooLarge, BodyTooLarge };
+enum class parse_error : std::uint8_t { None, Malformed, HeadTooLarge, BodyTooLarge };
 
 struct parser_limits {
     std::uint32_t maxHeadBytes = 16U << 10U;
@@ -38,19 +38,19 @@
     /// @brief Takes bytes in. @return where it stands now
     parse_state put(std::string_view bytes);
     /// @brief The connection ended cleanly; ends a body without a length.
-    parse_state putEnd();
+    parse_state putEof();
     /// @brief Begins the next message, with what is left of the bytes put in.
     parse_state next();
 
     [[nodiscard]] parse_state state() const;
-    [[nodiscard]] parse_fault fault() const;
+    [[nodiscard]] parse_error error() const;
     [[nodiscard]] const Head& head() const;
     /// @brief Takes out the part of the body that has come since the last call.
     std::string takeBody();
     /// @brief Bytes after the end of the message.
-    [[nodiscard]] std::size_t leftOver() const;
+    [[nodiscard]] std::size_t unparsedBytes() const;
     /// @brief True when no byte of a message has come.
-    [[nodiscard]] bool isUntouched() const;
+    [[nodiscard]] bool isIdle() const;
 
 private:
     struct implementation;
--- a/src/app/gateway/caller_channel.cpp
+++ b/src/app/gateway/caller_channel.cpp
@@ -63,7 +63,7 @@
     }
     m_parser.put(bytes);
     if (m_call) {
-        if (m_parser.leftOver() > maxPipelinedBytes)
+        if (m_parser.unparsedBytes() > maxPipelinedBytes)
             m_channel->setReading(false);
         return;
     }
@@ -73,10 +73,10 @@
 void caller_channel::advance()
 {
     const auto state = m_parser.state();
-    if (state == http1::parse_state::Bad) {
-        const auto fault = m_parser.fault();
-        refuse(fault == http1::parse_fault::HeadTooLarge    ? result_code::HeadTooLarge
-                : fault == http1::parse_fault::BodyTooLarge ? result_code::BodyTooLarge
+    if (state == http1::parse_state::Invalid) {
+        const auto error = m_parser.error();
+        refuse(error == http1::parse_error::HeadTooLarge    ? result_code::HeadTooLarge
+                : error == http1::parse_error::BodyTooLarge ? result_code::BodyTooLarge
                                                             : result_code::MalformedRequest);
         return;
     }
@@ -111,7 +111,7 @@
             self->close();
             return;
         }
-        self->m_hasRequestStarted = self->m_parser.leftOver() > 0;
+        self->m_hasRequestStarted = self->m_parser.unparsedBytes() > 0;
         self->m_firstByte = steadyNow();
         self->m_hasSentContinue = false;
         self->m_channel->setReading(true);
@@ -163,7 +163,7 @@
 
 void caller_channel::closeIfIdle()
 {
-    if (!m_call && m_parser.isUntouched())
+    if (!m_call && m_parser.isIdle())
         close();
 }
 
--- a/src/app/gateway/gateway_call.cpp
+++ b/src/app/gateway/gateway_call.cpp
@@ -284,7 +284,7 @@
 {
     const auto keep = shared_from_this();
     if (how == net::channel_end::Closed) {
-        m_parser->putEnd();
+        m_parser->putEof();
         if (m_parser->state() == http1::parse_state::Done) {
             advance();
             return;
@@ -306,7 +306,7 @@
     const auto keep = shared_from_this();
     const std::uint32_t attempt = m_attempt;
     const auto isCurrent = [this, attempt] { return m_channel && m_attempt == attempt; };
-    if (m_parser->state() == http1::parse_state::Bad) {
+    if (m_parser->state() == http1::parse_state::Invalid) {
         m_exchange->onAttemptFailed(gateway::attempt_failure::InvalidResponse, steadyNow());
         return;
     }
@@ -346,7 +346,7 @@
 std::vector<http1::field> gateway_call::answerFields(const http1::response_head& head) const
 {
     auto fields = head.fields;
-    http1::removeConnectionFields(fields);
+    http1::removeHopByHopFields(fields);
     http1::removeFields(fields, "Content-Length");
     return fields;
 }
--- a/src/buckthornrail/http1/event_stream.cpp
+++ b/src/buckthornrail/http1/event_stream.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::string_view idPrefix = "id:";
 
-std::optional<std::uint64_t> idOf(std::string_view event)
+std::optional<std::uint64_t> parseEventId(std::string_view event)
 {
     while (!event.empty()) {
         const auto end = event.find('\n');
@@ -29,7 +29,7 @@
 }
 
 /// Offset after the next blank line, or npos.
-std::size_t endOfEvent(std::string_view text, std::size_t from)
+std::size_t findEventEnd(std::string_view text, std::size_t from)
 {
     while (true) {
         const auto end = text.find('\n', from);
@@ -52,12 +52,12 @@
     std::vector<stream_event> events;
     std::size_t start = 0;
     while (true) {
-        const auto end = endOfEvent(m_pending, start);
+        const auto end = findEventEnd(m_pending, start);
         if (end == std::string::npos)
             break;
         stream_event event;
         event.bytes = m_pending.substr(start, end - start);
-        event.id = idOf(event.bytes);
+        event.id = parseEventId(event.bytes);
         events.push_back(std::move(event));
         start = end;
     }
--- a/src/buckthornrail/http1/message.cpp
+++ b/src/buckthornrail/http1/message.cpp
@@ -9,12 +9,12 @@
 namespace buckthornrail::http1 {
 namespace {
 
-constexpr std::array<std::string_view, 9> connectionFields { "Connection", "Keep-Alive", "Proxy-Connection",
+constexpr std::array<std::string_view, 9> hopByHopFields { "Connection", "Keep-Alive", "Proxy-Connection",
     "Proxy-Authenticate", "Proxy-Authorization", "TE", "Trailer", "Transfer-Encoding", "Upgrade" };
 
-char lower(char symbol) { return symbol >= 'A' && symbol <= 'Z' ? static_cast<char>(symbol + ('a' - 'A')) : symbol; }
+char toLower(char symbol) { return symbol >= 'A' && symbol <= 'Z' ? static_cast<char>(symbol + ('a' - 'A')) : symbol; }
 
-std::string_view trimmed(std::string_view text)
+std::string_view trim(std::string_view text)
 {
     const auto first = text.find_first_not_of(" \t");
     if (first == std::string_view::npos)
@@ -24,10 +24,10 @@
 
 void appendFields(std::string& out, const std::vector<field>& fields)
 {
-    for (const auto& one : fields) {
-        out += one.name;
+    for (const auto& entry : fields) {
+        out += entry.name;
         out += ": ";
-        out += one.value;
+        out += entry.value;
         out += "\r\n";
     }
 }
@@ -41,41 +41,41 @@
 
 } // namespace
 
-bool sameName(std::string_view a, std::string_view b)
+bool areFieldNamesEqual(std::string_view a, std::string_view b)
 {
-    return std::equal(a.begin(), a.end(), b.begin(), b.end(), [](char x, char y) { return lower(x) == lower(y); });
+    return std::equal(a.begin(), a.end(), b.begin(), b.end(), [](char x, char y) { return toLower(x) == toLower(y); });
 }
 
 std::optional<std::string_view> valueOf(const std::vector<field>& fields, std::string_view name)
 {
-    for (const auto& one : fields) {
-        if (sameName(one.name, name))
-            return one.value;
+    for (const auto& entry : fields) {
+        if (areFieldNamesEqual(entry.name, name))
+            return entry.value;
     }
     return std::nullopt;
 }
 
 void removeFields(std::vector<field>& fields, std::string_view name)
 {
-    std::erase_if(fields, [name](const field& one) { return sameName(one.name, name); });
+    std::erase_if(fields, [name](const field& entry) { return areFieldNamesEqual(entry.name, name); });
 }
 
-void removeConnectionFields(std::vector<field>& fields)
+void removeHopByHopFields(std::vector<field>& fields)
 {
     std::vector<std::string> named;
-    for (const auto& one : fields) {
-        if (!sameName(one.name, "Connection"))
+    for (const auto& entry : fields) {
+        if (!areFieldNamesEqual(entry.name, "Connection"))
             continue;
-        std::string_view rest = one.value;
+        std::string_view rest = entry.value;
         while (!rest.empty()) {
             const auto comma = rest.find(',');
-            named.emplace_back(trimmed(rest.substr(0, comma)));
+            named.emplace_back(trim(rest.substr(0, comma)));
             rest = comma == std::string_view::npos ? std::string_view() : rest.substr(comma + 1);
         }
     }
     for (const auto& name : named)
         removeFields(fields, name);
-    for (const auto name : connectionFields)
+    for (const auto name : hopByHopFields)
         removeFields(fields, name);
 }
 
@@ -88,8 +88,8 @@
     out += head.target;
     out += " HTTP/1.1\r\n";
     appendFields(out, head.fields);
-    const bool usuallyHasBody = head.method != "GET" && head.method != "HEAD" && head.method != "DELETE";
-    if (!body.empty() || usuallyHasBody)
+    const bool methodUsuallyHasBody = head.method != "GET" && head.method != "HEAD" && head.method != "DELETE";
+    if (!body.empty() || methodUsuallyHasBody)
         out += "Content-Length: " + std::to_string(body.size()) + "\r\n";
     out += "\r\n";
     out += body;
--- a/src/buckthornrail/http1/message_parser.cpp
+++ b/src/buckthornrail/http1/message_parser.cpp
@@ -49,7 +49,7 @@
         head.keepAlive = this->keep_alive();
         if constexpr (isRequest) {
             const auto expect = valueOf(head.fields, "Expect");
-            head.expectsContinue = expect && sameName(*expect, "100-continue");
+            head.expectsContinue = expect && areFieldNamesEqual(*expect, "100-continue");
         }
     }
     void on_body_init_impl(const boost::optional<std::uint64_t>& /*length*/, error_code& /*error*/) override { }
@@ -72,33 +72,33 @@
 } // namespace
 
 template <typename Head> struct message_parser<Head>::implementation {
-    explicit implementation(const parser_limits& chosen)
-        : limits(chosen)
+    explicit implementation(const parser_limits& parserLimits)
+        : limits(parserLimits)
     {
-        begin();
+        reset();
     }
 
-    void begin()
+    void reset()
     {
         parser = std::make_unique<collecting_parser<Head>>();
         parser->eager(true);
         parser->header_limit(limits.maxHeadBytes);
         parser->body_limit(limits.maxBodyBytes);
         state = parse_state::Head;
-        fault = parse_fault::None;
+        parseError = parse_error::None;
     }
 
     parse_state parse()
     {
-        while (!pending.empty() && state != parse_state::Done && state != parse_state::Bad) {
+        while (!pending.empty() && state != parse_state::Done && state != parse_state::Invalid) {
             error_code error;
             const std::size_t used = parser->put(boost::asio::buffer(pending.data(), pending.size()), error);
             pending.erase(0, used);
             if (error && error != beast::http::error::need_more) {
-                refuse(error);
+                fail(error);
                 return state;
             }
-            settle();
+            updateState();
             if (error == beast::http::error::need_more || used == 0)
                 break;
         }
@@ -106,41 +106,41 @@
     }
 
     /// Works out the state, and skips interim responses.
-    void settle()
+    void updateState()
     {
         state = parser->is_done() ? parse_state::Done : parser->headDone ? parse_state::Body : parse_state::Head;
         if constexpr (std::is_same_v<Head, response_head>) {
             if (state == parse_state::Done && parser->head.status < firstFinalStatus) {
-                begin();
+                reset();
                 return;
             }
             if (parser->headDone)
-                parser->head.form = formOfBody();
+                parser->head.framing = bodyFraming();
         }
     }
 
-    [[nodiscard]] body_form formOfBody() const
+    [[nodiscard]] body_framing bodyFraming() const
     {
         if (parser->chunked())
-            return body_form::Chunked;
+            return body_framing::Chunked;
         if (parser->content_length())
-            return body_form::Length;
-        return parser->need_eof() ? body_form::UntilClose : body_form::None;
+            return body_framing::Length;
+        return parser->need_eof() ? body_framing::UntilClose : body_framing::None;
     }
 
-    void refuse(const error_code& error)
+    void fail(const error_code& error)
     {
-        state = parse_state::Bad;
-        fault = error == beast::http::error::header_limit ? parse_fault::HeadTooLarge
-            : error == beast::http::error::body_limit     ? parse_fault::BodyTooLarge
-                                                          : parse_fault::Malformed;
+        state = parse_state::Invalid;
+        parseError = error == beast::http::error::header_limit ? parse_error::HeadTooLarge
+            : error == beast::http::error::body_limit          ? parse_error::BodyTooLarge
+                                                               : parse_error::Malformed;
     }
 
     parser_limits limits;
     std::unique_ptr<collecting_parser<Head>> parser;
     std::string pending;
     parse_state state = parse_state::Head;
-    parse_fault fault = parse_fault::None;
+    parse_error parseError = parse_error::None;
 };
 
 template <typename Head>
@@ -157,30 +157,30 @@
     return m_implementation->parse();
 }
 
-template <typename Head> parse_state message_parser<Head>::putEnd()
+template <typename Head> parse_state message_parser<Head>::putEof()
 {
-    auto& own = *m_implementation;
-    if (own.state == parse_state::Done || own.state == parse_state::Bad)
-        return own.state;
+    auto& impl = *m_implementation;
+    if (impl.state == parse_state::Done || impl.state == parse_state::Invalid)
+        return impl.state;
     error_code error;
-    own.parser->put_eof(error);
+    impl.parser->put_eof(error);
     if (error) {
-        own.refuse(error);
-        return own.state;
+        impl.fail(error);
+        return impl.state;
     }
-    own.settle();
-    return own.state;
+    impl.updateState();
+    return impl.state;
 }
 
 template <typename Head> parse_state message_parser<Head>::next()
 {
-    m_implementation->begin();
+    m_implementation->reset();
     return m_implementation->parse();
 }
 
 template <typename Head> parse_state message_parser<Head>::state() const { return m_implementation->state; }
 
-template <typename Head> parse_fault message_parser<Head>::fault() const { return m_implementation->fault; }
+template <typename Head> parse_error message_parser<Head>::error() const { return m_implementation->parseError; }
 
 template <typename Head> const Head& message_parser<Head>::head() const { return m_implementation->parser->head; }
 
@@ -189,9 +189,12 @@
     return std::exchange(m_implementation->parser->body, {});
 }
 
-template <typename Head> std::size_t message_parser<Head>::leftOver() const { return m_implementation->pending.size(); }
+template <typename Head> std::size_t message_parser<Head>::unparsedBytes() const
+{
+    return m_implementation->pending.size();
+}
 
-template <typename Head> bool message_parser<Head>::isUntouched() const
+template <typename Head> bool message_parser<Head>::isIdle() const
 {
     return m_implementation->state == parse_state::Head && m_implementation->pending.empty();
 }
--- a/src/buckthornrail/http1/message_parser_test.cpp
+++ b/src/buckthornrail/http1/message_parser_test.cpp
@@ -16,10 +16,10 @@
 
 parse_state putAll(request_parser& parser, const std::string& bytes) { return parser.put(bytes); }
 
-parse_fault faultOf(const std::string& bytes, const parser_limits& limits = {})
+parse_error errorOf(const std::string& bytes, const parser_limits& limits = {})
 {
     request_parser parser(limits);
-    return putAll(parser, bytes) == parse_state::Bad ? parser.fault() : parse_fault::None;
+    return putAll(parser, bytes) == parse_state::Invalid ? parser.error() : parse_error::None;
 }
 
 } // namespace
@@ -47,26 +47,26 @@
         RC_ASSERT(parser.head().target == "/a/b?c=1");
         RC_ASSERT(parser.next() == parse_state::Done);
         RC_ASSERT(parser.head().target == "/next");
-        RC_ASSERT(parser.leftOver() == 0U);
+        RC_ASSERT(parser.unparsedBytes() == 0U);
     });
 }
 
 TEST_CASE("http1: what could hide a second request is refused", "[http1]")
 {
     const std::string start = "POST / HTTP/1.1\r\nHost: h\r\n";
-    CHECK(faultOf(start + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd") == parse_fault::Malformed);
+    CHECK(errorOf(start + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd") == parse_error::Malformed);
     CHECK(
-        faultOf(start + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n") == parse_fault::Malformed);
-    CHECK(faultOf(start + "Content-Length: -1\r\n\r\n") == parse_fault::Malformed);
-    CHECK(faultOf("\x01\x02\r\n\r\n") == parse_fault::Malformed);
+        errorOf(start + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n") == parse_error::Malformed);
+    CHECK(errorOf(start + "Content-Length: -1\r\n\r\n") == parse_error::Malformed);
+    CHECK(errorOf("\x01\x02\r\n\r\n") == parse_error::Malformed);
 }
 
 TEST_CASE("http1: limits are told apart", "[http1]")
 {
     const parser_limits limits { 100, 5 };
-    CHECK(faultOf("GET / HTTP/1.1\r\nX: " + std::string(200, 'x') + "\r\n\r\n", limits) == parse_fault::HeadTooLarge);
-    CHECK(faultOf("POST / HTTP/1.1\r\nContent-Length: 6\r\n\r\nabcdef", limits) == parse_fault::BodyTooLarge);
-    CHECK(faultOf("POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nabcde", limits) == parse_fault::None);
+    CHECK(errorOf("GET / HTTP/1.1\r\nX: " + std::string(200, 'x') + "\r\n\r\n", limits) == parse_error::HeadTooLarge);
+    CHECK(errorOf("POST / HTTP/1.1\r\nContent-Length: 6\r\n\r\nabcdef", limits) == parse_error::BodyTooLarge);
+    CHECK(errorOf("POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nabcde", limits) == parse_error::None);
 }
 
 TEST_CASE("http1: a response without a length ends with its connection, one with a length doesn't", "[http1]")
@@ -74,17 +74,17 @@
     response_parser open;
     open.put("HTTP/1.1 200 OK\r\n\r\nabc");
     CHECK(open.state() == parse_state::Body);
-    CHECK(open.head().form == body_form::UntilClose);
-    CHECK(open.putEnd() == parse_state::Done);
+    CHECK(open.head().framing == body_framing::UntilClose);
+    CHECK(open.putEof() == parse_state::Done);
     CHECK(open.takeBody() == "abc");
 
     response_parser cut;
     cut.put("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc");
-    CHECK(cut.putEnd() == parse_state::Bad);
+    CHECK(cut.putEof() == parse_state::Invalid);
 
     response_parser cutChunks;
     cutChunks.put("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
-    CHECK(cutChunks.putEnd() == parse_state::Bad);
+    CHECK(cutChunks.putEof() == parse_state::Invalid);
 }
 
 TEST_CASE("http1: interim responses are passed over; bytes after the end are left over", "[http1]")
@@ -93,14 +93,14 @@
     parser.put("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 500 extra");
     CHECK(parser.state() == parse_state::Done);
     CHECK(parser.head().status == 200);
-    CHECK(parser.leftOver() > 0);
+    CHECK(parser.unparsedBytes() > 0);
 }
 
 TEST_CASE("http1: fields of one connection are not passed on", "[http1]")
 {
     std::vector<field> fields { { "Connection", "close, X-Hop" }, { "x-hop", "1" }, { "Keep-Alive", "timeout=5" },
         { "Transfer-Encoding", "chunked" }, { "X-End", "2" } };
-    removeConnectionFields(fields);
+    removeHopByHopFields(fields);
     REQUIRE(fields.size() == 1);
     CHECK(fields.front().name == "X-End");
 }
@@ -150,6 +150,6 @@
         RC_ASSERT(events[1].id == 2U);
         RC_ASSERT(!events[2].id.has_value());
         RC_ASSERT(text.starts_with(joined));
-        RC_ASSERT(reader.hasPart());
+        RC_ASSERT(reader.hasPartialEvent());
     });
 }
--- a/src/buckthornrail/net/http_service.cpp
+++ b/src/buckthornrail/net/http_service.cpp
@@ -74,10 +74,10 @@
     {
         if (m_busy)
             return;
-        if (m_parser.state() == http1::parse_state::Bad) {
-            const auto fault = m_parser.fault();
-            const int status = fault == http1::parse_fault::HeadTooLarge ? headTooLarge
-                : fault == http1::parse_fault::BodyTooLarge              ? bodyTooLarge
+        if (m_parser.state() == http1::parse_state::Invalid) {
+            const auto error = m_parser.error();
+            const int status = error == http1::parse_error::HeadTooLarge ? headTooLarge
+                : error == http1::parse_error::BodyTooLarge              ? bodyTooLarge
                                                                          : badRequest;
             const auto response = plainResponse(status, "{}");
             m_channel->write(http1::formatResponse(response.head, response.body, false));
@@ -148,13 +148,13 @@
         const auto state = m_parser.put(bytes);
         if (state == http1::parse_state::Done)
             finish(call_outcome::Answered);
-        else if (state == http1::parse_state::Bad)
+        else if (state == http1::parse_state::Invalid)
             finish(call_outcome::Broken);
     }
 
     void onEnded(channel_end how)
     {
-        if (how == channel_end::Closed && m_parser.putEnd() == http1::parse_state::Done) {
+        if (how == channel_end::Closed && m_parser.putEof() == http1::parse_state::Done) {
             finish(call_outcome::Answered);
             return;
         }
