--- a/include/buckthornrail/http/http_server.hpp
+++ b/include/buckthornrail/http/http_server.hpp
@@ -72,7 +72,7 @@
 
 private:
     struct implementation;
-    explicit http_server(std::unique_ptr<implementation> state);
+    explicit http_server(std::unique_ptr<implementation> impl);
     std::unique_ptr<implementation> m_implementation;
 };
 
--- a/include/buckthornrail/net/http_service.hpp
+++ b/include/buckthornrail/net/http_service.hpp
@@ -28,7 +28,7 @@
 
 struct service_options {
     http1::parser_limits limits { 16U << 10U, 8U << 20U };
-    milliseconds idlePatience { 30000 };
+    milliseconds idleTimeout { 30000 };
 };
 
 /// @brief Serves whole requests. Lives on the loop thread.
--- a/include/buckthornrail/net/tcp.hpp
+++ b/include/buckthornrail/net/tcp.hpp
@@ -31,7 +31,7 @@
 
 struct channel_options {
     /// A peer that acknowledges nothing for so long counts as gone. Partitions are silent, so nothing else tells.
-    milliseconds silenceLimit { 3000 };
+    milliseconds peerTimeout { 3000 };
 };
 
 /// @brief One TCP connection. Lives on the loop thread.
--- a/src/app/controller/operator_access.cpp
+++ b/src/app/controller/operator_access.cpp
@@ -2,7 +2,7 @@
 /// @brief Operators' token.
 #include "app/controller/operator_access.hpp"
 
-#include "buckthornrail/http/error_answer.hpp"
+#include "buckthornrail/http/error_response.hpp"
 
 #include <fstream>
 
--- a/src/app/entry/entry_api.cpp
+++ b/src/app/entry/entry_api.cpp
@@ -3,7 +3,7 @@
 #include "app/entry/entry_api.hpp"
 
 #include "app/controller/operator_access.hpp"
-#include "buckthornrail/http/error_answer.hpp"
+#include "buckthornrail/http/error_response.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/src/buckthornrail/http/http_client.cpp
+++ b/src/buckthornrail/http/http_client.cpp
@@ -10,7 +10,7 @@
 namespace buckthornrail::http {
 namespace {
 
-constexpr milliseconds shortestTimeout { 1 };
+constexpr milliseconds minTimeout { 1 };
 
 std::vector<header_field> copyHeaders(const httplib::Headers& headers)
 {
@@ -63,7 +63,7 @@
     const client_request& request, const head_receiver& onHead, const body_receiver& onBody, call_canceller* canceller)
 {
     const auto remaining
-        = std::max(shortestTimeout, std::chrono::duration_cast<milliseconds>(request.deadline - boot_clock::now()));
+        = std::max(minTimeout, std::chrono::duration_cast<milliseconds>(request.deadline - boot_clock::now()));
     httplib::Client client("http://" + request.address);
     client.set_connection_timeout(std::min(remaining, request.connectTimeout));
     client.set_read_timeout(remaining);
@@ -78,34 +78,34 @@
         }
         canceller->internals().client = &client;
     }
-    httplib::Request sent;
-    sent.method = request.method;
-    sent.path = request.path;
-    sent.body = request.body;
+    httplib::Request outgoing;
+    outgoing.method = request.method;
+    outgoing.path = request.path;
+    outgoing.body = request.body;
     for (const auto& header : request.headers)
-        sent.headers.emplace(header.name, header.value);
+        outgoing.headers.emplace(header.name, header.value);
     if (!request.contentType.empty())
-        sent.headers.emplace("Content-Type", request.contentType);
-    bool late = false;
-    sent.response_handler = [&](const httplib::Response& head) {
+        outgoing.headers.emplace("Content-Type", request.contentType);
+    bool isPastDeadline = false;
+    outgoing.response_handler = [&](const httplib::Response& head) {
         response.status = head.status;
         response.headers = copyHeaders(head.headers);
         if (onHead)
             onHead(head.status, response.headers);
         return true;
     };
-    sent.content_receiver = [&](const char* data, std::size_t size, std::uint64_t, std::uint64_t) {
-        late = boot_clock::now() >= request.deadline;
-        if (late)
+    outgoing.content_receiver = [&](const char* data, std::size_t size, std::uint64_t, std::uint64_t) {
+        isPastDeadline = boot_clock::now() >= request.deadline;
+        if (isPastDeadline)
             return false;
         if (onBody)
             return onBody(data, size);
         response.body.append(data, size);
         return true;
     };
-    const auto result = client.send(sent);
+    const auto result = client.send(outgoing);
     response.outcome = outcomeOf(result.error());
-    if (late || (response.outcome == client_outcome::Broken && boot_clock::now() >= request.deadline))
+    if (isPastDeadline || (response.outcome == client_outcome::Broken && boot_clock::now() >= request.deadline))
         response.outcome = client_outcome::TimedOut;
     if (canceller != nullptr) {
         const std::scoped_lock lock(canceller->internals().mutex);
--- a/src/buckthornrail/http/http_server.cpp
+++ b/src/buckthornrail/http/http_server.cpp
@@ -4,7 +4,7 @@
 
 #include "buckthornrail/core/clock.hpp"
 #include "buckthornrail/core/result_code.hpp"
-#include "buckthornrail/http/error_answer.hpp"
+#include "buckthornrail/http/error_response.hpp"
 
 #include <algorithm>
 #include <array>
@@ -92,7 +92,7 @@
 }
 
 /// Reads on for a while after an early answer: closing at once would reset the connection and lose the answer.
-void discardRest(mg_connection* connection)
+void discardBody(mg_connection* connection)
 {
     const steady_time deadline = boot_clock::now() + lingerPeriod;
     std::vector<char> chunk(discardChunkBytes); // CivetWeb's threads have small stacks
@@ -132,28 +132,28 @@
         request.path = info->local_uri;
         request.query = info->query_string == nullptr ? "" : info->query_string;
         request.fromLoopback = std::strncmp(info->remote_addr, "127.", 4) == 0;
-        for (int at = 0; at < info->num_headers; ++at)
-            request.headers.push_back({ info->http_headers[at].name, info->http_headers[at].value });
+        for (int i = 0; i < info->num_headers; ++i)
+            request.headers.push_back({ info->http_headers[i].name, info->http_headers[i].value });
         civet_exchange exchange(connection);
         auto body = readBody(connection, self.options);
         if (!body) {
             respondError(exchange, { body.error(), "" }, ran_state::No);
             mg_disable_connection_keep_alive(connection);
             if (body.error() == result_code::BodyTooLarge)
-                discardRest(connection);
+                discardBody(connection);
             return exchange.status();
         }
         request.body = std::move(*body);
-        const http_route* best = nullptr;
+        const http_route* bestRoute = nullptr;
         for (const auto& route : self.routes) {
-            const bool fits = request.path.starts_with(route.pathPrefix);
-            if (fits && (best == nullptr || route.pathPrefix.size() > best->pathPrefix.size()))
-                best = &route;
+            const bool isMatch = request.path.starts_with(route.pathPrefix);
+            if (isMatch && (bestRoute == nullptr || route.pathPrefix.size() > bestRoute->pathPrefix.size()))
+                bestRoute = &route;
         }
-        if (best == nullptr)
+        if (bestRoute == nullptr)
             respondError(exchange, { result_code::NotFound, request.path }, ran_state::No);
         else
-            best->handler(request, exchange);
+            bestRoute->handler(request, exchange);
         return exchange.status();
     }
 
@@ -162,8 +162,8 @@
     mg_context* context = nullptr;
 };
 
-http_server::http_server(std::unique_ptr<implementation> state)
-    : m_implementation(std::move(state))
+http_server::http_server(std::unique_ptr<implementation> impl)
+    : m_implementation(std::move(impl))
 {
 }
 
@@ -172,20 +172,20 @@
 tl::expected<std::unique_ptr<http_server>, std::string> http_server::start(
     const server_options& options, std::vector<http_route> routes)
 {
-    auto state = std::make_unique<implementation>();
-    state->options = options;
-    state->routes = std::move(routes);
+    auto impl = std::make_unique<implementation>();
+    impl->options = options;
+    impl->routes = std::move(routes);
     const std::string threads = std::to_string(options.threads);
     const std::array<const char*, 15> settings { "listening_ports", options.address.c_str(), "num_threads",
         threads.c_str(), "request_timeout_ms", headerTimeoutMs, "enable_keep_alive", "yes", "keep_alive_timeout_ms",
         keepAliveTimeoutMs, "tcp_nodelay", "1", "connection_queue", "256", nullptr };
     mg_init_library(0);
     const mg_callbacks callbacks {};
-    state->context = mg_start(&callbacks, nullptr, const_cast<const char**>(settings.data()));
-    if (state->context == nullptr)
+    impl->context = mg_start(&callbacks, nullptr, const_cast<const char**>(settings.data()));
+    if (impl->context == nullptr)
         return tl::make_unexpected("the HTTP server can't listen on " + options.address);
-    mg_set_request_handler(state->context, "/", implementation::serve, state.get());
-    return std::unique_ptr<http_server>(new http_server(std::move(state)));
+    mg_set_request_handler(impl->context, "/", implementation::serve, impl.get());
+    return std::unique_ptr<http_server>(new http_server(std::move(impl)));
 }
 
 } // namespace buckthornrail::http
--- a/src/buckthornrail/net/http_service.cpp
+++ b/src/buckthornrail/net/http_service.cpp
@@ -34,31 +34,31 @@
 };
 
 /// One connection of a caller.
-class served_channel : public std::enable_shared_from_this<served_channel> {
+class server_channel : public std::enable_shared_from_this<server_channel> {
 public:
-    served_channel(
+    server_channel(
         link::event_loop& loop, channel_pointer channel, request_handler handler, const service_options& options)
         : m_channel(std::move(channel))
         , m_handler(std::move(handler))
         , m_options(options)
         , m_parser(options.limits)
-        , m_idle(loop)
+        , m_idleTimer(loop)
     {
     }
 
-    void begin()
+    void start()
     {
         const auto self = shared_from_this();
         m_channel->setHandlers({ nullptr, [self](std::string_view bytes) { self->onBytes(bytes); }, nullptr,
-            [self](channel_end) { self->m_idle.cancel(); } });
-        awaitRequest();
+            [self](channel_end) { self->m_idleTimer.cancel(); } });
+        startIdleTimer();
     }
 
 private:
-    void awaitRequest()
+    void startIdleTimer()
     {
-        const std::weak_ptr<served_channel> weak = weak_from_this();
-        m_idle.set(boot_clock::now() + m_options.idlePatience, [weak] {
+        const std::weak_ptr<server_channel> weak = weak_from_this();
+        m_idleTimer.set(boot_clock::now() + m_options.idleTimeout, [weak] {
             if (const auto self = weak.lock())
                 self->m_channel->closeAfterWrite();
         });
@@ -72,7 +72,7 @@
 
     void serve()
     {
-        if (m_busy)
+        if (m_isServing)
             return;
         if (m_parser.state() == http1::parse_state::Invalid) {
             const auto error = m_parser.error();
@@ -86,10 +86,10 @@
         }
         if (m_parser.state() != http1::parse_state::Done)
             return;
-        m_busy = true;
-        m_idle.cancel();
+        m_isServing = true;
+        m_idleTimer.cancel();
         whole_request request { m_parser.head(), m_parser.takeBody() };
-        const std::weak_ptr<served_channel> weak = weak_from_this();
+        const std::weak_ptr<server_channel> weak = weak_from_this();
         m_handler(request, [weak, keepAlive = request.head.keepAlive](const whole_response& response) {
             if (const auto self = weak.lock())
                 self->respond(response, keepAlive);
@@ -103,9 +103,9 @@
             m_channel->closeAfterWrite();
             return;
         }
-        m_busy = false;
+        m_isServing = false;
         m_parser.next();
-        awaitRequest();
+        startIdleTimer();
         serve();
     }
 
@@ -113,32 +113,32 @@
     request_handler m_handler;
     service_options m_options;
     http1::request_parser m_parser;
-    loop_timer m_idle;
-    bool m_busy = false;
+    loop_timer m_idleTimer;
+    bool m_isServing = false;
 };
 
 /// A call under way. Its callback may destroy it.
-class open_call : public http_call, public std::enable_shared_from_this<open_call> {
+class pending_call : public http_call, public std::enable_shared_from_this<pending_call> {
 public:
-    open_call(link::event_loop& loop, callback done)
-        : m_done(std::move(done))
+    pending_call(link::event_loop& loop, callback done)
+        : m_callback(std::move(done))
         , m_timer(loop)
     {
     }
 
-    void begin(link::event_loop& loop, const std::string& address, const whole_request& request, steady_time deadline)
+    void start(link::event_loop& loop, const std::string& address, const whole_request& request, steady_time deadline)
     {
         const auto self = shared_from_this();
         m_channel = dial(loop, address,
             { nullptr, [self](std::string_view bytes) { self->onBytes(bytes); }, nullptr,
-                [self](channel_end how) { self->onEnded(how); } });
+                [self](channel_end reason) { self->onEnded(reason); } });
         m_channel->write(http1::formatRequest(request.head, request.body));
         m_timer.set(deadline, [self] { self->finish(call_outcome::TimedOut); });
     }
 
     void cancel() override
     {
-        m_done = nullptr;
+        m_callback = nullptr;
         finish(call_outcome::Broken);
     }
 
@@ -152,13 +152,13 @@
             finish(call_outcome::Broken);
     }
 
-    void onEnded(channel_end how)
+    void onEnded(channel_end reason)
     {
-        if (how == channel_end::Closed && m_parser.putEof() == http1::parse_state::Done) {
+        if (reason == channel_end::Closed && m_parser.putEof() == http1::parse_state::Done) {
             finish(call_outcome::Answered);
             return;
         }
-        finish(how == channel_end::Refused ? call_outcome::Refused : call_outcome::Broken);
+        finish(reason == channel_end::Refused ? call_outcome::Refused : call_outcome::Broken);
     }
 
     void finish(call_outcome outcome)
@@ -166,7 +166,7 @@
         const auto keep = shared_from_this();
         m_timer.cancel();
         m_channel->abort(false);
-        const auto done = std::exchange(m_done, nullptr);
+        const auto done = std::exchange(m_callback, nullptr);
         if (!done)
             return;
         whole_response response;
@@ -175,7 +175,7 @@
         done(outcome, response);
     }
 
-    callback m_done;
+    callback m_callback;
     channel_pointer m_channel;
     http1::response_parser m_parser;
     loop_timer m_timer;
@@ -186,7 +186,7 @@
 struct http_service::implementation {
     implementation(link::event_loop& loop, request_handler handler, const service_options& options)
         : listener(loop, [&loop, handler = std::move(handler), options](const channel_pointer& channel) {
-            std::make_shared<served_channel>(loop, channel, handler, options)->begin();
+            std::make_shared<server_channel>(loop, channel, handler, options)->start();
         })
     {
     }
@@ -207,8 +207,8 @@
 std::shared_ptr<http_call> http_call::start(link::event_loop& loop, const std::string& address,
     const whole_request& request, steady_time deadline, callback done)
 {
-    auto call = std::make_shared<open_call>(loop, std::move(done));
-    call->begin(loop, address, request, deadline);
+    auto call = std::make_shared<pending_call>(loop, std::move(done));
+    call->start(loop, address, request, deadline);
     return call;
 }
 
--- a/src/buckthornrail/net/tcp.cpp
+++ b/src/buckthornrail/net/tcp.cpp
@@ -17,9 +17,9 @@
 using asio::ip::tcp;
 
 constexpr std::size_t readBufferBytes = 16U << 10U; ///< shared by all channels of a loop thread
-constexpr int keepAliveSeconds = 1; ///< idle time and interval of the system's probes
+constexpr int keepAliveIntervalSeconds = 1; ///< idle time and interval of the system's probes
 constexpr int listenBacklog = 1024; ///< a full queue drops the opening packet, which comes again after seconds
-constexpr std::size_t acceptsPerWakeUp = 16;
+constexpr std::size_t maxAcceptsPerWakeUp = 16;
 
 std::optional<tcp::endpoint> parseEndpoint(const std::string& address)
 {
@@ -58,15 +58,15 @@
         std::error_code error;
         m_socket.open(endpoint->protocol(), error);
         if (!error)
-            prepare();
+            setSocketOptions();
         m_socket.async_connect(*endpoint, [self = shared_from_this()](const std::error_code& failed) {
-            if (self->m_over)
+            if (self->m_hasEnded)
                 return;
             if (failed) {
                 self->end(channel_end::Refused);
                 return;
             }
-            self->m_open = true;
+            self->m_isOpen = true;
             const auto opened = self->m_handlers.opened;
             if (opened)
                 opened();
@@ -75,10 +75,10 @@
         });
     }
 
-    void begin()
+    void start()
     {
-        m_open = true;
-        prepare();
+        m_isOpen = true;
+        setSocketOptions();
         awaitRead();
     }
 
@@ -86,20 +86,20 @@
 
     void write(std::string_view bytes) override
     {
-        if (m_over || m_closing)
+        if (m_hasEnded || m_isClosing)
             return;
-        if (!m_open || !m_pending.empty()) {
+        if (!m_isOpen || !m_pending.empty()) {
             m_pending.append(bytes);
             return;
         }
         std::error_code error;
-        const std::size_t done = m_socket.write_some(asio::buffer(bytes.data(), bytes.size()), error);
+        const std::size_t written = m_socket.write_some(asio::buffer(bytes.data(), bytes.size()), error);
         if (error && error != asio::error::would_block) {
-            failSoon();
+            postFailure();
             return;
         }
-        if (done < bytes.size()) {
-            m_pending.assign(bytes.substr(done));
+        if (written < bytes.size()) {
+            m_pending.assign(bytes.substr(written));
             awaitWrite();
         }
     }
@@ -108,23 +108,23 @@
 
     void setReading(bool enabled) override
     {
-        const bool wasReading = std::exchange(m_reading, enabled);
-        if (enabled && !wasReading && m_open && !m_over && !m_awaitingRead)
+        const bool wasReading = std::exchange(m_isReading, enabled);
+        if (enabled && !wasReading && m_isOpen && !m_hasEnded && !m_isAwaitingRead)
             awaitRead();
     }
 
     void closeAfterWrite() override
     {
-        if (m_over)
+        if (m_hasEnded)
             return;
-        m_closing = true;
+        m_isClosing = true;
         if (m_pending.empty())
-            shutDown();
+            shutDownSend();
     }
 
     void abort(bool reset) override
     {
-        if (std::exchange(m_over, true))
+        if (std::exchange(m_hasEnded, true))
             return;
         std::error_code ignored;
         if (reset)
@@ -134,27 +134,27 @@
     }
 
 private:
-    void prepare()
+    void setSocketOptions()
     {
         std::error_code ignored;
         m_socket.non_blocking(true, ignored);
         m_socket.set_option(tcp::no_delay(true), ignored);
-        setIntOption(m_socket, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(m_options.silenceLimit.count()));
+        setIntOption(m_socket, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(m_options.peerTimeout.count()));
         setIntOption(m_socket, SOL_SOCKET, SO_KEEPALIVE, 1);
-        setIntOption(m_socket, IPPROTO_TCP, TCP_KEEPIDLE, keepAliveSeconds);
-        setIntOption(m_socket, IPPROTO_TCP, TCP_KEEPINTVL, keepAliveSeconds);
+        setIntOption(m_socket, IPPROTO_TCP, TCP_KEEPIDLE, keepAliveIntervalSeconds);
+        setIntOption(m_socket, IPPROTO_TCP, TCP_KEEPINTVL, keepAliveIntervalSeconds);
         setIntOption(m_socket, IPPROTO_TCP, TCP_KEEPCNT,
-            std::max(1, static_cast<int>(m_options.silenceLimit / std::chrono::seconds(keepAliveSeconds))));
+            std::max(1, static_cast<int>(m_options.peerTimeout / std::chrono::seconds(keepAliveIntervalSeconds))));
     }
 
     void awaitRead()
     {
-        if (m_over || !m_reading)
+        if (m_hasEnded || !m_isReading)
             return;
-        m_awaitingRead = true;
+        m_isAwaitingRead = true;
         m_socket.async_wait(tcp::socket::wait_read, [self = shared_from_this()](const std::error_code& error) {
-            self->m_awaitingRead = false;
-            if (self->m_over || error || !self->m_reading)
+            self->m_isAwaitingRead = false;
+            if (self->m_hasEnded || error || !self->m_isReading)
                 return;
             self->readNow();
         });
@@ -173,7 +173,7 @@
             end(error == asio::error::eof ? channel_end::Closed : channel_end::Reset);
             return;
         }
-        if (m_closing) {
+        if (m_isClosing) {
             awaitRead(); // what comes after our close is read and dropped, or the system would reset the channel
             return;
         }
@@ -186,29 +186,29 @@
     void awaitWrite()
     {
         m_socket.async_wait(tcp::socket::wait_write, [self = shared_from_this()](const std::error_code& error) {
-            if (!self->m_over && !error)
+            if (!self->m_hasEnded && !error)
                 self->flush();
         });
     }
 
     void flush()
     {
-        if (m_pending.empty() || m_over)
+        if (m_pending.empty() || m_hasEnded)
             return;
         std::error_code error;
-        const std::size_t done = m_socket.write_some(asio::buffer(m_pending), error);
+        const std::size_t written = m_socket.write_some(asio::buffer(m_pending), error);
         if (error && error != asio::error::would_block) {
-            failSoon();
+            postFailure();
             return;
         }
-        m_pending.erase(0, done);
+        m_pending.erase(0, written);
         if (!m_pending.empty()) {
             awaitWrite();
             return;
         }
         std::string().swap(m_pending); // idle channels hold no memory
-        if (m_closing) {
-            shutDown();
+        if (m_isClosing) {
+            shutDownSend();
             return;
         }
         const auto keep = shared_from_this();
@@ -218,7 +218,7 @@
 
     /// Sends the end of the stream, and reads on until the peer has closed as well: closing with unread bytes would
     /// reset the channel and could take the answer with it.
-    void shutDown()
+    void shutDownSend()
     {
         std::error_code error;
         m_socket.shutdown(tcp::socket::shutdown_send, error);
@@ -231,21 +231,21 @@
     }
 
     /// An error of a write is told from the loop, not from within the caller's call.
-    void failSoon()
+    void postFailure()
     {
         asio::post(m_socket.get_executor(), [self = shared_from_this()] { self->end(channel_end::Reset); });
     }
 
-    void end(channel_end how)
+    void end(channel_end reason)
     {
-        if (std::exchange(m_over, true))
+        if (std::exchange(m_hasEnded, true))
             return;
         std::error_code ignored;
         m_socket.close(ignored);
         const auto ended = std::move(m_handlers.ended);
         release();
         if (ended)
-            ended(how);
+            ended(reason);
     }
 
     /// Handlers hold their owners; letting go of them ends the cycle. Not from within one of them.
@@ -259,11 +259,11 @@
     channel_options m_options;
     channel_handlers m_handlers;
     std::string m_pending;
-    bool m_open = false;
-    bool m_over = false;
-    bool m_closing = false;
-    bool m_reading = true;
-    bool m_awaitingRead = false;
+    bool m_isOpen = false;
+    bool m_hasEnded = false;
+    bool m_isClosing = false;
+    bool m_isReading = true;
+    bool m_isAwaitingRead = false;
 };
 
 } // namespace
@@ -290,14 +290,14 @@
         acceptor.async_wait(tcp::acceptor::wait_read, [self = shared_from_this()](const std::error_code& error) {
             if (error || self->stopped)
                 return;
-            self->acceptSome();
+            self->acceptPending();
             self->awaitAccept();
         });
     }
 
-    void acceptSome()
+    void acceptPending()
     {
-        for (std::size_t at = 0; at < acceptsPerWakeUp; ++at) {
+        for (std::size_t count = 0; count < maxAcceptsPerWakeUp; ++count) {
             std::error_code error;
             tcp::socket socket(acceptor.get_executor());
             acceptor.accept(socket, error);
@@ -305,7 +305,7 @@
                 return; // nobody waits, or no descriptor is left; the next wake-up tries again
             auto channel = std::make_shared<asio_channel>(std::move(socket), options);
             accepted(channel);
-            channel->begin();
+            channel->start();
         }
     }
 
@@ -370,13 +370,14 @@
 
 void loop_timer::set(steady_time when, std::function<void()> task)
 {
-    auto& own = *m_implementation;
-    const std::uint64_t number = ++*own.generation;
-    own.timer.expires_at(when);
-    own.timer.async_wait([task = std::move(task), generation = own.generation, number](const std::error_code& error) {
-        if (!error && *generation == number)
-            task();
-    });
+    auto& impl = *m_implementation;
+    const std::uint64_t currentGeneration = ++*impl.generation;
+    impl.timer.expires_at(when);
+    impl.timer.async_wait(
+        [task = std::move(task), generation = impl.generation, currentGeneration](const std::error_code& error) {
+            if (!error && *generation == currentGeneration)
+                task();
+        });
 }
 
 void loop_timer::cancel()
