--- a/src/buckthornrail/http/http_server.cpp
+++ b/src/buckthornrail/http/http_server.cpp
@@ -1,10 +1,10 @@
 /// @file
-/// @brief CivetWeb behind plain types.
+/// @brief HTTP server on CivetWeb.
 #include "buckthornrail/http/http_server.hpp"
 
 #include "buckthornrail/core/clock.hpp"
 #include "buckthornrail/core/result_code.hpp"
-#include "buckthornrail/http/error_answer.hpp"
+#include "buckthornrail/http/error_response.hpp"
 
 #include <algorithm>
 #include <array>
@@ -17,7 +17,7 @@
 
 constexpr const char* headerTimeoutMs = "5000";
 constexpr const char* keepAliveTimeoutMs = "2000";
-constexpr std::size_t readChunkBytes = 512; ///< small, so that a slow sender is noticed
+constexpr std::size_t readChunkBytes = 512; ///< small, so that the body deadline is checked often during a slow upload
 constexpr milliseconds lingerPeriod { 2000 };
 constexpr std::size_t discardChunkBytes = 65536;
 constexpr std::size_t maxDiscardedBytes = 64U << 20U;
@@ -66,7 +66,8 @@
     int m_status = 200;
 };
 
-/// @return the body, or the code that refuses it.
+/// Reads the request body within the size limit and the deadline.
+/// @return the body, or the error code to respond with
 tl::expected<std::string, result_code> readBody(mg_connection* connection, const server_options& options)
 {
     const auto* info = mg_get_request_info(connection);
@@ -91,11 +92,12 @@
     return body;
 }
 
-/// Reads on for a while after an early answer: closing at once would reset the connection and lose the answer.
-void discardRest(mg_connection* connection)
+/// Reads and discards the rest of the request after an early response, for a limited time. Closing immediately would
+/// reset the connection, and the client could lose the response.
+void discardBody(mg_connection* connection)
 {
     const steady_time deadline = boot_clock::now() + lingerPeriod;
-    std::vector<char> chunk(discardChunkBytes); // CivetWeb's threads have small stacks
+    std::vector<char> chunk(discardChunkBytes); // on the heap, because CivetWeb's threads have small stacks
     std::size_t discarded = 0;
     while (discarded < maxDiscardedBytes && boot_clock::now() < deadline) {
         const int count = mg_read(connection, chunk.data(), chunk.size());
@@ -132,28 +134,28 @@
         request.path = info->local_uri;
         request.query = info->query_string == nullptr ? "" : info->query_string;
         request.fromLoopback = std::strncmp(info->remote_addr, "127.", 4) == 0;
-        for (int at = 0; at < info->num_headers; ++at)
-            request.headers.push_back({ info->http_headers[at].name, info->http_headers[at].value });
+        for (int i = 0; i < info->num_headers; ++i)
+            request.headers.push_back({ info->http_headers[i].name, info->http_headers[i].value });
         civet_exchange exchange(connection);
         auto body = readBody(connection, self.options);
         if (!body) {
             respondError(exchange, { body.error(), "" }, ran_state::No);
             mg_disable_connection_keep_alive(connection);
             if (body.error() == result_code::BodyTooLarge)
-                discardRest(connection);
+                discardBody(connection);
             return exchange.status();
         }
         request.body = std::move(*body);
-        const http_route* best = nullptr;
+        const http_route* bestRoute = nullptr;
         for (const auto& route : self.routes) {
-            const bool fits = request.path.starts_with(route.pathPrefix);
-            if (fits && (best == nullptr || route.pathPrefix.size() > best->pathPrefix.size()))
-                best = &route;
+            const bool isMatch = request.path.starts_with(route.pathPrefix);
+            if (isMatch && (bestRoute == nullptr || route.pathPrefix.size() > bestRoute->pathPrefix.size()))
+                bestRoute = &route;
         }
-        if (best == nullptr)
+        if (bestRoute == nullptr)
             respondError(exchange, { result_code::NotFound, request.path }, ran_state::No);
         else
-            best->handler(request, exchange);
+            bestRoute->handler(request, exchange);
         return exchange.status();
     }
 
@@ -162,8 +164,8 @@
     mg_context* context = nullptr;
 };
 
-http_server::http_server(std::unique_ptr<implementation> state)
-    : m_implementation(std::move(state))
+http_server::http_server(std::unique_ptr<implementation> impl)
+    : m_implementation(std::move(impl))
 {
 }
 
@@ -172,20 +174,20 @@
 tl::expected<std::unique_ptr<http_server>, std::string> http_server::start(
     const server_options& options, std::vector<http_route> routes)
 {
-    auto state = std::make_unique<implementation>();
-    state->options = options;
-    state->routes = std::move(routes);
+    auto impl = std::make_unique<implementation>();
+    impl->options = options;
+    impl->routes = std::move(routes);
     const std::string threads = std::to_string(options.threads);
     const std::array<const char*, 15> settings { "listening_ports", options.address.c_str(), "num_threads",
         threads.c_str(), "request_timeout_ms", headerTimeoutMs, "enable_keep_alive", "yes", "keep_alive_timeout_ms",
         keepAliveTimeoutMs, "tcp_nodelay", "1", "connection_queue", "256", nullptr };
     mg_init_library(0);
     const mg_callbacks callbacks {};
-    state->context = mg_start(&callbacks, nullptr, const_cast<const char**>(settings.data()));
-    if (state->context == nullptr)
+    impl->context = mg_start(&callbacks, nullptr, const_cast<const char**>(settings.data()));
+    if (impl->context == nullptr)
         return tl::make_unexpected("the HTTP server can't listen on " + options.address);
-    mg_set_request_handler(state->context, "/", implementation::serve, state.get());
-    return std::unique_ptr<http_server>(new http_server(std::move(state)));
+    mg_set_request_handler(impl->context, "/", implementation::serve, impl.get());
+    return std::unique_ptr<http_server>(new http_server(std::move(impl)));
 }
 
 } // namespace buckthornrail::http
--- a/src/buckthornrail/net/tcp.cpp
+++ b/src/buckthornrail/net/tcp.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief TCP channels over asio. Compiled as C++17 like all that includes asio, so that its types are the same.
+/// @brief TCP channels on asio. Every source that includes asio is compiled as C++17, so that asio's types have the
+/// same layout in all of them.
 #include "buckthornrail/net/tcp.hpp"
 
 #include "../link/loop_implementation.hpp"
@@ -16,10 +17,10 @@
 
 using asio::ip::tcp;
 
-constexpr std::size_t readBufferBytes = 16U << 10U; ///< shared by all channels of a loop thread
-constexpr int keepAliveSeconds = 1; ///< idle time and interval of the system's probes
-constexpr int listenBacklog = 1024; ///< a full queue drops the opening packet, which comes again after seconds
-constexpr std::size_t acceptsPerWakeUp = 16;
+constexpr std::size_t readBufferBytes = 16U << 10U; ///< one buffer per loop thread, shared by its channels
+constexpr int keepAliveIntervalSeconds = 1; ///< idle time before, and interval between, TCP keep-alive probes
+constexpr int listenBacklog = 1024; ///< a full queue drops the SYN, which the client retransmits after seconds
+constexpr std::size_t maxAcceptsPerWakeUp = 16;
 
 std::optional<tcp::endpoint> parseEndpoint(const std::string& address)
 {
@@ -36,7 +37,7 @@
 
 void setIntOption(tcp::socket& socket, int level, int name, int value)
 {
-    // A refused option leaves the system's default, with which the connection works all the same.
+    // When the option can't be set, the connection works with the default of the operating system.
     (void)::setsockopt(socket.native_handle(), level, name, &value, sizeof value);
 }
 
@@ -58,15 +59,15 @@
         std::error_code error;
         m_socket.open(endpoint->protocol(), error);
         if (!error)
-            prepare();
+            setSocketOptions();
         m_socket.async_connect(*endpoint, [self = shared_from_this()](const std::error_code& failed) {
-            if (self->m_over)
+            if (self->m_hasEnded)
                 return;
             if (failed) {
                 self->end(channel_end::Refused);
                 return;
             }
-            self->m_open = true;
+            self->m_isOpen = true;
             const auto opened = self->m_handlers.opened;
             if (opened)
                 opened();
@@ -75,10 +76,10 @@
         });
     }
 
-    void begin()
+    void start()
     {
-        m_open = true;
-        prepare();
+        m_isOpen = true;
+        setSocketOptions();
         awaitRead();
     }
 
@@ -86,20 +87,20 @@
 
     void write(std::string_view bytes) override
     {
-        if (m_over || m_closing)
+        if (m_hasEnded || m_isClosing)
             return;
-        if (!m_open || !m_pending.empty()) {
+        if (!m_isOpen || !m_pending.empty()) {
             m_pending.append(bytes);
             return;
         }
         std::error_code error;
-        const std::size_t done = m_socket.write_some(asio::buffer(bytes.data(), bytes.size()), error);
+        const std::size_t written = m_socket.write_some(asio::buffer(bytes.data(), bytes.size()), error);
         if (error && error != asio::error::would_block) {
-            failSoon();
+            postFailure();
             return;
         }
-        if (done < bytes.size()) {
-            m_pending.assign(bytes.substr(done));
+        if (written < bytes.size()) {
+            m_pending.assign(bytes.substr(written));
             awaitWrite();
         }
     }
@@ -108,23 +109,23 @@
 
     void setReading(bool enabled) override
     {
-        const bool wasReading = std::exchange(m_reading, enabled);
-        if (enabled && !wasReading && m_open && !m_over && !m_awaitingRead)
+        const bool wasReading = std::exchange(m_isReading, enabled);
+        if (enabled && !wasReading && m_isOpen && !m_hasEnded && !m_isAwaitingRead)
             awaitRead();
     }
 
     void closeAfterWrite() override
     {
-        if (m_over)
+        if (m_hasEnded)
             return;
-        m_closing = true;
+        m_isClosing = true;
         if (m_pending.empty())
-            shutDown();
+            shutDownSend();
     }
 
     void abort(bool reset) override
     {
-        if (std::exchange(m_over, true))
+        if (std::exchange(m_hasEnded, true))
             return;
         std::error_code ignored;
         if (reset)
@@ -134,27 +135,27 @@
     }
 
 private:
-    void prepare()
+    void setSocketOptions()
     {
         std::error_code ignored;
         m_socket.non_blocking(true, ignored);
         m_socket.set_option(tcp::no_delay(true), ignored);
-        setIntOption(m_socket, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(m_options.silenceLimit.count()));
+        setIntOption(m_socket, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(m_options.peerTimeout.count()));
         setIntOption(m_socket, SOL_SOCKET, SO_KEEPALIVE, 1);
-        setIntOption(m_socket, IPPROTO_TCP, TCP_KEEPIDLE, keepAliveSeconds);
-        setIntOption(m_socket, IPPROTO_TCP, TCP_KEEPINTVL, keepAliveSeconds);
+        setIntOption(m_socket, IPPROTO_TCP, TCP_KEEPIDLE, keepAliveIntervalSeconds);
+        setIntOption(m_socket, IPPROTO_TCP, TCP_KEEPINTVL, keepAliveIntervalSeconds);
         setIntOption(m_socket, IPPROTO_TCP, TCP_KEEPCNT,
-            std::max(1, static_cast<int>(m_options.silenceLimit / std::chrono::seconds(keepAliveSeconds))));
+            std::max(1, static_cast<int>(m_options.peerTimeout / std::chrono::seconds(keepAliveIntervalSeconds))));
     }
 
     void awaitRead()
     {
-        if (m_over || !m_reading)
+        if (m_hasEnded || !m_isReading)
             return;
-        m_awaitingRead = true;
+        m_isAwaitingRead = true;
         m_socket.async_wait(tcp::socket::wait_read, [self = shared_from_this()](const std::error_code& error) {
-            self->m_awaitingRead = false;
-            if (self->m_over || error || !self->m_reading)
+            self->m_isAwaitingRead = false;
+            if (self->m_hasEnded || error || !self->m_isReading)
                 return;
             self->readNow();
         });
@@ -173,8 +174,8 @@
             end(error == asio::error::eof ? channel_end::Closed : channel_end::Reset);
             return;
         }
-        if (m_closing) {
-            awaitRead(); // what comes after our close is read and dropped, or the system would reset the channel
+        if (m_isClosing) {
+            awaitRead(); // discard received data: closing with unread bytes would reset the connection
             return;
         }
         const auto keep = shared_from_this();
@@ -186,29 +187,29 @@
     void awaitWrite()
     {
         m_socket.async_wait(tcp::socket::wait_write, [self = shared_from_this()](const std::error_code& error) {
-            if (!self->m_over && !error)
+            if (!self->m_hasEnded && !error)
                 self->flush();
         });
     }
 
     void flush()
     {
-        if (m_pending.empty() || m_over)
+        if (m_pending.empty() || m_hasEnded)
             return;
         std::error_code error;
-        const std::size_t done = m_socket.write_some(asio::buffer(m_pending), error);
+        const std::size_t written = m_socket.write_some(asio::buffer(m_pending), error);
         if (error && error != asio::error::would_block) {
-            failSoon();
+            postFailure();
             return;
         }
-        m_pending.erase(0, done);
+        m_pending.erase(0, written);
         if (!m_pending.empty()) {
             awaitWrite();
             return;
         }
-        std::string().swap(m_pending); // idle channels hold no memory
-        if (m_closing) {
-            shutDown();
+        std::string().swap(m_pending); // releases the memory of idle channels
+        if (m_isClosing) {
+            shutDownSend();
             return;
         }
         const auto keep = shared_from_this();
@@ -216,9 +217,9 @@
             m_handlers.drained();
     }
 
-    /// Sends the end of the stream, and reads on until the peer has closed as well: closing with unread bytes would
-    /// reset the channel and could take the answer with it.
-    void shutDown()
+    /// Shuts down the sending side and reads until the peer has closed too. Closing with unread bytes would reset the
+    /// connection, and the peer could lose the response.
+    void shutDownSend()
     {
         std::error_code error;
         m_socket.shutdown(tcp::socket::shutdown_send, error);
@@ -230,25 +231,26 @@
         setReading(true);
     }
 
-    /// An error of a write is told from the loop, not from within the caller's call.
-    void failSoon()
+    /// Reports a write error from the event loop, because write() must not call `ended`.
+    void postFailure()
     {
         asio::post(m_socket.get_executor(), [self = shared_from_this()] { self->end(channel_end::Reset); });
     }
 
-    void end(channel_end how)
+    void end(channel_end reason)
     {
-        if (std::exchange(m_over, true))
+        if (std::exchange(m_hasEnded, true))
             return;
         std::error_code ignored;
         m_socket.close(ignored);
         const auto ended = std::move(m_handlers.ended);
         release();
         if (ended)
-            ended(how);
+            ended(reason);
     }
 
-    /// Handlers hold their owners; letting go of them ends the cycle. Not from within one of them.
+    /// Destroys the handlers to break the reference cycle with their owners. This is posted, since a handler may be
+    /// running.
     void release()
     {
         asio::post(m_socket.get_executor(), [handlers = std::move(m_handlers)] {});
@@ -259,11 +261,11 @@
     channel_options m_options;
     channel_handlers m_handlers;
     std::string m_pending;
-    bool m_open = false;
-    bool m_over = false;
-    bool m_closing = false;
-    bool m_reading = true;
-    bool m_awaitingRead = false;
+    bool m_isOpen = false;
+    bool m_hasEnded = false;
+    bool m_isClosing = false;
+    bool m_isReading = true;
+    bool m_isAwaitingRead = false;
 };
 
 } // namespace
@@ -290,22 +292,22 @@
         acceptor.async_wait(tcp::acceptor::wait_read, [self = shared_from_this()](const std::error_code& error) {
             if (error || self->stopped)
                 return;
-            self->acceptSome();
+            self->acceptPending();
             self->awaitAccept();
         });
     }
 
-    void acceptSome()
+    void acceptPending()
     {
-        for (std::size_t at = 0; at < acceptsPerWakeUp; ++at) {
+        for (std::size_t count = 0; count < maxAcceptsPerWakeUp; ++count) {
             std::error_code error;
             tcp::socket socket(acceptor.get_executor());
             acceptor.accept(socket, error);
             if (error)
-                return; // nobody waits, or no descriptor is left; the next wake-up tries again
+                return; // no pending connection, or out of file descriptors; retried on the next wake-up
             auto channel = std::make_shared<asio_channel>(std::move(socket), options);
             accepted(channel);
-            channel->begin();
+            channel->start();
         }
     }
 
@@ -357,7 +359,7 @@
     {
     }
     link::boot_timer timer;
-    /// Counts settings: a handler that was due already when the timer was set again or destroyed does nothing.
+    /// Incremented by set(), cancel() and the destructor, so that a handler that was already queued does nothing.
     std::shared_ptr<std::uint64_t> generation = std::make_shared<std::uint64_t>(0);
 };
 
@@ -370,13 +372,14 @@
 
 void loop_timer::set(steady_time when, std::function<void()> task)
 {
-    auto& own = *m_implementation;
-    const std::uint64_t number = ++*own.generation;
-    own.timer.expires_at(when);
-    own.timer.async_wait([task = std::move(task), generation = own.generation, number](const std::error_code& error) {
-        if (!error && *generation == number)
-            task();
-    });
+    auto& impl = *m_implementation;
+    const std::uint64_t currentGeneration = ++*impl.generation;
+    impl.timer.expires_at(when);
+    impl.timer.async_wait(
+        [task = std::move(task), generation = impl.generation, currentGeneration](const std::error_code& error) {
+            if (!error && *generation == currentGeneration)
+                task();
+        });
 }
 
 void loop_timer::cancel()
