--- a/tools/stand_in_execution_log.hpp
+++ b/tools/stand_in_execution_log.hpp
@@ -24,7 +24,7 @@
         if (m_fd >= 0)
             ::close(m_fd);
     }
-    void add(const nlohmann::json& row) const
+    void append(const nlohmann::json& row) const
     {
         const std::string line = row.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
         if (m_fd >= 0 && ::write(m_fd, line.data(), line.size()) < 0)
--- a/tools/stand_in_model.cpp
+++ b/tools/stand_in_model.cpp
@@ -9,8 +9,8 @@
 namespace stand_in {
 namespace {
 
-constexpr std::array<std::string_view, 16> words { "anchor", "buoy", "cove", "dock", "ebb", "fathom", "gale", "hull",
-    "inlet", "jetty", "keel", "lagoon", "mast", "neap", "oar", "pier" };
+constexpr std::array<std::string_view, 16> vocabulary { "anchor", "buoy", "cove", "dock", "ebb", "fathom", "gale",
+    "hull", "inlet", "jetty", "keel", "lagoon", "mast", "neap", "oar", "pier" };
 
 } // namespace
 
@@ -25,7 +25,7 @@
 
 std::string tokenOf(std::uint64_t value)
 {
-    return " " + std::string(words[value % words.size()]) + std::to_string((value >> 8U) % 100);
+    return " " + std::string(vocabulary[value % vocabulary.size()]) + std::to_string((value >> 8U) % 100);
 }
 
 std::string expectedAnswer(std::string text, std::uint32_t count, std::uint32_t layers)
--- a/tools/stand_in_prefix_cache.hpp
+++ b/tools/stand_in_prefix_cache.hpp
@@ -17,8 +17,8 @@
 /// Prompt prefixes that need no prefill, the least recently used one goes first.
 class prefix_cache {
 public:
-    explicit prefix_cache(std::uint32_t entries)
-        : m_entries(entries)
+    explicit prefix_cache(std::uint32_t capacity)
+        : m_capacity(capacity)
     {
     }
     /// @return true when the prompt's beginning was known; it is known afterwards.
@@ -26,28 +26,28 @@
     {
         const std::scoped_lock lock(m_mutex);
         const std::uint64_t key = embed(prompt.substr(0, prefixBytes));
-        const auto found = std::find(m_recent.begin(), m_recent.end(), key);
-        const bool known = found != m_recent.end();
+        const auto found = std::find(m_recentKeys.begin(), m_recentKeys.end(), key);
+        const bool known = found != m_recentKeys.end();
         if (known)
-            m_recent.erase(found);
-        m_recent.push_front(key);
+            m_recentKeys.erase(found);
+        m_recentKeys.push_front(key);
         if (!known)
-            note("stored", key);
-        if (m_recent.size() > m_entries) {
-            note("evicted", m_recent.back());
-            m_recent.pop_back();
+            recordEvent("stored", key);
+        if (m_recentKeys.size() > m_capacity) {
+            recordEvent("evicted", m_recentKeys.back());
+            m_recentKeys.pop_back();
         }
         return known;
     }
 
     /// Events with a sequence number, as engines publish them: late, and with gaps.
-    nlohmann::json events(buckthornrail::steady_time now, buckthornrail::milliseconds lag, std::uint32_t gap)
+    nlohmann::json events(buckthornrail::steady_time now, buckthornrail::milliseconds lag, std::uint32_t skipInterval)
     {
         const std::scoped_lock lock(m_mutex);
         nlohmann::json list = nlohmann::json::array();
-        for (const auto& one : m_events) {
-            if (one.at + lag <= now && (gap == 0 || one.sequence % gap != 0))
-                list.push_back({ { "sequence", one.sequence }, { "event", one.name }, { "prefix", one.key } });
+        for (const auto& event : m_events) {
+            if (event.at + lag <= now && (skipInterval == 0 || event.sequence % skipInterval != 0))
+                list.push_back({ { "sequence", event.sequence }, { "event", event.name }, { "prefix", event.key } });
         }
         return list;
     }
@@ -60,7 +60,7 @@
         buckthornrail::steady_time at {};
     };
 
-    void note(const char* name, std::uint64_t key)
+    void recordEvent(const char* name, std::uint64_t key)
     {
         m_events.push_back({ ++m_sequence, name, key, buckthornrail::boot_clock::now() });
         if (m_events.size() > maxEvents)
@@ -72,8 +72,8 @@
     std::list<cache_event> m_events;
     std::uint64_t m_sequence = 0;
     std::mutex m_mutex;
-    std::uint32_t m_entries;
-    std::list<std::uint64_t> m_recent;
+    std::uint32_t m_capacity;
+    std::list<std::uint64_t> m_recentKeys;
 };
 
 } // namespace stand_in
--- a/tools/stand_in_slots.hpp
+++ b/tools/stand_in_slots.hpp
@@ -13,24 +13,24 @@
 class batch_slots {
 public:
     explicit batch_slots(std::uint32_t count)
-        : m_free(count)
+        : m_freeSlots(count)
     {
     }
-    void take()
+    void acquire()
     {
         std::unique_lock lock(m_mutex);
         ++m_waiting;
-        m_changed.wait(lock, [this] { return m_free > 0; });
+        m_slotFreed.wait(lock, [this] { return m_freeSlots > 0; });
         --m_waiting;
-        --m_free;
+        --m_freeSlots;
         ++m_running;
     }
-    void give()
+    void release()
     {
         const std::scoped_lock lock(m_mutex);
-        ++m_free;
+        ++m_freeSlots;
         --m_running;
-        m_changed.notify_one();
+        m_slotFreed.notify_one();
     }
     std::pair<std::uint32_t, std::uint32_t> counts()
     {
@@ -40,8 +40,8 @@
 
 private:
     std::mutex m_mutex;
-    std::condition_variable m_changed;
-    std::uint32_t m_free;
+    std::condition_variable m_slotFreed;
+    std::uint32_t m_freeSlots;
     std::uint32_t m_running = 0;
     std::uint32_t m_waiting = 0;
 };
--- a/tools/stand_in_target.cpp
+++ b/tools/stand_in_target.cpp
@@ -48,7 +48,7 @@
     bool answersTwice = false;
     std::uint32_t answerLateMs = 0;
     std::uint32_t cacheEventLagMs = 500;
-    std::uint32_t cacheEventGap = 7; ///< each so-manieth cache event is never told
+    std::uint32_t cacheEventSkipInterval = 7; ///< each so-manieth cache event is never told
     std::uint32_t stallAfter = 0; ///< 0: never; else before that token
     std::uint32_t dieAfter = 0;
 };
@@ -71,29 +71,29 @@
         else if (path.ends_with("/generate_stream"))
             complete(request, exchange, "text_input", true);
         else if (path == "/engine/step")
-            step(request, exchange);
+            executeStep(request, exchange);
         else if (path == "/engine/close")
-            close(request, exchange);
+            closeRequest(request, exchange);
         else if (path == "/engine/state" || path.ends_with("/stats"))
-            respond(exchange, 200, state());
+            respond(exchange, 200, loadReport());
         else if (path == "/engine/order")
-            load(request, exchange);
+            loadVersion(request, exchange);
         else if (path == "/engine/cache_events")
             respond(exchange, 200,
                 m_cache.events(buckthornrail::boot_clock::now(), milliseconds(m_options.cacheEventLagMs),
-                    m_options.cacheEventGap));
+                    m_options.cacheEventSkipInterval));
         else if (path == "/engine/loaded")
-            respond(exchange, 200, loaded());
+            respond(exchange, 200, loadedVersion());
         else if (path == "/cancel")
             cancel(request, exchange);
         else if (path == "/stand_in/fault")
-            order(request, exchange);
+            injectFault(request, exchange);
         else if (path == "/metrics")
             exchange.respond(200, {}, metricsText());
         else if (path == "/health" || path == "/healthz" || path.ends_with("/ready"))
             respond(exchange, m_ready ? 200 : 503, json::object());
         else
-            service(request, exchange);
+            serveCall(request, exchange);
     }
 
 private:
@@ -103,14 +103,14 @@
             body.dump(-1, ' ', false, json::error_handler_t::replace));
     }
 
-    static void wait(std::uint64_t microseconds)
+    static void sleepUs(std::uint64_t microseconds)
     {
         std::this_thread::sleep_for(std::chrono::microseconds(microseconds));
     }
 
     /// Faults to order: {"token_ms":..,"stall_after":..,"die_after":..,"ready":..,"service_ms":..,
     /// "answers_twice":..,"answer_late_ms":..}
-    void order(const http_request& request, http_exchange& exchange)
+    void injectFault(const http_request& request, http_exchange& exchange)
     {
         const json body = json::parse(request.body, nullptr, false);
         m_options.tokenMs = body.value("token_ms", m_options.tokenMs);
@@ -124,7 +124,7 @@
     }
 
     /// An order to load a version; with an old fencing number it is refused, or carried out all the same.
-    void load(const http_request& request, http_exchange& exchange)
+    void loadVersion(const http_request& request, http_exchange& exchange)
     {
         const json body = json::parse(request.body, nullptr, false);
         const auto fence = body.value("fence", std::uint64_t { 0 });
@@ -137,7 +137,7 @@
             m_highestFence = std::max(m_highestFence, fence);
         }
         log({ { "event", "load_begun" }, { "fence", fence } });
-        wait(std::uint64_t { m_options.loadMs } * 1000);
+        sleepUs(std::uint64_t { m_options.loadMs } * 1000);
         const std::scoped_lock lock(m_mutex);
         m_model = body.value("model", "");
         m_version = body.value("version", "");
@@ -145,42 +145,42 @@
         respond(exchange, 200, json::object());
     }
 
-    json loaded()
+    json loadedVersion()
     {
         const std::scoped_lock lock(m_mutex);
         return { { "model", m_model }, { "version", m_version } };
     }
 
-    json state()
+    json loadReport()
     {
-        const auto [running, waiting] = reported();
+        const auto [running, waiting] = reportedLoad();
         return { { "ready", m_ready.load() }, { "running", running }, { "waiting", waiting }, { "executing", running },
             { "pending", waiting } };
     }
 
     std::string metricsText()
     {
-        const auto [running, waiting] = reported();
+        const auto [running, waiting] = reportedLoad();
         return "num_requests_running " + std::to_string(running) + "\nnum_requests_waiting " + std::to_string(waiting)
             + "\n";
     }
 
     /// Load as it was when the lag began.
-    std::pair<std::uint32_t, std::uint32_t> reported()
+    std::pair<std::uint32_t, std::uint32_t> reportedLoad()
     {
         const std::scoped_lock lock(m_mutex);
         const steady_time now = buckthornrail::boot_clock::now();
         if (now >= m_reportDeadline) {
-            m_reported = m_slots.counts();
+            m_reportedLoad = m_slots.counts();
             m_reportDeadline = now + milliseconds(m_options.reportLagMs);
         }
-        return m_reported;
+        return m_reportedLoad;
     }
 
     void log(json row)
     {
         row["target"] = m_options.name;
-        m_log.add(row);
+        m_log.append(row);
     }
 
     /// Stops here, for good or for a while, when a fault was ordered for this token.
@@ -223,17 +223,17 @@
             = isKServe ? body["parameters"].value("max_tokens", 16U) : body.value("max_tokens", 16U);
         const std::string id = request.header("X-Request-Id").value_or("");
         const std::string attempt = request.header("X-Attempt").value_or("0");
-        m_slots.take();
+        m_slots.acquire();
         log({ { "event", "run" }, { "request", id }, { "attempt", std::stoul(attempt) } });
         if (!m_cache.touch(text))
-            wait(std::uint64_t { m_options.prefillUsPerByte } * text.size());
+            sleepUs(std::uint64_t { m_options.prefillUsPerByte } * text.size());
         exchange.beginStream(200, { { "Content-Type", "text/event-stream" } });
-        wait(std::uint64_t { m_options.answerLateMs } * 1000);
+        sleepUs(std::uint64_t { m_options.answerLateMs } * 1000);
         bool alive = true;
         std::vector<std::string> answer;
         for (std::uint32_t token = 0; token < limit && alive; ++token) {
             applyFault(token);
-            wait(std::uint64_t { m_options.tokenMs } * 1000);
+            sleepUs(std::uint64_t { m_options.tokenMs } * 1000);
             const std::string word = stand_in::tokenOf(stand_in::runLayers(stand_in::embed(text), 0, m_options.layers));
             text += word;
             const bool last = token + 1 == limit;
@@ -245,7 +245,7 @@
         if (alive && !isKServe)
             exchange.writeChunk("data: [DONE]\n\n");
         exchange.endStream();
-        m_slots.give();
+        m_slots.release();
         log({ { "event", alive ? "done" : "stopped" }, { "request", id }, { "attempt", std::stoul(attempt) } });
     }
 
@@ -257,7 +257,7 @@
         return { { "choices", json::array({ { { "text", word }, { "finish_reason", reason } } }) } };
     }
 
-    void step(const http_request& request, http_exchange& exchange)
+    void executeStep(const http_request& request, http_exchange& exchange)
     {
         const json body = json::parse(request.body, nullptr, false);
         const std::string id = body.value("request", "");
@@ -268,13 +268,13 @@
         log({ { "event", "step" }, { "request", id }, { "generation", body.value("generation", 0U) },
             { "token", token }, { "first_layer", first }, { "end_layer", end } });
         applyFault(token);
-        m_slots.take();
-        wait(std::uint64_t { m_options.tokenMs } * 1000);
-        m_slots.give();
+        m_slots.acquire();
+        sleepUs(std::uint64_t { m_options.tokenMs } * 1000);
+        m_slots.release();
         std::uint64_t value = 0;
         if (first == 0) {
             const std::scoped_lock lock(m_mutex);
-            auto& text = m_texts[id + "/" + std::to_string(body.value("generation", 0U))];
+            auto& text = m_stageTexts[id + "/" + std::to_string(body.value("generation", 0U))];
             text = token == 0 ? input : text + input;
             value = stand_in::embed(text);
         } else {
@@ -290,28 +290,28 @@
             { { "output", stand_in::tokenOf(value) }, { "last", last }, { "finish_reason", last ? "length" : "" } });
     }
 
-    void close(const http_request& request, http_exchange& exchange)
+    void closeRequest(const http_request& request, http_exchange& exchange)
     {
         const json body = json::parse(request.body, nullptr, false);
         const std::string id = body.value("request", "") + "/";
         const std::scoped_lock lock(m_mutex);
-        std::erase_if(m_texts, [&id](const auto& item) { return item.first.starts_with(id); });
+        std::erase_if(m_stageTexts, [&id](const auto& item) { return item.first.starts_with(id); });
         respond(exchange, 200, json::object());
     }
 
-    void service(const http_request& request, http_exchange& exchange)
+    void serveCall(const http_request& request, http_exchange& exchange)
     {
-        m_slots.take();
+        m_slots.acquire();
         log({ { "event", "call" }, { "request", request.header("X-Request-Id").value_or("") },
             { "attempt", std::stoul(request.header("X-Attempt").value_or("0")) }, { "method", request.method },
             { "path", request.path }, { "body", request.body } });
         applyFault(0);
-        wait(std::uint64_t { m_options.serviceMs } * 1000);
-        m_slots.give();
+        sleepUs(std::uint64_t { m_options.serviceMs } * 1000);
+        m_slots.release();
         exchange.respond(request.method == "POST" ? 201 : 200,
             { { "Content-Type", "application/json" }, { "X-Service", m_options.name } },
             json({ { "service", m_options.name }, { "method", request.method }, { "path", request.path },
-                     { "query", request.query }, { "number", ++m_calls }, { "body", request.body } })
+                     { "query", request.query }, { "number", ++m_callCount }, { "body", request.body } })
                 .dump());
     }
 
@@ -321,14 +321,14 @@
     prefix_cache m_cache;
     std::mutex m_mutex;
     std::set<std::string> m_cancelled;
-    std::map<std::string, std::string> m_texts; ///< what stage 0 has seen of each request and generation
-    std::pair<std::uint32_t, std::uint32_t> m_reported;
+    std::map<std::string, std::string> m_stageTexts; ///< what stage 0 has seen of each request and generation
+    std::pair<std::uint32_t, std::uint32_t> m_reportedLoad;
     steady_time m_reportDeadline {};
     std::uint64_t m_highestFence = 0;
     std::string m_model;
     std::string m_version;
     std::atomic<bool> m_ready { true };
-    std::atomic<std::uint64_t> m_calls { 0 };
+    std::atomic<std::uint64_t> m_callCount { 0 };
 };
 
 stand_in_options readOptions(int argc, char** argv)
@@ -338,17 +338,17 @@
     TCLAP::ValueArg<std::string> address("", "address", "Where to listen", true, "", "IP:port", line);
     TCLAP::ValueArg<std::string> name("", "name", "Name in the execution log", false, "target", "name", line);
     TCLAP::ValueArg<std::string> log("", "log", "Execution log", false, "", "file", line);
-    const auto number = [&line](const char* flag, const char* meaning, std::uint32_t fallback) {
+    const auto numberArg = [&line](const char* flag, const char* meaning, std::uint32_t fallback) {
         return std::make_unique<TCLAP::ValueArg<std::uint32_t>>("", flag, meaning, false, fallback, "number", line);
     };
-    const auto tokenMs = number("token-ms", "Time for a token or a step", options.tokenMs);
-    const auto prefill = number("prefill-us-per-byte", "Prefill of a prompt that isn't cached", 0);
-    const auto slots = number("slots", "Requests at once", options.slots);
-    const auto layers = number("layers", "Layers of the model", options.layers);
-    const auto cache = number("cache", "Prompt prefixes kept", options.cacheEntries);
-    const auto lag = number("report-lag-ms", "Age of load reports", 0);
-    const auto serviceMs = number("service-ms", "Time for a service call", options.serviceMs);
-    const auto loadMs = number("load-ms", "Time to load a version", options.loadMs);
+    const auto tokenMs = numberArg("token-ms", "Time for a token or a step", options.tokenMs);
+    const auto prefill = numberArg("prefill-us-per-byte", "Prefill of a prompt that isn't cached", 0);
+    const auto slots = numberArg("slots", "Requests at once", options.slots);
+    const auto layers = numberArg("layers", "Layers of the model", options.layers);
+    const auto cache = numberArg("cache", "Prompt prefixes kept", options.cacheEntries);
+    const auto lag = numberArg("report-lag-ms", "Age of load reports", 0);
+    const auto serviceMs = numberArg("service-ms", "Time for a service call", options.serviceMs);
+    const auto loadMs = numberArg("load-ms", "Time to load a version", options.loadMs);
     TCLAP::SwitchArg ignoresFences("", "ignore-fences", "Carry out orders whatever their fencing number", line);
     line.parse(argc, argv);
     options.loadMs = loadMs->getValue();
