--- a/tools/load.cpp
+++ b/tools/load.cpp
@@ -30,7 +30,7 @@
 constexpr double firstBoundMs = 0.5;
 constexpr double bucketGrowth = 1.07;
 constexpr std::size_t bucketCount = 192; ///< up to about 200 s
-constexpr double steadyFrom = 0.25; ///< part of the run after which the rate is counted
+constexpr double steadyStart = 0.25; ///< part of the run after which the rate is counted
 
 std::int64_t nowUs()
 {
@@ -43,17 +43,17 @@
 public:
     void add(double ms)
     {
-        const double position = ms <= firstBoundMs ? 0 : std::log(ms / firstBoundMs) / std::log(bucketGrowth) + 1;
-        ++m_buckets[std::min(static_cast<std::size_t>(position), bucketCount - 1)];
+        const double bucket = ms <= firstBoundMs ? 0 : std::log(ms / firstBoundMs) / std::log(bucketGrowth) + 1;
+        ++m_buckets[std::min(static_cast<std::size_t>(bucket), bucketCount - 1)];
         ++m_count;
     }
-    [[nodiscard]] double percentile(double part) const
+    [[nodiscard]] double percentile(double fraction) const
     {
-        const auto wanted = static_cast<std::uint64_t>(std::ceil(part * static_cast<double>(m_count)));
+        const auto rank = static_cast<std::uint64_t>(std::ceil(fraction * static_cast<double>(m_count)));
         std::uint64_t seen = 0;
         for (std::size_t at = 0; at < bucketCount; ++at) {
             seen += m_buckets[at];
-            if (seen >= wanted && seen > 0)
+            if (seen >= rank && seen > 0)
                 return firstBoundMs * std::pow(bucketGrowth, static_cast<double>(at));
         }
         return 0;
@@ -77,7 +77,7 @@
     std::vector<std::string> workspaces;
     std::string pipeline = "essay-summary";
     std::uint32_t timeoutMs = 10000;
-    double highPart = 0; ///< part of the requests with high priority
+    double highPriorityShare = 0; ///< part of the requests with high priority
     std::uint64_t seed = 1;
     std::string jsonFile;
     bool timeline = false;
@@ -85,10 +85,10 @@
 
 /// One request of the plan.
 struct planned_request {
-    std::int64_t atUs = 0;
+    std::int64_t sendOffsetUs = 0;
     std::string prompt;
     std::string workspace;
-    bool high = false;
+    bool isHighPriority = false;
 };
 
 /// Counts and latencies of one class of requests.
@@ -99,24 +99,24 @@
     std::uint64_t refusedWithoutRetryAfter = 0;
     std::uint64_t failed = 0; ///< an answer that isn't good and not a refusal
     std::uint64_t wrong = 0; ///< not whole, or not its own
-    latency_histogram firstToken;
-    latency_histogram gaps;
-    latency_histogram whole;
-    latency_histogram refusal;
+    latency_histogram firstTokenMs;
+    latency_histogram gapMs;
+    latency_histogram totalMs;
+    latency_histogram refusalMs;
 };
 
-class load_run {
+class load_generator {
 public:
-    explicit load_run(load_options options)
+    explicit load_generator(load_options options)
         : m_options(std::move(options))
         , m_random(m_options.seed)
     {
-        const double gapUs = 1e6 / m_options.rate;
-        std::exponential_distribution<double> pause(1.0 / gapUs);
+        const double meanIntervalUs = 1e6 / m_options.rate;
+        std::exponential_distribution<double> interval(1.0 / meanIntervalUs);
         double at = 0;
         while (at < m_options.seconds * 1e6) {
-            m_plan.push_back(plan(static_cast<std::int64_t>(at)));
-            at += pause(m_random);
+            m_plan.push_back(planRequest(static_cast<std::int64_t>(at)));
+            at += interval(m_random);
         }
     }
 
@@ -125,19 +125,19 @@
         m_beginUs = nowUs() + 200'000;
         std::vector<std::thread> threads;
         for (std::uint32_t at = 0; at < m_options.threads; ++at)
-            threads.emplace_back([this] { work(); });
+            threads.emplace_back([this] { runWorker(); });
         for (auto& thread : threads)
             thread.join();
         return report();
     }
 
 private:
-    planned_request plan(std::int64_t atUs)
+    planned_request planRequest(std::int64_t sendOffsetUs)
     {
         planned_request request;
-        request.atUs = atUs;
+        request.sendOffsetUs = sendOffsetUs;
         request.workspace = m_options.workspaces[m_random() % m_options.workspaces.size()];
-        request.high = std::uniform_real_distribution<>(0, 1)(m_random) < m_options.highPart;
+        request.isHighPriority = std::uniform_real_distribution<>(0, 1)(m_random) < m_options.highPriorityShare;
         if (m_options.prefixes > 0) {
             const auto number = m_random() % m_options.prefixes;
             request.prompt = request.workspace + " shared beginning " + std::to_string(number) + " ";
@@ -148,18 +148,18 @@
         return request;
     }
 
-    void work()
+    void runWorker()
     {
         while (true) {
-            const std::size_t number = m_next++;
+            const std::size_t number = m_nextRequest++;
             if (number >= m_plan.size())
                 return;
             const auto& request = m_plan[number];
-            const std::int64_t due = m_beginUs + request.atUs;
-            const std::int64_t wait = due - nowUs();
-            if (wait > 0)
-                std::this_thread::sleep_for(std::chrono::microseconds(wait));
-            else if (wait < -100'000)
+            const std::int64_t dueUs = m_beginUs + request.sendOffsetUs;
+            const std::int64_t waitUs = dueUs - nowUs();
+            if (waitUs > 0)
+                std::this_thread::sleep_for(std::chrono::microseconds(waitUs));
+            else if (waitUs < -100'000)
                 ++m_sentLate;
             send(request, m_options.entries[number % m_options.entries.size()]);
         }
@@ -176,7 +176,7 @@
                              { "max_tokens", m_options.tokens }, { "stream", true } })
                         .dump();
         call.headers = { { "X-Workspace", request.workspace }, { "X-Timeout-Ms", std::to_string(m_options.timeoutMs) },
-            { "X-Priority", request.high ? "high" : "normal" } };
+            { "X-Priority", request.isHighPriority ? "high" : "normal" } };
         call.deadline = buckthornrail::boot_clock::now() + milliseconds(m_options.timeoutMs + 5000);
         const std::int64_t sentUs = nowUs();
         std::int64_t firstUs = 0;
@@ -196,46 +196,47 @@
             return true;
         };
         const auto response = http::call(call, onHead, onBody);
-        note(request, response, status, received, sentUs, firstUs, gaps);
+        recordResult(request, response, status, received, sentUs, firstUs, gaps);
     }
 
-    void note(const planned_request& request, const http::client_response& response, int status,
+    void recordResult(const planned_request& request, const http::client_response& response, int status,
         const std::string& received, std::int64_t sentUs, std::int64_t firstUs, const std::vector<double>& gaps)
     {
         const std::int64_t doneUs = nowUs();
-        const double wholeMs = static_cast<double>(doneUs - sentUs) / 1000;
+        const double totalMs = static_cast<double>(doneUs - sentUs) / 1000;
         bool finished = false;
-        const std::string text = textOf(received, finished);
-        const bool isGood = response.outcome == http::client_outcome::Ok && status == 200 && finished;
+        const std::string text = completionText(received, finished);
+        const bool isComplete = response.outcome == http::client_outcome::Ok && status == 200 && finished;
         const bool isRefusal = status == 503 || status == 429 || status == 504;
-        const bool isOwn = !isGood || text == stand_in::expectedAnswer(request.prompt, m_options.tokens, layers);
+        const bool isCorrect
+            = !isComplete || text == stand_in::expectedAnswer(request.prompt, m_options.tokens, layers);
         const std::scoped_lock lock(m_mutex);
-        auto& result = m_results[request.high ? "high" : "normal"];
-        if (isGood && isOwn) {
+        auto& result = m_results[request.isHighPriority ? "high" : "normal"];
+        if (isComplete && isCorrect) {
             ++result.good;
             result.goodTokens += m_options.tokens;
-            result.firstToken.add(static_cast<double>(firstUs - sentUs) / 1000);
-            result.whole.add(wholeMs);
+            result.firstTokenMs.add(static_cast<double>(firstUs - sentUs) / 1000);
+            result.totalMs.add(totalMs);
             for (const double gap : gaps)
-                result.gaps.add(gap);
+                result.gapMs.add(gap);
             ++m_goodByWorkspace[request.workspace];
             // The middle of the run, when the load is steady: neither the beginning nor the tail after the last
             // request.
             const double endSeconds = static_cast<double>(doneUs - m_beginUs) / 1e6;
-            if (endSeconds >= steadyFrom * m_options.seconds && endSeconds < m_options.seconds)
-                ++m_goodSteady;
+            if (endSeconds >= steadyStart * m_options.seconds && endSeconds < m_options.seconds)
+                ++m_goodInSteadyWindow;
             m_lastGoodUs = std::max(m_lastGoodUs, doneUs);
-        } else if (isGood) {
+        } else if (isComplete) {
             ++result.wrong;
         } else if (isRefusal) {
             ++result.refused;
-            result.refusal.add(wholeMs);
+            result.refusalMs.add(totalMs);
             result.refusedWithoutRetryAfter += hasRetryAfter(response) ? 0 : 1;
         } else {
             ++result.failed;
         }
         if (m_options.timeline)
-            m_timeline.emplace_back((doneUs - m_beginUs) / 1000, isGood && isOwn);
+            m_timeline.emplace_back((doneUs - m_beginUs) / 1000, isComplete && isCorrect);
     }
 
     static bool hasRetryAfter(const http::client_response& response)
@@ -245,7 +246,7 @@
     }
 
     /// The tokens of a stream of events.
-    static std::string textOf(const std::string& received, bool& finished)
+    static std::string completionText(const std::string& received, bool& finished)
     {
         std::string text;
         std::istringstream lines(received);
@@ -268,34 +269,36 @@
             classes[name] = { { "good", result.good }, { "refused", result.refused }, { "failed", result.failed },
                 { "wrong", result.wrong }, { "refused_without_retry_after", result.refusedWithoutRetryAfter },
                 { "first_token_ms",
-                    { { "p50", result.firstToken.percentile(0.5) }, { "p95", result.firstToken.percentile(0.95) } } },
-                { "gap_ms", { { "p50", result.gaps.percentile(0.5) }, { "p95", result.gaps.percentile(0.95) } } },
-                { "whole_ms", { { "p50", result.whole.percentile(0.5) }, { "p95", result.whole.percentile(0.95) } } },
+                    { { "p50", result.firstTokenMs.percentile(0.5) },
+                        { "p95", result.firstTokenMs.percentile(0.95) } } },
+                { "gap_ms", { { "p50", result.gapMs.percentile(0.5) }, { "p95", result.gapMs.percentile(0.95) } } },
+                { "whole_ms",
+                    { { "p50", result.totalMs.percentile(0.5) }, { "p95", result.totalMs.percentile(0.95) } } },
                 { "refusal_ms",
-                    { { "p50", result.refusal.percentile(0.5) }, { "p95", result.refusal.percentile(0.95) } } } };
+                    { { "p50", result.refusalMs.percentile(0.5) }, { "p95", result.refusalMs.percentile(0.95) } } } };
             good += result.good;
             tokens += result.goodTokens;
         }
-        const double span = std::max(m_options.seconds, static_cast<double>(m_lastGoodUs - m_beginUs) / 1e6);
-        json whole = { { "planned", m_plan.size() }, { "good", good }, { "seconds", span },
-            { "good_per_second", static_cast<double>(m_goodSteady) / ((1 - steadyFrom) * m_options.seconds) },
-            { "tokens_per_second", static_cast<double>(tokens) / span }, { "sent_late", m_sentLate.load() },
+        const double durationSeconds = std::max(m_options.seconds, static_cast<double>(m_lastGoodUs - m_beginUs) / 1e6);
+        json summary = { { "planned", m_plan.size() }, { "good", good }, { "seconds", durationSeconds },
+            { "good_per_second", static_cast<double>(m_goodInSteadyWindow) / ((1 - steadyStart) * m_options.seconds) },
+            { "tokens_per_second", static_cast<double>(tokens) / durationSeconds }, { "sent_late", m_sentLate.load() },
             { "classes", classes }, { "good_by_workspace", m_goodByWorkspace } };
         if (m_options.timeline) {
             std::sort(m_timeline.begin(), m_timeline.end());
-            whole["timeline"] = m_timeline;
+            summary["timeline"] = m_timeline;
         }
-        return whole;
+        return summary;
     }
 
     load_options m_options;
     std::mt19937_64 m_random;
     std::vector<planned_request> m_plan;
-    std::atomic<std::size_t> m_next { 0 };
+    std::atomic<std::size_t> m_nextRequest { 0 };
     std::atomic<std::uint64_t> m_sentLate { 0 };
     std::int64_t m_beginUs = 0;
     std::int64_t m_lastGoodUs = 0;
-    std::uint64_t m_goodSteady = 0;
+    std::uint64_t m_goodInSteadyWindow = 0;
     std::mutex m_mutex;
     std::map<std::string, class_result> m_results;
     std::map<std::string, std::uint64_t> m_goodByWorkspace;
@@ -322,16 +325,16 @@
     TCLAP::ValueArg<double> rate("", "rate", "Requests a second", false, options.rate, "number", line);
     TCLAP::ValueArg<double> seconds("", "seconds", "How long", false, options.seconds, "number", line);
     TCLAP::ValueArg<double> high("", "high", "Part with high priority", false, 0, "0 to 1", line);
-    const auto number = [&line](const char* flag, const char* meaning, std::uint32_t fallback) {
+    const auto numberArg = [&line](const char* flag, const char* meaning, std::uint32_t fallback) {
         return std::make_unique<TCLAP::ValueArg<std::uint32_t>>("", flag, meaning, false, fallback, "number", line);
     };
-    const auto threads = number("threads", "Requests open at once at most", options.threads);
-    const auto tokens = number("tokens", "Tokens of an answer", options.tokens);
-    const auto promptBytes = number("prompt-bytes", "Size of a prompt", options.promptBytes);
-    const auto prefixes = number("prefixes", "Shared beginnings a workspace", 0);
-    const auto prefixBytes = number("prefix-bytes", "Size of a shared beginning", options.prefixBytes);
-    const auto timeout = number("timeout-ms", "Timeout of a request", options.timeoutMs);
-    const auto seed = number("seed", "Seed", 1);
+    const auto threads = numberArg("threads", "Requests open at once at most", options.threads);
+    const auto tokens = numberArg("tokens", "Tokens of an answer", options.tokens);
+    const auto promptBytes = numberArg("prompt-bytes", "Size of a prompt", options.promptBytes);
+    const auto prefixes = numberArg("prefixes", "Shared beginnings a workspace", 0);
+    const auto prefixBytes = numberArg("prefix-bytes", "Size of a shared beginning", options.prefixBytes);
+    const auto timeout = numberArg("timeout-ms", "Timeout of a request", options.timeoutMs);
+    const auto seed = numberArg("seed", "Seed", 1);
     TCLAP::SwitchArg timeline("", "timeline", "Report when each request ended", line);
     line.parse(argc, argv);
     options.entries = split(entries.getValue());
@@ -340,7 +343,7 @@
     options.jsonFile = file.getValue();
     options.rate = rate.getValue();
     options.seconds = seconds.getValue();
-    options.highPart = high.getValue();
+    options.highPriorityShare = high.getValue();
     options.threads = threads->getValue();
     options.tokens = tokens->getValue();
     options.promptBytes = promptBytes->getValue();
@@ -364,7 +367,7 @@
             return 2;
         }
     }
-    const json report = load_run(options).run();
+    const json report = load_generator(options).run();
     std::cout << report.dump() << "\n";
     if (!options.jsonFile.empty())
         std::ofstream(options.jsonFile) << report.dump(2) << "\n";
