--- a/tools/measure.cpp
+++ b/tools/measure.cpp
@@ -23,30 +23,30 @@
 constexpr double loadSeconds = 8;
 
 /// One measured situation.
-struct measured_case {
+struct load_case {
     std::string name;
     std::vector<target_spec> targets;
     double load = 1; ///< offered load as a part of the bound
     std::vector<std::string> loadFlags;
-    std::function<void(cluster&)> inMidst; ///< a fault, two seconds after the beginning
+    std::function<void(cluster&)> injectFault; ///< a fault, two seconds after the beginning
     std::uint32_t reportLagMs = 0;
     std::uint32_t prefillUsPerByte = 0;
     std::uint32_t cacheEntries = 64;
 };
 
-target_spec targetWith(std::uint32_t tokenMs)
+target_spec makeTarget(std::uint32_t tokenMs)
 {
-    target_spec one;
-    one.tokenMs = tokenMs;
-    one.slots = 4;
-    return one;
+    target_spec target;
+    target.tokenMs = tokenMs;
+    target.slots = 4;
+    return target;
 }
 
 /// Requests a second that the targets could serve without a pause.
-double boundOf(const measured_case& measured)
+double throughputBound(const load_case& loadCase)
 {
     double bound = 0;
-    for (const auto& target : measured.targets)
+    for (const auto& target : loadCase.targets)
         bound += target.slots * 1000.0 / (target.tokenMs * tokens);
     return bound;
 }
@@ -67,11 +67,11 @@
     return report;
 }
 
-std::vector<measured_case> cases()
+std::vector<load_case> loadCases()
 {
-    const std::vector<target_spec> mixed { targetWith(10), targetWith(20), targetWith(40), targetWith(80) };
-    const std::vector<target_spec> even { targetWith(20), targetWith(20), targetWith(20), targetWith(20) };
-    std::vector<measured_case> all;
+    const std::vector<target_spec> mixed { makeTarget(10), makeTarget(20), makeTarget(40), makeTarget(80) };
+    const std::vector<target_spec> even { makeTarget(20), makeTarget(20), makeTarget(20), makeTarget(20) };
+    std::vector<load_case> all;
     all.push_back({ "mixed speeds 1:2:4:8, load 0.8", mixed, 0.8, {}, {} });
     all.push_back({ "mixed speeds, saturated (1.2)", mixed, 1.2, {}, {} });
     all.push_back({ "late load reports (2 s), load 0.8", mixed, 0.8, {}, {}, 2000 });
@@ -86,79 +86,80 @@
 }
 
 struct case_result {
-    double good = 0;
-    double first50 = 0;
-    double first95 = 0;
-    double high95 = 0;
-    double refusal95 = 0;
+    double goodPerSecond = 0;
+    double firstTokenP50Ms = 0;
+    double firstTokenP95Ms = 0;
+    double highPriorityFirstTokenP95Ms = 0;
+    double refusalP95Ms = 0;
     std::uint64_t wrong = 0;
     std::uint64_t failed = 0;
 };
 
-case_result measure(const measured_case& measured, const std::string& strategy)
+case_result measure(const load_case& loadCase, const std::string& strategy)
 {
     cluster_spec spec;
-    spec.targets = measured.targets;
+    spec.targets = loadCase.targets;
     spec.strategy = strategy;
-    spec.reportLagMs = measured.reportLagMs;
-    spec.prefillUsPerByte = measured.prefillUsPerByte;
-    spec.cacheEntries = measured.cacheEntries;
+    spec.reportLagMs = loadCase.reportLagMs;
+    spec.prefillUsPerByte = loadCase.prefillUsPerByte;
+    spec.cacheEntries = loadCase.cacheEntries;
     cluster system(spec);
-    const double rate = boundOf(measured) * measured.load;
-    runLoad(system, rate / 2, 2, measured.loadFlags); // the estimates settle
+    const double rate = throughputBound(loadCase) * loadCase.load;
+    runLoad(system, rate / 2, 2, loadCase.loadFlags); // the estimates settle
     std::thread fault;
-    if (measured.inMidst) {
+    if (loadCase.injectFault) {
         fault = std::thread([&] {
             std::this_thread::sleep_for(seconds(2));
-            measured.inMidst(system);
+            loadCase.injectFault(system);
         });
     }
-    const json report = runLoad(system, rate, loadSeconds, measured.loadFlags);
+    const json report = runLoad(system, rate, loadSeconds, loadCase.loadFlags);
     if (fault.joinable())
         fault.join();
     case_result result;
-    result.good = report.value("good_per_second", 0.0);
+    result.goodPerSecond = report.value("good_per_second", 0.0);
     for (const auto& [name, part] : report["classes"].items()) {
         result.wrong += part.value("wrong", 0U);
         result.failed += part.value("failed", 0U);
         const double first = part["first_token_ms"].value("p95", 0.0);
         if (name == "normal")
-            result.first50 = part["first_token_ms"].value("p50", 0.0);
-        (name == "high" ? result.high95 : result.first95) = first;
-        result.refusal95 = std::max(result.refusal95, part["refusal_ms"].value("p95", 0.0));
+            result.firstTokenP50Ms = part["first_token_ms"].value("p50", 0.0);
+        (name == "high" ? result.highPriorityFirstTokenP95Ms : result.firstTokenP95Ms) = first;
+        result.refusalP95Ms = std::max(result.refusalP95Ms, part["refusal_ms"].value("p95", 0.0));
     }
     return result;
 }
 
-void measureStrategies(const std::vector<std::string>& strategies, const std::string& only)
+void measureStrategies(const std::vector<std::string>& strategies, const std::string& nameFilter)
 {
     std::printf("%-42s %-18s %8s %8s %7s %9s %9s %9s %10s %6s %6s\n", "case", "strategy", "bound/s", "good/s", "ratio",
         "ttft p50", "ttft p95", "high p95", "refuse p95", "failed", "wrong");
-    for (const auto& measured : cases()) {
-        if (measured.name.find(only) == std::string::npos)
+    for (const auto& loadCase : loadCases()) {
+        if (loadCase.name.find(nameFilter) == std::string::npos)
             continue;
         for (const auto& strategy : strategies) {
-            const auto result = measure(measured, strategy);
-            const double offered = std::min(measured.load, 1.0) * boundOf(measured);
-            std::printf("%-42s %-18s %8.1f %8.1f %7.2f %9.1f %9.1f %9.1f %10.1f %6lu %6lu\n", measured.name.c_str(),
-                strategy.c_str(), boundOf(measured), result.good, result.good / offered, result.first50, result.first95,
-                result.high95, result.refusal95, result.failed, result.wrong);
+            const auto result = measure(loadCase, strategy);
+            const double offered = std::min(loadCase.load, 1.0) * throughputBound(loadCase);
+            std::printf("%-42s %-18s %8.1f %8.1f %7.2f %9.1f %9.1f %9.1f %10.1f %6lu %6lu\n", loadCase.name.c_str(),
+                strategy.c_str(), throughputBound(loadCase), result.goodPerSecond, result.goodPerSecond / offered,
+                result.firstTokenP50Ms, result.firstTokenP95Ms, result.highPriorityFirstTokenP95Ms, result.refusalP95Ms,
+                result.failed, result.wrong);
             std::fflush(stdout);
         }
     }
 }
 
 /// Time from a fault to the first good answer and to ten good ones in a row after the last bad or slow one.
-struct recovery {
+struct recovery_result {
     double firstGoodMs = 0;
     double settledMs = 0;
-    int bad = 0;
+    int failedCount = 0;
 };
 
-recovery measureRecovery(const std::function<void(cluster&)>& fault)
+recovery_result measureRecovery(const std::function<void(cluster&)>& fault)
 {
     cluster_spec spec;
-    spec.targets = { targetWith(10), targetWith(10), targetWith(10) };
+    spec.targets = { makeTarget(10), makeTarget(10), makeTarget(10) };
     cluster system(spec);
     steady_callers callers(8, [&](std::size_t thread, std::size_t number) {
         const std::string prompt = std::to_string(thread) + "-" + std::to_string(number);
@@ -169,8 +170,8 @@
     const auto begin = std::chrono::steady_clock::now();
     fault(system);
     std::this_thread::sleep_for(seconds(6));
-    recovery result;
-    std::chrono::steady_clock::time_point lastBad = begin;
+    recovery_result result;
+    std::chrono::steady_clock::time_point lastDisturbance = begin;
     std::chrono::steady_clock::time_point previous = begin;
     bool seenGood = false;
     auto records = callers.stop();
@@ -183,12 +184,12 @@
         if (good && !seenGood)
             result.firstGoodMs = ms(when);
         seenGood = seenGood || good;
-        result.bad += good ? 0 : 1;
+        result.failedCount += good ? 0 : 1;
         if (!good || when - previous > milliseconds(150))
-            lastBad = when;
+            lastDisturbance = when;
         previous = when;
     }
-    result.settledMs = ms(lastBad);
+    result.settledMs = ms(lastDisturbance);
     return result;
 }
 
@@ -210,17 +211,17 @@
     for (const auto& [name, fault] : faults) {
         std::vector<double> first;
         std::vector<double> settled;
-        int bad = 0;
+        int failedCount = 0;
         for (int run = 0; run < runs; ++run) {
             const auto result = measureRecovery(fault);
             first.push_back(result.firstGoodMs);
             settled.push_back(result.settledMs);
-            bad += result.bad;
+            failedCount += result.failedCount;
         }
         std::sort(first.begin(), first.end());
         std::sort(settled.begin(), settled.end());
         std::printf("%-30s %5d %13.0f ms %13.0f ms %13.0f ms %13.0f ms %5d\n", name.c_str(), runs,
-            first[first.size() / 2], first.back(), settled[settled.size() / 2], settled.back(), bad);
+            first[first.size() / 2], first.back(), settled[settled.size() / 2], settled.back(), failedCount);
         std::fflush(stdout);
     }
 }
@@ -229,21 +230,21 @@
 
 int main(int argc, char** argv)
 {
-    const std::string what = argc > 1 ? argv[1] : "";
-    const std::string more = argc > 2 ? argv[2] : "";
-    if (what == "policy") {
+    const std::string command = argc > 1 ? argv[1] : "";
+    const std::string argument = argc > 2 ? argv[2] : "";
+    if (command == "policy") {
         std::vector<std::string> strategies(argv + std::min(argc, 3), argv + argc);
         if (strategies.empty())
             strategies = { "random", "round_robin", "least_outstanding", "finish_estimate" };
-        measureStrategies(strategies, more);
+        measureStrategies(strategies, argument);
         return 0;
     }
-    if (what == "ours") {
-        measureStrategies({ "finish_estimate" }, more);
+    if (command == "ours") {
+        measureStrategies({ "finish_estimate" }, argument);
         return 0;
     }
-    if (what == "recovery") {
-        measureRecoveries(more.empty() ? 3 : std::stoi(more));
+    if (command == "recovery") {
+        measureRecoveries(argument.empty() ? 3 : std::stoi(argument));
         return 0;
     }
     std::cerr << "measure policy [CASE [STRATEGY...]] | ours [CASE] | recovery [RUNS]\n";
