--- a/tools/bench_core.cpp
+++ b/tools/bench_core.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-std::atomic<std::uint64_t> allocations { 0 };
+std::atomic<std::uint64_t> allocationCount { 0 };
 
 } // namespace
 
 [[gnu::noinline]] void* operator new(std::size_t size)
 {
-    ++allocations;
+    ++allocationCount;
     if (void* memory = std::malloc(size))
         return memory;
     throw std::bad_alloc();
@@ -34,7 +34,7 @@
 constexpr std::int64_t modelCount = 33;
 const steady_time begin = steady_time {} + std::chrono::hours(1);
 
-membership::instance_record targetNumber(std::int64_t number)
+membership::instance_record makeTarget(std::int64_t number)
 {
     membership::instance_record record;
     record.id = "target-" + std::to_string(number);
@@ -48,7 +48,7 @@
     return record;
 }
 
-configuration::document documentWith(std::int64_t workspaces)
+configuration::document makeDocument(std::int64_t workspaces)
 {
     configuration::document document;
     for (std::int64_t at = 0; at < workspaces; ++at)
@@ -63,20 +63,21 @@
 
 void reportAllocations(benchmark::State& state, std::uint64_t before)
 {
-    state.counters["allocations"] = static_cast<double>(allocations - before) / static_cast<double>(state.iterations());
+    state.counters["allocations"]
+        = static_cast<double>(allocationCount - before) / static_cast<double>(state.iterations());
 }
 
 void routeDecision(benchmark::State& state)
 {
     routing::route_table table({}, 1);
     for (std::int64_t at = 0; at < state.range(0); ++at)
-        table.update(targetNumber(at));
+        table.update(makeTarget(at));
     routing::route_query query;
     query.model = "model-1";
     query.version = "1";
     query.startDeadline = begin + std::chrono::hours(1);
     query.prefixHash = routing::hashPrefix("w", "prompt");
-    const std::uint64_t before = allocations;
+    const std::uint64_t before = allocationCount;
     for (auto step : state) {
         auto choice = table.choose(query, begin);
         benchmark::DoNotOptimize(choice);
@@ -84,7 +85,7 @@
     reportAllocations(state, before);
 }
 
-void gateOfferAndEnd(benchmark::State& state)
+void gateOfferAndFinish(benchmark::State& state)
 {
     dispatch::gate_options options;
     options.incarnation = 1;
@@ -99,7 +100,7 @@
     offer.finishWithinMs = 1000;
     steady_time now = begin;
     std::uint64_t number = 0;
-    const std::uint64_t before = allocations;
+    const std::uint64_t before = allocationCount;
     for (auto step : state) {
         now += milliseconds(1);
         offer.attempt = { std::to_string(++number), 1 };
@@ -114,7 +115,7 @@
 void configurationChange(benchmark::State& state)
 {
     configuration::configuration_store store;
-    auto document = documentWith(state.range(0));
+    auto document = makeDocument(state.range(0));
     const auto text = configuration::formatDocument(document);
     store.apply({ "0", 0, "", 0, configuration::makePatch(store.text(), text) });
     std::size_t patchBytes = 0;
@@ -131,7 +132,7 @@
 void configurationDelta(benchmark::State& state)
 {
     configuration::configuration_store store;
-    auto document = documentWith(state.range(0));
+    auto document = makeDocument(state.range(0));
     store.apply({ "0", 0, "", 0, configuration::makePatch(store.text(), configuration::formatDocument(document)) });
     configuration::configuration_view view;
     (void)view.apply(*store.updateFor(0));
@@ -186,7 +187,7 @@
     }
 }
 
-registry::target_delta tableOf(std::int64_t targets)
+registry::target_delta makeTargetTable(std::int64_t targets)
 {
     registry::target_delta delta;
     delta.full = true;
@@ -206,7 +207,7 @@
 
 void tableEncode(benchmark::State& state)
 {
-    const auto table = tableOf(state.range(0));
+    const auto table = makeTargetTable(state.range(0));
     for (auto step : state)
         benchmark::DoNotOptimize(link::encodeDelta(table));
     state.counters["bytes"] = static_cast<double>(link::encodeDelta(table).size());
@@ -214,7 +215,7 @@
 
 void tableDecode(benchmark::State& state)
 {
-    const auto bytes = link::encodeDelta(tableOf(state.range(0)));
+    const auto bytes = link::encodeDelta(makeTargetTable(state.range(0)));
     for (auto step : state)
         benchmark::DoNotOptimize(link::decodeDelta(bytes));
 }
@@ -222,7 +223,7 @@
 BENCHMARK(tableEncode)->Arg(30)->Arg(300)->Arg(3000)->Unit(benchmark::kMillisecond);
 BENCHMARK(tableDecode)->Arg(30)->Arg(300)->Arg(3000)->Unit(benchmark::kMillisecond);
 BENCHMARK(routeDecision)->Arg(26)->Arg(260)->Arg(2600);
-BENCHMARK(gateOfferAndEnd)->Arg(1000)->Arg(600'000);
+BENCHMARK(gateOfferAndFinish)->Arg(1000)->Arg(600'000);
 BENCHMARK(configurationChange)->Arg(75)->Arg(750)->Arg(7500)->Unit(benchmark::kMillisecond);
 BENCHMARK(configurationDelta)->Arg(75)->Arg(750)->Arg(7500)->Unit(benchmark::kMillisecond)->Iterations(20);
 BENCHMARK(frameCodec);
--- a/tools/bench_document.cpp
+++ b/tools/bench_document.cpp
@@ -30,7 +30,7 @@
     return host += ".example";
 }
 
-json routeOf(std::int64_t number)
+json makeRoute(std::int64_t number)
 {
     return { { "name", "r-" + std::to_string(number) }, { "host", hostOf(number) }, { "path-prefix", prefixOf(number) },
         { "kind", "streaming" }, { "timeout-ms", 20000 }, { "target-latency-ms", 500 }, { "priority", 1 },
@@ -39,34 +39,35 @@
 }
 
 /// @param changed route that differs by version; -1: none
-versioned_text documentOf(std::uint64_t version, std::int64_t routes, std::int64_t changed)
+versioned_text makeDocument(std::uint64_t version, std::int64_t routes, std::int64_t changed)
 {
-    json all = json::array();
+    json routeList = json::array();
     for (std::int64_t at = 0; at < routes; ++at) {
-        all.push_back(routeOf(at));
+        routeList.push_back(makeRoute(at));
         if (at == changed)
-            all.back()["priority"] = version % 7;
+            routeList.back()["priority"] = version % 7;
     }
     json tenants = json::array();
     for (int at = 0; at < 24; ++at)
         tenants.push_back({ { "name", "w" + std::to_string(at) }, { "api-keys", { "key" + std::to_string(at) } } });
-    const json whole { { "version", version }, { "routes", all }, { "services", { { { "name", "engine" } } } },
+    const json document { { "version", version }, { "routes", routeList }, { "services", { { { "name", "engine" } } } },
         { "tenants", tenants } };
-    return { version, whole.dump() };
+    return { version, document.dump() };
 }
 
-/// @brief Slices of a registry's messages. @param held version that the gateway has
-std::vector<link::document_slice> slicesFrom(app::document_feed& feed, std::uint64_t held, const versioned_text& newest)
+/// @brief Slices of a registry's messages. @param heldVersion version that the gateway has
+std::vector<link::document_slice> slicesFrom(
+    app::document_feed& feed, std::uint64_t heldVersion, const versioned_text& newest)
 {
     std::vector<link::document_slice> slices;
-    for (const auto* bytes : feed.messagesFrom(held, newest))
+    for (const auto* bytes : feed.messagesFrom(heldVersion, newest))
         slices.push_back(std::get<link::document_slice>(link::decode(*bytes).value()));
     return slices;
 }
 
-void readAsAWhole(benchmark::State& state)
+void readWholeDocument(benchmark::State& state)
 {
-    const auto text = documentOf(firstVersion, state.range(0), -1);
+    const auto text = makeDocument(firstVersion, state.range(0), -1);
     for (auto _ : state) {
         auto read = platform::controlDialect().readDocument(text.text);
         gateway::route_index index(std::move(read.value()));
@@ -74,56 +75,56 @@
     }
 }
 
-void takeWholeInSlices(benchmark::State& state)
+void assembleWholeDocument(benchmark::State& state)
 {
-    const auto text = documentOf(firstVersion, state.range(0), -1);
+    const auto text = makeDocument(firstVersion, state.range(0), -1);
     app::document_feed feed(platform::controlDialect());
     feed.update(text);
     const auto slices = slicesFrom(feed, 0, text);
     double longest = 0;
     for (auto _ : state) {
-        app::gateway_document held(platform::controlDialect());
-        const auto begun = std::chrono::steady_clock::now();
-        auto last = begun;
+        app::gateway_document document(platform::controlDialect());
+        const auto started = std::chrono::steady_clock::now();
+        auto last = started;
         for (const auto& slice : slices) {
-            (void)held.take(slice);
+            (void)document.take(slice);
             const auto now = std::chrono::steady_clock::now();
             longest = std::max(longest, std::chrono::duration<double, std::micro>(now - last).count());
             last = now;
         }
-        (void)held.activate();
+        (void)document.activate();
     }
     state.counters["longest_slice_us"] = longest;
     state.counters["slices"] = static_cast<double>(slices.size());
 }
 
-void takeOneRoute(benchmark::State& state)
+void assembleRouteChange(benchmark::State& state)
 {
     app::document_feed feed(platform::controlDialect());
-    auto text = documentOf(firstVersion, state.range(0), -1);
+    auto text = makeDocument(firstVersion, state.range(0), -1);
     feed.update(text);
-    app::gateway_document held(platform::controlDialect());
+    app::gateway_document document(platform::controlDialect());
     for (const auto& slice : slicesFrom(feed, 0, text))
-        (void)held.take(slice);
-    (void)held.activate();
+        (void)document.take(slice);
+    (void)document.activate();
     std::uint64_t version = firstVersion;
     for (auto _ : state) {
         state.PauseTiming();
         ++version;
-        text = documentOf(version, state.range(0), state.range(0) / 2);
+        text = makeDocument(version, state.range(0), state.range(0) / 2);
         feed.update(text);
         const auto slices = slicesFrom(feed, version - 1, text);
         state.ResumeTiming();
         for (const auto& slice : slices)
-            (void)held.take(slice);
-        (void)held.activate();
+            (void)document.take(slice);
+        (void)document.activate();
     }
 }
 
-void followOneRoute(benchmark::State& state)
+void updateFeedRouteChange(benchmark::State& state)
 {
     app::document_feed feed(platform::controlDialect());
-    const std::vector<versioned_text> texts { documentOf(2, state.range(0), 3), documentOf(3, state.range(0), 3) };
+    const std::vector<versioned_text> texts { makeDocument(2, state.range(0), 3), makeDocument(3, state.range(0), 3) };
     feed.update(texts[0]);
     std::uint64_t version = 3;
     for (auto _ : state) {
@@ -135,17 +136,17 @@
     }
 }
 
-void patchOneRoute(benchmark::State& state)
+void makePatchRouteChange(benchmark::State& state)
 {
-    const auto before = documentOf(2, state.range(0), 3);
-    const auto after = documentOf(3, state.range(0), 3);
+    const auto before = makeDocument(2, state.range(0), 3);
+    const auto after = makeDocument(3, state.range(0), 3);
     for (auto _ : state)
         benchmark::DoNotOptimize(compression::makePatch(before.text, after.text));
 }
 
-void find(benchmark::State& state)
+void findRoute(benchmark::State& state)
 {
-    const auto text = documentOf(firstVersion, state.range(0), -1);
+    const auto text = makeDocument(firstVersion, state.range(0), -1);
     const gateway::route_index index(platform::controlDialect().readDocument(text.text).value());
     std::int64_t at = 0;
     for (auto _ : state) {
@@ -154,19 +155,19 @@
     }
 }
 
-void sizes(benchmark::internal::Benchmark* one)
+void withRouteCounts(benchmark::internal::Benchmark* registered)
 {
     for (const std::int64_t routes : { 250, 2000, 10'000, 100'000 })
-        one->Arg(routes);
-    one->Unit(benchmark::kMicrosecond);
+        registered->Arg(routes);
+    registered->Unit(benchmark::kMicrosecond);
 }
 
-BENCHMARK(readAsAWhole)->Apply(sizes);
-BENCHMARK(takeWholeInSlices)->Apply(sizes);
-BENCHMARK(takeOneRoute)->Apply(sizes)->Iterations(20);
-BENCHMARK(followOneRoute)->Apply(sizes);
-BENCHMARK(patchOneRoute)->Apply(sizes);
-BENCHMARK(find)->Apply(sizes);
+BENCHMARK(readWholeDocument)->Apply(withRouteCounts);
+BENCHMARK(assembleWholeDocument)->Apply(withRouteCounts);
+BENCHMARK(assembleRouteChange)->Apply(withRouteCounts)->Iterations(20);
+BENCHMARK(updateFeedRouteChange)->Apply(withRouteCounts);
+BENCHMARK(makePatchRouteChange)->Apply(withRouteCounts);
+BENCHMARK(findRoute)->Apply(withRouteCounts);
 
 } // namespace
 
