--- a/examples/embedded_log.cpp
+++ b/examples/embedded_log.cpp
@@ -14,20 +14,20 @@
 namespace {
 
 /// One replica and the commands that it has applied.
-struct node {
+struct replica_node {
     replica log;
     std::vector<std::string> applied;
 };
 
 /// Carries out what a replica asks for, in the order that replica.hpp gives: persist, send, apply.
-void carryOut(node& one, std::vector<peer_message>& network)
+void applyEffects(replica_node& node, std::vector<peer_message>& network)
 {
-    const effects todo = one.log.takeEffects();
-    // A real program persists todo.installed, todo.hardState and todo.appended here, and syncs.
-    network.insert(network.end(), todo.messages.begin(), todo.messages.end());
-    for (const auto& entry : todo.committed) {
+    const effects pending = node.log.takeEffects();
+    // A real program persists pending.installed, pending.hardState and pending.appended here, and syncs.
+    network.insert(network.end(), pending.messages.begin(), pending.messages.end());
+    for (const auto& entry : pending.committed) {
         if (entry.kind == entry_kind::Command)
-            one.applied.push_back(entry.command);
+            node.applied.push_back(entry.command);
     }
 }
 
@@ -36,7 +36,7 @@
 int main()
 {
     steady_time now {};
-    std::vector<node> nodes;
+    std::vector<replica_node> nodes;
     for (member_id id = 1; id <= 3; ++id)
         nodes.push_back({ replica(id, {}, {}, id, now), {} });
     (void)nodes[0].log.initialize("node 1", now);
@@ -44,25 +44,25 @@
     std::vector<peer_message> network;
     for (int step = 0; step < 300; ++step) {
         now += milliseconds(10);
-        std::vector<join_wish> wishes;
+        std::vector<join_wish> joinRequests;
         for (std::size_t at = 1; at < nodes.size(); ++at)
-            wishes.push_back({ nodes[at].log.self(), "node " + std::to_string(at + 1) });
-        for (auto& one : nodes) {
-            one.log.tick(now);
-            if (auto changed = nextMembers(one.log, wishes, now))
-                (void)one.log.proposeMembers(std::move(*changed));
+            joinRequests.push_back({ nodes[at].log.self(), "node " + std::to_string(at + 1) });
+        for (auto& node : nodes) {
+            node.log.tick(now);
+            if (auto changed = nextMembers(node.log, joinRequests, now))
+                (void)node.log.proposeMembers(std::move(*changed));
             if (step == 200)
-                (void)one.log.propose("hello"); // only the leader takes it
-            carryOut(one, network);
+                (void)node.log.propose("hello"); // only the leader takes it
+            applyEffects(node, network);
         }
         for (const auto& message : std::exchange(network, {})) {
-            for (auto& one : nodes) {
-                one.log.receive(message, now);
-                carryOut(one, network);
+            for (auto& node : nodes) {
+                node.log.receive(message, now);
+                applyEffects(node, network);
             }
         }
     }
-    for (const auto& one : nodes)
-        std::cout << "replica " << one.log.self() << " applied " << one.applied.size() << " command(s)\n";
+    for (const auto& node : nodes)
+        std::cout << "replica " << node.log.self() << " applied " << node.applied.size() << " command(s)\n";
     return nodes[2].applied.size() == 1 ? 0 : 1;
 }
