--- a/examples/embedded_log.cpp
+++ b/examples/embedded_log.cpp
@@ -1,8 +1,8 @@
 /// @file
-/// @brief Three replicas of a log in one program: what an embedder does with the agreement layer.
+/// @brief Three replicas of a log in one program: how to embed the agreement layer.
 ///
-/// A real program has one replica a process, writes effects to its disk with a sync, and sends messages over its own
-/// transport. Here a vector stands for the network, and nothing is persisted.
+/// A real program runs one replica per process, persists effects with a sync, and sends messages over its own
+/// transport. Here a vector stands in for the network, and nothing is persisted.
 #include "buckthornrail/agreement/admission.hpp"
 
 #include <iostream>
@@ -19,7 +19,7 @@
     std::vector<std::string> applied;
 };
 
-/// Carries out what a replica asks for, in the order that replica.hpp gives: persist, send, apply.
+/// @brief Carries out a replica's effects in the order that replica.hpp requires: persist, send, apply.
 void applyEffects(replica_node& node, std::vector<peer_message>& network)
 {
     const effects pending = node.log.takeEffects();
@@ -52,7 +52,7 @@
             if (auto changed = nextMembers(node.log, joinRequests, now))
                 (void)node.log.proposeMembers(std::move(*changed));
             if (step == 200)
-                (void)node.log.propose("hello"); // only the leader takes it
+                (void)node.log.propose("hello"); // only the leader accepts a proposal
             applyEffects(node, network);
         }
         for (const auto& message : std::exchange(network, {})) {
--- a/tools/bench_core.cpp
+++ b/tools/bench_core.cpp
@@ -1,5 +1,7 @@
 /// @file
-/// @brief Cost of single decisions at growing sizes (Google Benchmark).
+/// @brief Benchmarks of routing decisions, gate, configuration store, codecs and replicated log at growing sizes.
+///
+/// The global operator new is replaced to count allocations per iteration.
 #include "buckthornrail/agreement/replica.hpp"
 #include "buckthornrail/configuration/configuration_store.hpp"
 #include "buckthornrail/dispatch/target_gate.hpp"
--- a/tools/bench_document.cpp
+++ b/tools/bench_document.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What a version of the document costs a registry that sends it and a gateway that takes it over, by routes.
+/// @brief Benchmarks of sending a document version from a registry and assembling it in a gateway, by number of routes.
 #include "app/gateway/gateway_document.hpp"
 #include "buckthornrail/compression/text_patch.hpp"
 #include "platform/dialects.hpp"
@@ -38,7 +38,7 @@
         { "gap-aim-ms", 200 } };
 }
 
-/// @param changed route that differs by version; -1: none
+/// @param changed index of the route whose priority depends on the version; -1: none
 versioned_text makeDocument(std::uint64_t version, std::int64_t routes, std::int64_t changed)
 {
     json routeList = json::array();
@@ -55,7 +55,7 @@
     return { version, document.dump() };
 }
 
-/// @brief Slices of a registry's messages. @param heldVersion version that the gateway has
+/// @brief Decodes the slices that a registry sends. @param heldVersion version that the gateway holds; 0: none
 std::vector<link::document_slice> slicesFrom(
     app::document_feed& feed, std::uint64_t heldVersion, const versioned_text& newest)
 {
@@ -131,7 +131,7 @@
         state.PauseTiming();
         versioned_text next { ++version, texts[version % 2].text };
         state.ResumeTiming();
-        // The text's own version repeats, so that each call is a change of one route.
+        // The version inside the texts alternates between 2 and 3, so that an update changes one route.
         feed.update(next);
     }
 }
--- a/tools/load.cpp
+++ b/tools/load.cpp
@@ -1,8 +1,9 @@
 /// @file
-/// @brief Open-loop load: rates, mixes and surges from a seed; checks that each answer is whole and its own.
+/// @brief Open-loop load generator with a seeded schedule; verifies the text of every complete answer.
 ///
-/// Requests are sent at their times whether or not earlier ones were answered. Memory is bounded: latencies go into
-/// histograms of fixed buckets.
+/// Arrivals follow a Poisson process. Each request is sent when it is due, whether or not earlier ones were answered;
+/// `sent_late` counts requests sent over 100 ms late because all threads were busy. Latencies are kept in histograms
+/// with a fixed number of buckets, so their memory doesn't grow with the run.
 #include "stand_in_model.hpp"
 
 #include "buckthornrail/http/http_client.hpp"
@@ -26,11 +27,11 @@
 using namespace buckthornrail; // NOLINT(google-build-using-namespace)
 using nlohmann::json;
 
-constexpr std::uint32_t layers = 8;
-constexpr double firstBoundMs = 0.5;
-constexpr double bucketGrowth = 1.07;
-constexpr std::size_t bucketCount = 192; ///< up to about 200 s
-constexpr double steadyStart = 0.25; ///< part of the run after which the rate is counted
+constexpr std::uint32_t layers = 8; ///< of the stand-in model; the stand-in target's default
+constexpr double firstBoundMs = 0.5; ///< upper bound of the first bucket
+constexpr double bucketGrowth = 1.07; ///< ratio of the bounds of adjacent buckets
+constexpr std::size_t bucketCount = 192; ///< covers latencies up to about 200 s
+constexpr double steadyStart = 0.25; ///< fraction of the run before the steady window, in which throughput is counted
 
 std::int64_t nowUs()
 {
@@ -38,7 +39,7 @@
     return std::chrono::duration_cast<std::chrono::microseconds>(since).count();
 }
 
-/// Latencies in buckets that grow by 7%.
+/// Latency histogram with geometric buckets; a percentile is exact to within one bucket (7%).
 class latency_histogram {
 public:
     void add(double ms)
@@ -47,6 +48,8 @@
         ++m_buckets[std::min(static_cast<std::size_t>(bucket), bucketCount - 1)];
         ++m_count;
     }
+    /// @param fraction 0 to 1
+    /// @return the upper bound in ms of the bucket that holds the percentile; 0 when the histogram is empty
     [[nodiscard]] double percentile(double fraction) const
     {
         const auto rank = static_cast<std::uint64_t>(std::ceil(fraction * static_cast<double>(m_count)));
@@ -67,41 +70,41 @@
 
 struct load_options {
     std::vector<std::string> entries;
-    double rate = 50;
-    double seconds = 10;
-    std::uint32_t threads = 200;
-    std::uint32_t tokens = 8;
+    double rate = 50; ///< mean requests per second
+    double seconds = 10; ///< length of the schedule
+    std::uint32_t threads = 200; ///< limit of requests in flight
+    std::uint32_t tokens = 8; ///< per answer
     std::uint32_t promptBytes = 200;
-    std::uint32_t prefixes = 0; ///< shared beginnings of prompts a workspace; 0: none
+    std::uint32_t prefixes = 0; ///< shared prompt prefixes per workspace; 0: none
     std::uint32_t prefixBytes = 400;
     std::vector<std::string> workspaces;
     std::string pipeline = "essay-summary";
     std::uint32_t timeoutMs = 10000;
-    double highPriorityShare = 0; ///< part of the requests with high priority
+    double highPriorityShare = 0; ///< fraction of the requests, 0 to 1
     std::uint64_t seed = 1;
     std::string jsonFile;
     bool timeline = false;
 };
 
-/// One request of the plan.
+/// One request of the schedule.
 struct planned_request {
-    std::int64_t sendOffsetUs = 0;
+    std::int64_t sendOffsetUs = 0; ///< since the start of the run
     std::string prompt;
     std::string workspace;
     bool isHighPriority = false;
 };
 
-/// Counts and latencies of one class of requests.
+/// Counts and latencies of the requests of one priority class.
 struct class_result {
-    std::uint64_t good = 0;
+    std::uint64_t good = 0; ///< complete, with the expected text
     std::uint64_t goodTokens = 0;
-    std::uint64_t refused = 0;
+    std::uint64_t refused = 0; ///< status 429, 503 or 504
     std::uint64_t refusedWithoutRetryAfter = 0;
-    std::uint64_t failed = 0; ///< an answer that isn't good and not a refusal
-    std::uint64_t wrong = 0; ///< not whole, or not its own
+    std::uint64_t failed = 0; ///< neither complete nor refused
+    std::uint64_t wrong = 0; ///< complete, but with another text than expected
     latency_histogram firstTokenMs;
-    latency_histogram gapMs;
-    latency_histogram totalMs;
+    latency_histogram gapMs; ///< between successive chunks of an answer
+    latency_histogram totalMs; ///< reported as `whole_ms`
     latency_histogram refusalMs;
 };
 
@@ -220,8 +223,8 @@
             for (const double gap : gaps)
                 result.gapMs.add(gap);
             ++m_goodByWorkspace[request.workspace];
-            // The middle of the run, when the load is steady: neither the beginning nor the tail after the last
-            // request.
+            // Throughput counts answers of the steady window only: the ramp-up and the answers after the last request
+            // was due would distort it.
             const double endSeconds = static_cast<double>(doneUs - m_beginUs) / 1e6;
             if (endSeconds >= steadyStart * m_options.seconds && endSeconds < m_options.seconds)
                 ++m_goodInSteadyWindow;
@@ -245,7 +248,8 @@
             [](const auto& header) { return header.name == "Retry-After"; });
     }
 
-    /// The tokens of a stream of events.
+    /// @brief Concatenates the tokens of a server-sent event stream.
+    /// @param finished set to true when the stream has its `[DONE]` event
     static std::string completionText(const std::string& received, bool& finished)
     {
         std::string text;
@@ -317,25 +321,28 @@
 load_options readOptions(int argc, char** argv)
 {
     load_options options;
-    TCLAP::CmdLine line("Open-loop load on entries.", ' ', "0.1.0");
-    TCLAP::ValueArg<std::string> entries("", "entries", "Entries", true, "", "IP:port,...", line);
-    TCLAP::ValueArg<std::string> workspaces("", "workspaces", "Workspaces, drawn evenly", false, "w1", "names", line);
+    TCLAP::CmdLine line("Sends open-loop load to entries and verifies the answers.", ' ', "0.1.0");
+    TCLAP::ValueArg<std::string> entries(
+        "", "entries", "Addresses of the entries, on loopback", true, "", "IP:port,...", line);
+    TCLAP::ValueArg<std::string> workspaces(
+        "", "workspaces", "Workspaces, drawn with equal probability", false, "w1", "names", line);
     TCLAP::ValueArg<std::string> pipeline("", "pipeline", "Pipeline", false, options.pipeline, "name", line);
-    TCLAP::ValueArg<std::string> file("", "json", "Report", false, "", "file", line);
-    TCLAP::ValueArg<double> rate("", "rate", "Requests a second", false, options.rate, "number", line);
-    TCLAP::ValueArg<double> seconds("", "seconds", "How long", false, options.seconds, "number", line);
-    TCLAP::ValueArg<double> high("", "high", "Part with high priority", false, 0, "0 to 1", line);
+    TCLAP::ValueArg<std::string> file("", "json", "File for the JSON report", false, "", "file", line);
+    TCLAP::ValueArg<double> rate("", "rate", "Mean requests per second", false, options.rate, "number", line);
+    TCLAP::ValueArg<double> seconds(
+        "", "seconds", "Length of the schedule in seconds", false, options.seconds, "number", line);
+    TCLAP::ValueArg<double> high("", "high", "Fraction of requests with high priority", false, 0, "0 to 1", line);
     const auto numberArg = [&line](const char* flag, const char* meaning, std::uint32_t fallback) {
         return std::make_unique<TCLAP::ValueArg<std::uint32_t>>("", flag, meaning, false, fallback, "number", line);
     };
-    const auto threads = numberArg("threads", "Requests open at once at most", options.threads);
-    const auto tokens = numberArg("tokens", "Tokens of an answer", options.tokens);
-    const auto promptBytes = numberArg("prompt-bytes", "Size of a prompt", options.promptBytes);
-    const auto prefixes = numberArg("prefixes", "Shared beginnings a workspace", 0);
-    const auto prefixBytes = numberArg("prefix-bytes", "Size of a shared beginning", options.prefixBytes);
-    const auto timeout = numberArg("timeout-ms", "Timeout of a request", options.timeoutMs);
-    const auto seed = numberArg("seed", "Seed", 1);
-    TCLAP::SwitchArg timeline("", "timeline", "Report when each request ended", line);
+    const auto threads = numberArg("threads", "Maximum number of requests in flight", options.threads);
+    const auto tokens = numberArg("tokens", "Tokens per answer", options.tokens);
+    const auto promptBytes = numberArg("prompt-bytes", "Minimum size of a prompt in bytes", options.promptBytes);
+    const auto prefixes = numberArg("prefixes", "Shared prompt prefixes per workspace; 0: none", 0);
+    const auto prefixBytes = numberArg("prefix-bytes", "Size of a shared prefix in bytes", options.prefixBytes);
+    const auto timeout = numberArg("timeout-ms", "Timeout of a request in ms", options.timeoutMs);
+    const auto seed = numberArg("seed", "Seed of the schedule", 1);
+    TCLAP::SwitchArg timeline("", "timeline", "Report the time and success of each request", line);
     line.parse(argc, argv);
     options.entries = split(entries.getValue());
     options.workspaces = split(workspaces.getValue());
@@ -363,7 +370,7 @@
     const load_options options = readOptions(argc, argv);
     for (const auto& entry : options.entries) {
         if (!entry.starts_with("127.")) {
-            std::cerr << "load goes to loopback only\n";
+            std::cerr << "entries must be loopback addresses (127.0.0.0/8)\n";
             return 2;
         }
     }
--- a/tools/measure.cpp
+++ b/tools/measure.cpp
@@ -1,5 +1,8 @@
 /// @file
-/// @brief Runs the named cases over real processes and prints one table: each strategy against the bound.
+/// @brief Measures throughput and latency of selection strategies, and recovery times, over real processes.
+///
+/// `policy` and `ours` compare the throughput of each load case with the bound that the targets' speeds set;
+/// `recovery` injects faults.
 #include "support/cluster.hpp"
 
 #include <array>
@@ -19,16 +22,16 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::uint32_t tokens = 8;
+constexpr std::uint32_t tokens = 8; ///< per answer
 constexpr double loadSeconds = 8;
 
-/// One measured situation.
+/// Targets, load and fault of one measurement.
 struct load_case {
     std::string name;
     std::vector<target_spec> targets;
-    double load = 1; ///< offered load as a part of the bound
+    double load = 1; ///< offered load as a multiple of the throughput bound
     std::vector<std::string> loadFlags;
-    std::function<void(cluster&)> injectFault; ///< a fault, two seconds after the beginning
+    std::function<void(cluster&)> injectFault; ///< called two seconds after the load starts; may be empty
     std::uint32_t reportLagMs = 0;
     std::uint32_t prefillUsPerByte = 0;
     std::uint32_t cacheEntries = 64;
@@ -42,7 +45,7 @@
     return target;
 }
 
-/// Requests a second that the targets could serve without a pause.
+/// @brief Requests per second that the targets serve when all their slots are always busy.
 double throughputBound(const load_case& loadCase)
 {
     double bound = 0;
@@ -60,7 +63,7 @@
     for (const auto& flag : flags)
         command += " " + flag;
     if (std::system((command + " >/dev/null").c_str()) != 0)
-        std::cerr << "load failed\n";
+        std::cerr << "the load tool failed\n";
     std::ifstream stream(file);
     json report = json::parse(stream, nullptr, false);
     ::unlink(file.c_str());
@@ -85,6 +88,7 @@
     return all;
 }
 
+/// Results of one load case. Latencies are in ms.
 struct case_result {
     double goodPerSecond = 0;
     double firstTokenP50Ms = 0;
@@ -105,7 +109,7 @@
     spec.cacheEntries = loadCase.cacheEntries;
     cluster system(spec);
     const double rate = throughputBound(loadCase) * loadCase.load;
-    runLoad(system, rate / 2, 2, loadCase.loadFlags); // the estimates settle
+    runLoad(system, rate / 2, 2, loadCase.loadFlags); // warm-up: lets the estimates converge
     std::thread fault;
     if (loadCase.injectFault) {
         fault = std::thread([&] {
@@ -149,10 +153,10 @@
     }
 }
 
-/// Time from a fault to the first good answer and to ten good ones in a row after the last bad or slow one.
+/// Times since a fault was injected.
 struct recovery_result {
-    double firstGoodMs = 0;
-    double settledMs = 0;
+    double firstGoodMs = 0; ///< first successful answer
+    double settledMs = 0; ///< last failed answer, or last answer more than 150 ms after the one before
     int failedCount = 0;
 };
 
@@ -247,6 +251,6 @@
         measureRecoveries(argument.empty() ? 3 : std::stoi(argument));
         return 0;
     }
-    std::cerr << "measure policy [CASE [STRATEGY...]] | ours [CASE] | recovery [RUNS]\n";
+    std::cerr << "usage: measure policy [CASE [STRATEGY...]] | ours [CASE] | recovery [RUNS]\n";
     return 2;
 }
--- a/tools/print_tables.cpp
+++ b/tools/print_tables.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Prints the tables of codes, events or settings as they stand in the docs.
+/// @brief Prints the tables of result codes, events or settings as Markdown for the docs.
 #include "buckthornrail/core/event_code.hpp"
 #include "buckthornrail/core/result_code.hpp"
 #include "buckthornrail/settings/settings.hpp"
@@ -97,6 +97,6 @@
     else if (which == "settings")
         printSettings();
     else
-        std::cerr << "print_tables codes|events|settings\n";
+        std::cerr << "usage: print_tables codes|events|settings\n";
     return which == "codes" || which == "events" || which == "settings" ? 0 : 2;
 }
--- a/tools/stand_in_execution_log.hpp
+++ b/tools/stand_in_execution_log.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A stand-in's record of what it ran.
+/// @brief Execution log of the stand-in target.
 #pragma once
 
 #include <fcntl.h>
@@ -10,7 +10,7 @@
 
 namespace stand_in {
 
-/// Appends lines to a file; one write a line, so that several processes may share it.
+/// Appends JSON lines to a file. Each line is one write() with O_APPEND, so that several processes can share the file.
 class execution_log {
 public:
     explicit execution_log(const std::string& file)
@@ -28,7 +28,7 @@
     {
         const std::string line = row.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
         if (m_fd >= 0 && ::write(m_fd, line.data(), line.size()) < 0)
-            std::cerr << "the execution log can't be written\n";
+            std::cerr << "cannot write to the execution log\n";
     }
 
 private:
--- a/tools/stand_in_model.cpp
+++ b/tools/stand_in_model.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Arithmetic of the stand-in model.
+/// @brief Hash arithmetic of the stand-in model.
 #include "stand_in_model.hpp"
 
 #include <array>
--- a/tools/stand_in_model.hpp
+++ b/tools/stand_in_model.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief A model small enough to check answers by: each token follows from the whole text before it.
+/// @brief Deterministic stand-in for a language model: each token is a function of the whole text before it, so that a
+/// test can compute the expected answer.
 #pragma once
 
 #include <cstdint>
@@ -7,16 +8,17 @@
 
 namespace stand_in {
 
-/// @brief What the layers below `firstLayer` make of a text; for layer 0, of its hash.
+/// @brief The input of layer 0 for a text: its hash.
 std::uint64_t embed(const std::string& text);
 
-/// @brief Passes a value through layers [firstLayer, endLayer).
+/// @brief Passes a value through the layers [firstLayer, endLayer).
+/// @return the output of the last of them; `value` itself when the range is empty
 std::uint64_t runLayers(std::uint64_t value, std::uint32_t firstLayer, std::uint32_t endLayer);
 
-/// @brief The token that a value after the last layer stands for; begins with a blank.
+/// @brief Decodes the output of the last layer into a token, which begins with a space.
 std::string tokenOf(std::uint64_t value);
 
-/// @brief The next `count` tokens after a text, from a model of that many layers.
+/// @brief The `count` tokens that a model with that many layers generates after a text.
 std::string expectedAnswer(std::string text, std::uint32_t count, std::uint32_t layers);
 
 } // namespace stand_in
--- a/tools/stand_in_prefix_cache.hpp
+++ b/tools/stand_in_prefix_cache.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A stand-in's cache of prompts.
+/// @brief Prefix cache of the stand-in target.
 #pragma once
 
 #include "buckthornrail/core/clock.hpp"
@@ -14,14 +14,15 @@
 
 namespace stand_in {
 
-/// Prompt prefixes that need no prefill, the least recently used one goes first.
+/// LRU cache of prompt prefixes that need no prefill. Keys are hashes of the first `prefixBytes` bytes of a prompt.
 class prefix_cache {
 public:
     explicit prefix_cache(std::uint32_t capacity)
         : m_capacity(capacity)
     {
     }
-    /// @return true when the prompt's beginning was known; it is known afterwards.
+    /// @brief Looks a prompt's prefix up, and inserts it or marks it as the most recently used.
+    /// @return true when the prefix was cached already
     bool touch(const std::string& prompt)
     {
         const std::scoped_lock lock(m_mutex);
@@ -40,7 +41,9 @@
         return known;
     }
 
-    /// Events with a sequence number, as engines publish them: late, and with gaps.
+    /// @brief The last events with their sequence numbers, late and with gaps, as real engines publish them.
+    /// @param lag age at which an event becomes visible
+    /// @param skipInterval every event whose sequence number is a multiple is left out; 0: none
     nlohmann::json events(buckthornrail::steady_time now, buckthornrail::milliseconds lag, std::uint32_t skipInterval)
     {
         const std::scoped_lock lock(m_mutex);
@@ -67,7 +70,7 @@
             m_events.pop_front();
     }
 
-    static constexpr std::size_t maxEvents = 256;
+    static constexpr std::size_t maxEvents = 256; ///< older events are dropped
     static constexpr std::size_t prefixBytes = 256;
     std::list<cache_event> m_events;
     std::uint64_t m_sequence = 0;
--- a/tools/stand_in_slots.hpp
+++ b/tools/stand_in_slots.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A stand-in's places for requests.
+/// @brief Batch slots of the stand-in target.
 #pragma once
 
 #include <condition_variable>
@@ -9,13 +9,14 @@
 
 namespace stand_in {
 
-/// Places for requests that run at once; the rest wait.
+/// Counting semaphore that limits concurrent requests and reports how many run and wait.
 class batch_slots {
 public:
     explicit batch_slots(std::uint32_t count)
         : m_freeSlots(count)
     {
     }
+    /// @brief Blocks until a slot is free, and takes it.
     void acquire()
     {
         std::unique_lock lock(m_mutex);
@@ -32,6 +33,7 @@
         --m_running;
         m_slotFreed.notify_one();
     }
+    /// @return running and waiting requests
     std::pair<std::uint32_t, std::uint32_t> counts()
     {
         const std::scoped_lock lock(m_mutex);
--- a/tools/stand_in_target.cpp
+++ b/tools/stand_in_target.cpp
@@ -1,7 +1,8 @@
 /// @file
-/// @brief Plays a target of any kind, with speed, slots, a prefix cache and faults to order.
+/// @brief Stand-in for a target of any kind, with configurable speed, batch slots, prefix cache and fault injection.
 ///
-/// It logs every execution as a line of JSON; that log is the judge in all tests of "exactly once".
+/// It logs every execution as a line of JSON. The tests of exactly-once execution compare that log with the callers'
+/// answers.
 #include "stand_in_execution_log.hpp"
 #include "stand_in_model.hpp"
 #include "stand_in_prefix_cache.hpp"
@@ -36,21 +37,21 @@
     std::string address;
     std::string name;
     std::string logFile;
-    std::uint32_t tokenMs = 5;
-    std::uint32_t prefillUsPerByte = 0;
-    std::uint32_t slots = 4;
+    std::uint32_t tokenMs = 5; ///< time for a token or an engine step
+    std::uint32_t prefillUsPerByte = 0; ///< for prompts whose prefix isn't cached
+    std::uint32_t slots = 4; ///< requests that run concurrently
     std::uint32_t layers = 8;
     std::uint32_t cacheEntries = 64;
-    std::uint32_t reportLagMs = 0;
-    std::uint32_t serviceMs = 2;
-    std::uint32_t loadMs = 200;
-    bool checksFences = true;
-    bool answersTwice = false;
-    std::uint32_t answerLateMs = 0;
-    std::uint32_t cacheEventLagMs = 500;
-    std::uint32_t cacheEventSkipInterval = 7; ///< each so-manieth cache event is never told
-    std::uint32_t stallAfter = 0; ///< 0: never; else before that token
-    std::uint32_t dieAfter = 0;
+    std::uint32_t reportLagMs = 0; ///< the load report is refreshed only when this time has passed
+    std::uint32_t serviceMs = 2; ///< time for a service call
+    std::uint32_t loadMs = 200; ///< time to load a version
+    bool checksFences = true; ///< false: carries out load orders with an old fencing number
+    bool answersTwice = false; ///< repeats all tokens of an answer after the last one
+    std::uint32_t answerLateMs = 0; ///< delay between the response head and the first token
+    std::uint32_t cacheEventLagMs = 500; ///< age at which cache events become visible
+    std::uint32_t cacheEventSkipInterval = 7; ///< every n-th cache event is never published; 0: none
+    std::uint32_t stallAfter = 0; ///< stalls before this token (counted from 1) and each later one; 0: never
+    std::uint32_t dieAfter = 0; ///< kills its own process before this token (counted from 1); 0: never
 };
 
 class stand_in_target {
@@ -108,7 +109,8 @@
         std::this_thread::sleep_for(std::chrono::microseconds(microseconds));
     }
 
-    /// Faults to order: {"token_ms":..,"stall_after":..,"die_after":..,"ready":..,"service_ms":..,
+    /// @brief Sets the fault settings that the body names; the others stay. Fields:
+    /// {"token_ms":..,"stall_after":..,"die_after":..,"ready":..,"service_ms":..,
     /// "answers_twice":..,"answer_late_ms":..}
     void injectFault(const http_request& request, http_exchange& exchange)
     {
@@ -123,7 +125,7 @@
         respond(exchange, 200, json::object());
     }
 
-    /// An order to load a version; with an old fencing number it is refused, or carried out all the same.
+    /// @brief Loads a version of a model. An order with an old fencing number is refused when fences are checked.
     void loadVersion(const http_request& request, http_exchange& exchange)
     {
         const json body = json::parse(request.body, nullptr, false);
@@ -165,7 +167,7 @@
             + "\n";
     }
 
-    /// Load as it was when the lag began.
+    /// @brief Running and waiting requests as of the last refresh, which is at most the report lag ago.
     std::pair<std::uint32_t, std::uint32_t> reportedLoad()
     {
         const std::scoped_lock lock(m_mutex);
@@ -183,7 +185,8 @@
         m_log.append(row);
     }
 
-    /// Stops here, for good or for a while, when a fault was ordered for this token.
+    /// @brief Kills this process or sleeps 30 s when a fault is set for this token.
+    /// @param token counted from 0
     void applyFault(std::uint32_t token) const
     {
         if (m_options.dieAfter != 0 && token + 1 >= m_options.dieAfter)
@@ -321,7 +324,7 @@
     prefix_cache m_cache;
     std::mutex m_mutex;
     std::set<std::string> m_cancelled;
-    std::map<std::string, std::string> m_stageTexts; ///< what stage 0 has seen of each request and generation
+    std::map<std::string, std::string> m_stageTexts; ///< text so far at layer 0, by "request/generation"
     std::pair<std::uint32_t, std::uint32_t> m_reportedLoad;
     steady_time m_reportDeadline {};
     std::uint64_t m_highestFence = 0;
@@ -334,22 +337,23 @@
 stand_in_options readOptions(int argc, char** argv)
 {
     stand_in_options options;
-    TCLAP::CmdLine line("Plays a target.", ' ', "0.1.0");
-    TCLAP::ValueArg<std::string> address("", "address", "Where to listen", true, "", "IP:port", line);
+    TCLAP::CmdLine line("Stand-in for a target, for tests and demos.", ' ', "0.1.0");
+    TCLAP::ValueArg<std::string> address("", "address", "Address to listen on", true, "", "IP:port", line);
     TCLAP::ValueArg<std::string> name("", "name", "Name in the execution log", false, "target", "name", line);
     TCLAP::ValueArg<std::string> log("", "log", "Execution log", false, "", "file", line);
     const auto numberArg = [&line](const char* flag, const char* meaning, std::uint32_t fallback) {
         return std::make_unique<TCLAP::ValueArg<std::uint32_t>>("", flag, meaning, false, fallback, "number", line);
     };
-    const auto tokenMs = numberArg("token-ms", "Time for a token or a step", options.tokenMs);
-    const auto prefill = numberArg("prefill-us-per-byte", "Prefill of a prompt that isn't cached", 0);
-    const auto slots = numberArg("slots", "Requests at once", options.slots);
+    const auto tokenMs = numberArg("token-ms", "Time for a token or an engine step in ms", options.tokenMs);
+    const auto prefill
+        = numberArg("prefill-us-per-byte", "Prefill time per byte of a prompt that isn't cached, in us", 0);
+    const auto slots = numberArg("slots", "Requests that run concurrently", options.slots);
     const auto layers = numberArg("layers", "Layers of the model", options.layers);
-    const auto cache = numberArg("cache", "Prompt prefixes kept", options.cacheEntries);
-    const auto lag = numberArg("report-lag-ms", "Age of load reports", 0);
-    const auto serviceMs = numberArg("service-ms", "Time for a service call", options.serviceMs);
-    const auto loadMs = numberArg("load-ms", "Time to load a version", options.loadMs);
-    TCLAP::SwitchArg ignoresFences("", "ignore-fences", "Carry out orders whatever their fencing number", line);
+    const auto cache = numberArg("cache", "Capacity of the prefix cache in entries", options.cacheEntries);
+    const auto lag = numberArg("report-lag-ms", "Interval at which load reports are refreshed, in ms", 0);
+    const auto serviceMs = numberArg("service-ms", "Time for a service call in ms", options.serviceMs);
+    const auto loadMs = numberArg("load-ms", "Time to load a version in ms", options.loadMs);
+    TCLAP::SwitchArg ignoresFences("", "ignore-fences", "Carry out load orders with an old fencing number", line);
     line.parse(argc, argv);
     options.loadMs = loadMs->getValue();
     options.checksFences = !ignoresFences.getValue();
