--- a/tools/load.cpp
+++ b/tools/load.cpp
@@ -1,8 +1,9 @@
 /// @file
-/// @brief Open-loop load: rates, mixes and surges from a seed; checks that each answer is whole and its own.
+/// @brief Open-loop load generator with a seeded schedule; verifies the text of every complete answer.
 ///
-/// Requests are sent at their times whether or not earlier ones were answered. Memory is bounded: latencies go into
-/// histograms of fixed buckets.
+/// Arrivals follow a Poisson process. Each request is sent when it is due, whether or not earlier ones were answered;
+/// `sent_late` counts requests sent over 100 ms late because all threads were busy. Latencies are kept in histograms
+/// with a fixed number of buckets, so their memory doesn't grow with the run.
 #include "stand_in_model.hpp"
 
 #include "buckthornrail/http/http_client.hpp"
@@ -26,11 +27,11 @@
 using namespace buckthornrail; // NOLINT(google-build-using-namespace)
 using nlohmann::json;
 
-constexpr std::uint32_t layers = 8;
-constexpr double firstBoundMs = 0.5;
-constexpr double bucketGrowth = 1.07;
-constexpr std::size_t bucketCount = 192; ///< up to about 200 s
-constexpr double steadyFrom = 0.25; ///< part of the run after which the rate is counted
+constexpr std::uint32_t layers = 8; ///< of the stand-in model; the stand-in target's default
+constexpr double firstBoundMs = 0.5; ///< upper bound of the first bucket
+constexpr double bucketGrowth = 1.07; ///< ratio of the bounds of adjacent buckets
+constexpr std::size_t bucketCount = 192; ///< covers latencies up to about 200 s
+constexpr double steadyStart = 0.25; ///< fraction of the run before the steady window, in which throughput is counted
 
 std::int64_t nowUs()
 {
@@ -38,22 +39,24 @@
     return std::chrono::duration_cast<std::chrono::microseconds>(since).count();
 }
 
-/// Latencies in buckets that grow by 7%.
+/// Latency histogram with geometric buckets; a percentile is exact to within one bucket (7%).
 class latency_histogram {
 public:
     void add(double ms)
     {
-        const double position = ms <= firstBoundMs ? 0 : std::log(ms / firstBoundMs) / std::log(bucketGrowth) + 1;
-        ++m_buckets[std::min(static_cast<std::size_t>(position), bucketCount - 1)];
+        const double bucket = ms <= firstBoundMs ? 0 : std::log(ms / firstBoundMs) / std::log(bucketGrowth) + 1;
+        ++m_buckets[std::min(static_cast<std::size_t>(bucket), bucketCount - 1)];
         ++m_count;
     }
-    [[nodiscard]] double percentile(double part) const
+    /// @param fraction 0 to 1
+    /// @return the upper bound in ms of the bucket that holds the percentile; 0 when the histogram is empty
+    [[nodiscard]] double percentile(double fraction) const
     {
-        const auto wanted = static_cast<std::uint64_t>(std::ceil(part * static_cast<double>(m_count)));
+        const auto rank = static_cast<std::uint64_t>(std::ceil(fraction * static_cast<double>(m_count)));
         std::uint64_t seen = 0;
         for (std::size_t at = 0; at < bucketCount; ++at) {
             seen += m_buckets[at];
-            if (seen >= wanted && seen > 0)
+            if (seen >= rank && seen > 0)
                 return firstBoundMs * std::pow(bucketGrowth, static_cast<double>(at));
         }
         return 0;
@@ -67,56 +70,56 @@
 
 struct load_options {
     std::vector<std::string> entries;
-    double rate = 50;
-    double seconds = 10;
-    std::uint32_t threads = 200;
-    std::uint32_t tokens = 8;
+    double rate = 50; ///< mean requests per second
+    double seconds = 10; ///< length of the schedule
+    std::uint32_t threads = 200; ///< limit of requests in flight
+    std::uint32_t tokens = 8; ///< per answer
     std::uint32_t promptBytes = 200;
-    std::uint32_t prefixes = 0; ///< shared beginnings of prompts a workspace; 0: none
+    std::uint32_t prefixes = 0; ///< shared prompt prefixes per workspace; 0: none
     std::uint32_t prefixBytes = 400;
     std::vector<std::string> workspaces;
     std::string pipeline = "essay-summary";
     std::uint32_t timeoutMs = 10000;
-    double highPart = 0; ///< part of the requests with high priority
+    double highPriorityShare = 0; ///< fraction of the requests, 0 to 1
     std::uint64_t seed = 1;
     std::string jsonFile;
     bool timeline = false;
 };
 
-/// One request of the plan.
+/// One request of the schedule.
 struct planned_request {
-    std::int64_t atUs = 0;
+    std::int64_t sendOffsetUs = 0; ///< since the start of the run
     std::string prompt;
     std::string workspace;
-    bool high = false;
+    bool isHighPriority = false;
 };
 
-/// Counts and latencies of one class of requests.
+/// Counts and latencies of the requests of one priority class.
 struct class_result {
-    std::uint64_t good = 0;
+    std::uint64_t good = 0; ///< complete, with the expected text
     std::uint64_t goodTokens = 0;
-    std::uint64_t refused = 0;
+    std::uint64_t refused = 0; ///< status 429, 503 or 504
     std::uint64_t refusedWithoutRetryAfter = 0;
-    std::uint64_t failed = 0; ///< an answer that isn't good and not a refusal
-    std::uint64_t wrong = 0; ///< not whole, or not its own
-    latency_histogram firstToken;
-    latency_histogram gaps;
-    latency_histogram whole;
-    latency_histogram refusal;
+    std::uint64_t failed = 0; ///< neither complete nor refused
+    std::uint64_t wrong = 0; ///< complete, but with another text than expected
+    latency_histogram firstTokenMs;
+    latency_histogram gapMs; ///< between successive chunks of an answer
+    latency_histogram totalMs; ///< reported as `whole_ms`
+    latency_histogram refusalMs;
 };
 
-class load_run {
+class load_generator {
 public:
-    explicit load_run(load_options options)
+    explicit load_generator(load_options options)
         : m_options(std::move(options))
         , m_random(m_options.seed)
     {
-        const double gapUs = 1e6 / m_options.rate;
-        std::exponential_distribution<double> pause(1.0 / gapUs);
+        const double meanIntervalUs = 1e6 / m_options.rate;
+        std::exponential_distribution<double> interval(1.0 / meanIntervalUs);
         double at = 0;
         while (at < m_options.seconds * 1e6) {
-            m_plan.push_back(plan(static_cast<std::int64_t>(at)));
-            at += pause(m_random);
+            m_plan.push_back(planRequest(static_cast<std::int64_t>(at)));
+            at += interval(m_random);
         }
     }
 
@@ -125,19 +128,19 @@
         m_beginUs = nowUs() + 200'000;
         std::vector<std::thread> threads;
         for (std::uint32_t at = 0; at < m_options.threads; ++at)
-            threads.emplace_back([this] { work(); });
+            threads.emplace_back([this] { runWorker(); });
         for (auto& thread : threads)
             thread.join();
         return report();
     }
 
 private:
-    planned_request plan(std::int64_t atUs)
+    planned_request planRequest(std::int64_t sendOffsetUs)
     {
         planned_request request;
-        request.atUs = atUs;
+        request.sendOffsetUs = sendOffsetUs;
         request.workspace = m_options.workspaces[m_random() % m_options.workspaces.size()];
-        request.high = std::uniform_real_distribution<>(0, 1)(m_random) < m_options.highPart;
+        request.isHighPriority = std::uniform_real_distribution<>(0, 1)(m_random) < m_options.highPriorityShare;
         if (m_options.prefixes > 0) {
             const auto number = m_random() % m_options.prefixes;
             request.prompt = request.workspace + " shared beginning " + std::to_string(number) + " ";
@@ -148,18 +151,18 @@
         return request;
     }
 
-    void work()
+    void runWorker()
     {
         while (true) {
-            const std::size_t number = m_next++;
+            const std::size_t number = m_nextRequest++;
             if (number >= m_plan.size())
                 return;
             const auto& request = m_plan[number];
-            const std::int64_t due = m_beginUs + request.atUs;
-            const std::int64_t wait = due - nowUs();
-            if (wait > 0)
-                std::this_thread::sleep_for(std::chrono::microseconds(wait));
-            else if (wait < -100'000)
+            const std::int64_t dueUs = m_beginUs + request.sendOffsetUs;
+            const std::int64_t waitUs = dueUs - nowUs();
+            if (waitUs > 0)
+                std::this_thread::sleep_for(std::chrono::microseconds(waitUs));
+            else if (waitUs < -100'000)
                 ++m_sentLate;
             send(request, m_options.entries[number % m_options.entries.size()]);
         }
@@ -176,7 +179,7 @@
                              { "max_tokens", m_options.tokens }, { "stream", true } })
                         .dump();
         call.headers = { { "X-Workspace", request.workspace }, { "X-Timeout-Ms", std::to_string(m_options.timeoutMs) },
-            { "X-Priority", request.high ? "high" : "normal" } };
+            { "X-Priority", request.isHighPriority ? "high" : "normal" } };
         call.deadline = buckthornrail::boot_clock::now() + milliseconds(m_options.timeoutMs + 5000);
         const std::int64_t sentUs = nowUs();
         std::int64_t firstUs = 0;
@@ -196,46 +199,47 @@
             return true;
         };
         const auto response = http::call(call, onHead, onBody);
-        note(request, response, status, received, sentUs, firstUs, gaps);
+        recordResult(request, response, status, received, sentUs, firstUs, gaps);
     }
 
-    void note(const planned_request& request, const http::client_response& response, int status,
+    void recordResult(const planned_request& request, const http::client_response& response, int status,
         const std::string& received, std::int64_t sentUs, std::int64_t firstUs, const std::vector<double>& gaps)
     {
         const std::int64_t doneUs = nowUs();
-        const double wholeMs = static_cast<double>(doneUs - sentUs) / 1000;
+        const double totalMs = static_cast<double>(doneUs - sentUs) / 1000;
         bool finished = false;
-        const std::string text = textOf(received, finished);
-        const bool isGood = response.outcome == http::client_outcome::Ok && status == 200 && finished;
+        const std::string text = completionText(received, finished);
+        const bool isComplete = response.outcome == http::client_outcome::Ok && status == 200 && finished;
         const bool isRefusal = status == 503 || status == 429 || status == 504;
-        const bool isOwn = !isGood || text == stand_in::expectedAnswer(request.prompt, m_options.tokens, layers);
+        const bool isCorrect
+            = !isComplete || text == stand_in::expectedAnswer(request.prompt, m_options.tokens, layers);
         const std::scoped_lock lock(m_mutex);
-        auto& result = m_results[request.high ? "high" : "normal"];
-        if (isGood && isOwn) {
+        auto& result = m_results[request.isHighPriority ? "high" : "normal"];
+        if (isComplete && isCorrect) {
             ++result.good;
             result.goodTokens += m_options.tokens;
-            result.firstToken.add(static_cast<double>(firstUs - sentUs) / 1000);
-            result.whole.add(wholeMs);
+            result.firstTokenMs.add(static_cast<double>(firstUs - sentUs) / 1000);
+            result.totalMs.add(totalMs);
             for (const double gap : gaps)
-                result.gaps.add(gap);
+                result.gapMs.add(gap);
             ++m_goodByWorkspace[request.workspace];
-            // The middle of the run, when the load is steady: neither the beginning nor the tail after the last
-            // request.
+            // Throughput counts answers of the steady window only: the ramp-up and the answers after the last request
+            // was due would distort it.
             const double endSeconds = static_cast<double>(doneUs - m_beginUs) / 1e6;
-            if (endSeconds >= steadyFrom * m_options.seconds && endSeconds < m_options.seconds)
-                ++m_goodSteady;
+            if (endSeconds >= steadyStart * m_options.seconds && endSeconds < m_options.seconds)
+                ++m_goodInSteadyWindow;
             m_lastGoodUs = std::max(m_lastGoodUs, doneUs);
-        } else if (isGood) {
+        } else if (isComplete) {
             ++result.wrong;
         } else if (isRefusal) {
             ++result.refused;
-            result.refusal.add(wholeMs);
+            result.refusalMs.add(totalMs);
             result.refusedWithoutRetryAfter += hasRetryAfter(response) ? 0 : 1;
         } else {
             ++result.failed;
         }
         if (m_options.timeline)
-            m_timeline.emplace_back((doneUs - m_beginUs) / 1000, isGood && isOwn);
+            m_timeline.emplace_back((doneUs - m_beginUs) / 1000, isComplete && isCorrect);
     }
 
     static bool hasRetryAfter(const http::client_response& response)
@@ -244,8 +248,9 @@
             [](const auto& header) { return header.name == "Retry-After"; });
     }
 
-    /// The tokens of a stream of events.
-    static std::string textOf(const std::string& received, bool& finished)
+    /// @brief Concatenates the tokens of a server-sent event stream.
+    /// @param finished set to true when the stream has its `[DONE]` event
+    static std::string completionText(const std::string& received, bool& finished)
     {
         std::string text;
         std::istringstream lines(received);
@@ -268,34 +273,36 @@
             classes[name] = { { "good", result.good }, { "refused", result.refused }, { "failed", result.failed },
                 { "wrong", result.wrong }, { "refused_without_retry_after", result.refusedWithoutRetryAfter },
                 { "first_token_ms",
-                    { { "p50", result.firstToken.percentile(0.5) }, { "p95", result.firstToken.percentile(0.95) } } },
-                { "gap_ms", { { "p50", result.gaps.percentile(0.5) }, { "p95", result.gaps.percentile(0.95) } } },
-                { "whole_ms", { { "p50", result.whole.percentile(0.5) }, { "p95", result.whole.percentile(0.95) } } },
+                    { { "p50", result.firstTokenMs.percentile(0.5) },
+                        { "p95", result.firstTokenMs.percentile(0.95) } } },
+                { "gap_ms", { { "p50", result.gapMs.percentile(0.5) }, { "p95", result.gapMs.percentile(0.95) } } },
+                { "whole_ms",
+                    { { "p50", result.totalMs.percentile(0.5) }, { "p95", result.totalMs.percentile(0.95) } } },
                 { "refusal_ms",
-                    { { "p50", result.refusal.percentile(0.5) }, { "p95", result.refusal.percentile(0.95) } } } };
+                    { { "p50", result.refusalMs.percentile(0.5) }, { "p95", result.refusalMs.percentile(0.95) } } } };
             good += result.good;
             tokens += result.goodTokens;
         }
-        const double span = std::max(m_options.seconds, static_cast<double>(m_lastGoodUs - m_beginUs) / 1e6);
-        json whole = { { "planned", m_plan.size() }, { "good", good }, { "seconds", span },
-            { "good_per_second", static_cast<double>(m_goodSteady) / ((1 - steadyFrom) * m_options.seconds) },
-            { "tokens_per_second", static_cast<double>(tokens) / span }, { "sent_late", m_sentLate.load() },
+        const double durationSeconds = std::max(m_options.seconds, static_cast<double>(m_lastGoodUs - m_beginUs) / 1e6);
+        json summary = { { "planned", m_plan.size() }, { "good", good }, { "seconds", durationSeconds },
+            { "good_per_second", static_cast<double>(m_goodInSteadyWindow) / ((1 - steadyStart) * m_options.seconds) },
+            { "tokens_per_second", static_cast<double>(tokens) / durationSeconds }, { "sent_late", m_sentLate.load() },
             { "classes", classes }, { "good_by_workspace", m_goodByWorkspace } };
         if (m_options.timeline) {
             std::sort(m_timeline.begin(), m_timeline.end());
-            whole["timeline"] = m_timeline;
+            summary["timeline"] = m_timeline;
         }
-        return whole;
+        return summary;
     }
 
     load_options m_options;
     std::mt19937_64 m_random;
     std::vector<planned_request> m_plan;
-    std::atomic<std::size_t> m_next { 0 };
+    std::atomic<std::size_t> m_nextRequest { 0 };
     std::atomic<std::uint64_t> m_sentLate { 0 };
     std::int64_t m_beginUs = 0;
     std::int64_t m_lastGoodUs = 0;
-    std::uint64_t m_goodSteady = 0;
+    std::uint64_t m_goodInSteadyWindow = 0;
     std::mutex m_mutex;
     std::map<std::string, class_result> m_results;
     std::map<std::string, std::uint64_t> m_goodByWorkspace;
@@ -314,25 +321,28 @@
 load_options readOptions(int argc, char** argv)
 {
     load_options options;
-    TCLAP::CmdLine line("Open-loop load on entries.", ' ', "0.1.0");
-    TCLAP::ValueArg<std::string> entries("", "entries", "Entries", true, "", "IP:port,...", line);
-    TCLAP::ValueArg<std::string> workspaces("", "workspaces", "Workspaces, drawn evenly", false, "w1", "names", line);
+    TCLAP::CmdLine line("Sends open-loop load to entries and verifies the answers.", ' ', "0.1.0");
+    TCLAP::ValueArg<std::string> entries(
+        "", "entries", "Addresses of the entries, on loopback", true, "", "IP:port,...", line);
+    TCLAP::ValueArg<std::string> workspaces(
+        "", "workspaces", "Workspaces, drawn with equal probability", false, "w1", "names", line);
     TCLAP::ValueArg<std::string> pipeline("", "pipeline", "Pipeline", false, options.pipeline, "name", line);
-    TCLAP::ValueArg<std::string> file("", "json", "Report", false, "", "file", line);
-    TCLAP::ValueArg<double> rate("", "rate", "Requests a second", false, options.rate, "number", line);
-    TCLAP::ValueArg<double> seconds("", "seconds", "How long", false, options.seconds, "number", line);
-    TCLAP::ValueArg<double> high("", "high", "Part with high priority", false, 0, "0 to 1", line);
-    const auto number = [&line](const char* flag, const char* meaning, std::uint32_t fallback) {
+    TCLAP::ValueArg<std::string> file("", "json", "File for the JSON report", false, "", "file", line);
+    TCLAP::ValueArg<double> rate("", "rate", "Mean requests per second", false, options.rate, "number", line);
+    TCLAP::ValueArg<double> seconds(
+        "", "seconds", "Length of the schedule in seconds", false, options.seconds, "number", line);
+    TCLAP::ValueArg<double> high("", "high", "Fraction of requests with high priority", false, 0, "0 to 1", line);
+    const auto numberArg = [&line](const char* flag, const char* meaning, std::uint32_t fallback) {
         return std::make_unique<TCLAP::ValueArg<std::uint32_t>>("", flag, meaning, false, fallback, "number", line);
     };
-    const auto threads = number("threads", "Requests open at once at most", options.threads);
-    const auto tokens = number("tokens", "Tokens of an answer", options.tokens);
-    const auto promptBytes = number("prompt-bytes", "Size of a prompt", options.promptBytes);
-    const auto prefixes = number("prefixes", "Shared beginnings a workspace", 0);
-    const auto prefixBytes = number("prefix-bytes", "Size of a shared beginning", options.prefixBytes);
-    const auto timeout = number("timeout-ms", "Timeout of a request", options.timeoutMs);
-    const auto seed = number("seed", "Seed", 1);
-    TCLAP::SwitchArg timeline("", "timeline", "Report when each request ended", line);
+    const auto threads = numberArg("threads", "Maximum number of requests in flight", options.threads);
+    const auto tokens = numberArg("tokens", "Tokens per answer", options.tokens);
+    const auto promptBytes = numberArg("prompt-bytes", "Minimum size of a prompt in bytes", options.promptBytes);
+    const auto prefixes = numberArg("prefixes", "Shared prompt prefixes per workspace; 0: none", 0);
+    const auto prefixBytes = numberArg("prefix-bytes", "Size of a shared prefix in bytes", options.prefixBytes);
+    const auto timeout = numberArg("timeout-ms", "Timeout of a request in ms", options.timeoutMs);
+    const auto seed = numberArg("seed", "Seed of the schedule", 1);
+    TCLAP::SwitchArg timeline("", "timeline", "Report the time and success of each request", line);
     line.parse(argc, argv);
     options.entries = split(entries.getValue());
     options.workspaces = split(workspaces.getValue());
@@ -340,7 +350,7 @@
     options.jsonFile = file.getValue();
     options.rate = rate.getValue();
     options.seconds = seconds.getValue();
-    options.highPart = high.getValue();
+    options.highPriorityShare = high.getValue();
     options.threads = threads->getValue();
     options.tokens = tokens->getValue();
     options.promptBytes = promptBytes->getValue();
@@ -360,11 +370,11 @@
     const load_options options = readOptions(argc, argv);
     for (const auto& entry : options.entries) {
         if (!entry.starts_with("127.")) {
-            std::cerr << "load goes to loopback only\n";
+            std::cerr << "entries must be loopback addresses (127.0.0.0/8)\n";
             return 2;
         }
     }
-    const json report = load_run(options).run();
+    const json report = load_generator(options).run();
     std::cout << report.dump() << "\n";
     if (!options.jsonFile.empty())
         std::ofstream(options.jsonFile) << report.dump(2) << "\n";
--- a/tools/stand_in_target.cpp
+++ b/tools/stand_in_target.cpp
@@ -1,7 +1,8 @@
 /// @file
-/// @brief Plays a target of any kind, with speed, slots, a prefix cache and faults to order.
+/// @brief Stand-in for a target of any kind, with configurable speed, batch slots, prefix cache and fault injection.
 ///
-/// It logs every execution as a line of JSON; that log is the judge in all tests of "exactly once".
+/// It logs every execution as a line of JSON. The tests of exactly-once execution compare that log with the callers'
+/// answers.
 #include "stand_in_execution_log.hpp"
 #include "stand_in_model.hpp"
 #include "stand_in_prefix_cache.hpp"
@@ -36,21 +37,21 @@
     std::string address;
     std::string name;
     std::string logFile;
-    std::uint32_t tokenMs = 5;
-    std::uint32_t prefillUsPerByte = 0;
-    std::uint32_t slots = 4;
+    std::uint32_t tokenMs = 5; ///< time for a token or an engine step
+    std::uint32_t prefillUsPerByte = 0; ///< for prompts whose prefix isn't cached
+    std::uint32_t slots = 4; ///< requests that run concurrently
     std::uint32_t layers = 8;
     std::uint32_t cacheEntries = 64;
-    std::uint32_t reportLagMs = 0;
-    std::uint32_t serviceMs = 2;
-    std::uint32_t loadMs = 200;
-    bool checksFences = true;
-    bool answersTwice = false;
-    std::uint32_t answerLateMs = 0;
-    std::uint32_t cacheEventLagMs = 500;
-    std::uint32_t cacheEventGap = 7; ///< each so-manieth cache event is never told
-    std::uint32_t stallAfter = 0; ///< 0: never; else before that token
-    std::uint32_t dieAfter = 0;
+    std::uint32_t reportLagMs = 0; ///< the load report is refreshed only when this time has passed
+    std::uint32_t serviceMs = 2; ///< time for a service call
+    std::uint32_t loadMs = 200; ///< time to load a version
+    bool checksFences = true; ///< false: carries out load orders with an old fencing number
+    bool answersTwice = false; ///< repeats all tokens of an answer after the last one
+    std::uint32_t answerLateMs = 0; ///< delay between the response head and the first token
+    std::uint32_t cacheEventLagMs = 500; ///< age at which cache events become visible
+    std::uint32_t cacheEventSkipInterval = 7; ///< every n-th cache event is never published; 0: none
+    std::uint32_t stallAfter = 0; ///< stalls before this token (counted from 1) and each later one; 0: never
+    std::uint32_t dieAfter = 0; ///< kills its own process before this token (counted from 1); 0: never
 };
 
 class stand_in_target {
@@ -71,29 +72,29 @@
         else if (path.ends_with("/generate_stream"))
             complete(request, exchange, "text_input", true);
         else if (path == "/engine/step")
-            step(request, exchange);
+            executeStep(request, exchange);
         else if (path == "/engine/close")
-            close(request, exchange);
+            closeRequest(request, exchange);
         else if (path == "/engine/state" || path.ends_with("/stats"))
-            respond(exchange, 200, state());
+            respond(exchange, 200, loadReport());
         else if (path == "/engine/order")
-            load(request, exchange);
+            loadVersion(request, exchange);
         else if (path == "/engine/cache_events")
             respond(exchange, 200,
                 m_cache.events(buckthornrail::boot_clock::now(), milliseconds(m_options.cacheEventLagMs),
-                    m_options.cacheEventGap));
+                    m_options.cacheEventSkipInterval));
         else if (path == "/engine/loaded")
-            respond(exchange, 200, loaded());
+            respond(exchange, 200, loadedVersion());
         else if (path == "/cancel")
             cancel(request, exchange);
         else if (path == "/stand_in/fault")
-            order(request, exchange);
+            injectFault(request, exchange);
         else if (path == "/metrics")
             exchange.respond(200, {}, metricsText());
         else if (path == "/health" || path == "/healthz" || path.ends_with("/ready"))
             respond(exchange, m_ready ? 200 : 503, json::object());
         else
-            service(request, exchange);
+            serveCall(request, exchange);
     }
 
 private:
@@ -103,14 +104,15 @@
             body.dump(-1, ' ', false, json::error_handler_t::replace));
     }
 
-    static void wait(std::uint64_t microseconds)
+    static void sleepUs(std::uint64_t microseconds)
     {
         std::this_thread::sleep_for(std::chrono::microseconds(microseconds));
     }
 
-    /// Faults to order: {"token_ms":..,"stall_after":..,"die_after":..,"ready":..,"service_ms":..,
+    /// @brief Sets the fault settings that the body names; the others stay. Fields:
+    /// {"token_ms":..,"stall_after":..,"die_after":..,"ready":..,"service_ms":..,
     /// "answers_twice":..,"answer_late_ms":..}
-    void order(const http_request& request, http_exchange& exchange)
+    void injectFault(const http_request& request, http_exchange& exchange)
     {
         const json body = json::parse(request.body, nullptr, false);
         m_options.tokenMs = body.value("token_ms", m_options.tokenMs);
@@ -123,8 +125,8 @@
         respond(exchange, 200, json::object());
     }
 
-    /// An order to load a version; with an old fencing number it is refused, or carried out all the same.
-    void load(const http_request& request, http_exchange& exchange)
+    /// @brief Loads a version of a model. An order with an old fencing number is refused when fences are checked.
+    void loadVersion(const http_request& request, http_exchange& exchange)
     {
         const json body = json::parse(request.body, nullptr, false);
         const auto fence = body.value("fence", std::uint64_t { 0 });
@@ -137,7 +139,7 @@
             m_highestFence = std::max(m_highestFence, fence);
         }
         log({ { "event", "load_begun" }, { "fence", fence } });
-        wait(std::uint64_t { m_options.loadMs } * 1000);
+        sleepUs(std::uint64_t { m_options.loadMs } * 1000);
         const std::scoped_lock lock(m_mutex);
         m_model = body.value("model", "");
         m_version = body.value("version", "");
@@ -145,45 +147,46 @@
         respond(exchange, 200, json::object());
     }
 
-    json loaded()
+    json loadedVersion()
     {
         const std::scoped_lock lock(m_mutex);
         return { { "model", m_model }, { "version", m_version } };
     }
 
-    json state()
+    json loadReport()
     {
-        const auto [running, waiting] = reported();
+        const auto [running, waiting] = reportedLoad();
         return { { "ready", m_ready.load() }, { "running", running }, { "waiting", waiting }, { "executing", running },
             { "pending", waiting } };
     }
 
     std::string metricsText()
     {
-        const auto [running, waiting] = reported();
+        const auto [running, waiting] = reportedLoad();
         return "num_requests_running " + std::to_string(running) + "\nnum_requests_waiting " + std::to_string(waiting)
             + "\n";
     }
 
-    /// Load as it was when the lag began.
-    std::pair<std::uint32_t, std::uint32_t> reported()
+    /// @brief Running and waiting requests as of the last refresh, which is at most the report lag ago.
+    std::pair<std::uint32_t, std::uint32_t> reportedLoad()
     {
         const std::scoped_lock lock(m_mutex);
         const steady_time now = buckthornrail::boot_clock::now();
         if (now >= m_reportDeadline) {
-            m_reported = m_slots.counts();
+            m_reportedLoad = m_slots.counts();
             m_reportDeadline = now + milliseconds(m_options.reportLagMs);
         }
-        return m_reported;
+        return m_reportedLoad;
     }
 
     void log(json row)
     {
         row["target"] = m_options.name;
-        m_log.add(row);
+        m_log.append(row);
     }
 
-    /// Stops here, for good or for a while, when a fault was ordered for this token.
+    /// @brief Kills this process or sleeps 30 s when a fault is set for this token.
+    /// @param token counted from 0
     void applyFault(std::uint32_t token) const
     {
         if (m_options.dieAfter != 0 && token + 1 >= m_options.dieAfter)
@@ -223,17 +226,17 @@
             = isKServe ? body["parameters"].value("max_tokens", 16U) : body.value("max_tokens", 16U);
         const std::string id = request.header("X-Request-Id").value_or("");
         const std::string attempt = request.header("X-Attempt").value_or("0");
-        m_slots.take();
+        m_slots.acquire();
         log({ { "event", "run" }, { "request", id }, { "attempt", std::stoul(attempt) } });
         if (!m_cache.touch(text))
-            wait(std::uint64_t { m_options.prefillUsPerByte } * text.size());
+            sleepUs(std::uint64_t { m_options.prefillUsPerByte } * text.size());
         exchange.beginStream(200, { { "Content-Type", "text/event-stream" } });
-        wait(std::uint64_t { m_options.answerLateMs } * 1000);
+        sleepUs(std::uint64_t { m_options.answerLateMs } * 1000);
         bool alive = true;
         std::vector<std::string> answer;
         for (std::uint32_t token = 0; token < limit && alive; ++token) {
             applyFault(token);
-            wait(std::uint64_t { m_options.tokenMs } * 1000);
+            sleepUs(std::uint64_t { m_options.tokenMs } * 1000);
             const std::string word = stand_in::tokenOf(stand_in::runLayers(stand_in::embed(text), 0, m_options.layers));
             text += word;
             const bool last = token + 1 == limit;
@@ -245,7 +248,7 @@
         if (alive && !isKServe)
             exchange.writeChunk("data: [DONE]\n\n");
         exchange.endStream();
-        m_slots.give();
+        m_slots.release();
         log({ { "event", alive ? "done" : "stopped" }, { "request", id }, { "attempt", std::stoul(attempt) } });
     }
 
@@ -257,7 +260,7 @@
         return { { "choices", json::array({ { { "text", word }, { "finish_reason", reason } } }) } };
     }
 
-    void step(const http_request& request, http_exchange& exchange)
+    void executeStep(const http_request& request, http_exchange& exchange)
     {
         const json body = json::parse(request.body, nullptr, false);
         const std::string id = body.value("request", "");
@@ -268,13 +271,13 @@
         log({ { "event", "step" }, { "request", id }, { "generation", body.value("generation", 0U) },
             { "token", token }, { "first_layer", first }, { "end_layer", end } });
         applyFault(token);
-        m_slots.take();
-        wait(std::uint64_t { m_options.tokenMs } * 1000);
-        m_slots.give();
+        m_slots.acquire();
+        sleepUs(std::uint64_t { m_options.tokenMs } * 1000);
+        m_slots.release();
         std::uint64_t value = 0;
         if (first == 0) {
             const std::scoped_lock lock(m_mutex);
-            auto& text = m_texts[id + "/" + std::to_string(body.value("generation", 0U))];
+            auto& text = m_stageTexts[id + "/" + std::to_string(body.value("generation", 0U))];
             text = token == 0 ? input : text + input;
             value = stand_in::embed(text);
         } else {
@@ -290,28 +293,28 @@
             { { "output", stand_in::tokenOf(value) }, { "last", last }, { "finish_reason", last ? "length" : "" } });
     }
 
-    void close(const http_request& request, http_exchange& exchange)
+    void closeRequest(const http_request& request, http_exchange& exchange)
     {
         const json body = json::parse(request.body, nullptr, false);
         const std::string id = body.value("request", "") + "/";
         const std::scoped_lock lock(m_mutex);
-        std::erase_if(m_texts, [&id](const auto& item) { return item.first.starts_with(id); });
+        std::erase_if(m_stageTexts, [&id](const auto& item) { return item.first.starts_with(id); });
         respond(exchange, 200, json::object());
     }
 
-    void service(const http_request& request, http_exchange& exchange)
+    void serveCall(const http_request& request, http_exchange& exchange)
     {
-        m_slots.take();
+        m_slots.acquire();
         log({ { "event", "call" }, { "request", request.header("X-Request-Id").value_or("") },
             { "attempt", std::stoul(request.header("X-Attempt").value_or("0")) }, { "method", request.method },
             { "path", request.path }, { "body", request.body } });
         applyFault(0);
-        wait(std::uint64_t { m_options.serviceMs } * 1000);
-        m_slots.give();
+        sleepUs(std::uint64_t { m_options.serviceMs } * 1000);
+        m_slots.release();
         exchange.respond(request.method == "POST" ? 201 : 200,
             { { "Content-Type", "application/json" }, { "X-Service", m_options.name } },
             json({ { "service", m_options.name }, { "method", request.method }, { "path", request.path },
-                     { "query", request.query }, { "number", ++m_calls }, { "body", request.body } })
+                     { "query", request.query }, { "number", ++m_callCount }, { "body", request.body } })
                 .dump());
     }
 
@@ -321,35 +324,36 @@
     prefix_cache m_cache;
     std::mutex m_mutex;
     std::set<std::string> m_cancelled;
-    std::map<std::string, std::string> m_texts; ///< what stage 0 has seen of each request and generation
-    std::pair<std::uint32_t, std::uint32_t> m_reported;
+    std::map<std::string, std::string> m_stageTexts; ///< text so far at layer 0, by "request/generation"
+    std::pair<std::uint32_t, std::uint32_t> m_reportedLoad;
     steady_time m_reportDeadline {};
     std::uint64_t m_highestFence = 0;
     std::string m_model;
     std::string m_version;
     std::atomic<bool> m_ready { true };
-    std::atomic<std::uint64_t> m_calls { 0 };
+    std::atomic<std::uint64_t> m_callCount { 0 };
 };
 
 stand_in_options readOptions(int argc, char** argv)
 {
     stand_in_options options;
-    TCLAP::CmdLine line("Plays a target.", ' ', "0.1.0");
-    TCLAP::ValueArg<std::string> address("", "address", "Where to listen", true, "", "IP:port", line);
+    TCLAP::CmdLine line("Stand-in for a target, for tests and demos.", ' ', "0.1.0");
+    TCLAP::ValueArg<std::string> address("", "address", "Address to listen on", true, "", "IP:port", line);
     TCLAP::ValueArg<std::string> name("", "name", "Name in the execution log", false, "target", "name", line);
     TCLAP::ValueArg<std::string> log("", "log", "Execution log", false, "", "file", line);
-    const auto number = [&line](const char* flag, const char* meaning, std::uint32_t fallback) {
+    const auto numberArg = [&line](const char* flag, const char* meaning, std::uint32_t fallback) {
         return std::make_unique<TCLAP::ValueArg<std::uint32_t>>("", flag, meaning, false, fallback, "number", line);
     };
-    const auto tokenMs = number("token-ms", "Time for a token or a step", options.tokenMs);
-    const auto prefill = number("prefill-us-per-byte", "Prefill of a prompt that isn't cached", 0);
-    const auto slots = number("slots", "Requests at once", options.slots);
-    const auto layers = number("layers", "Layers of the model", options.layers);
-    const auto cache = number("cache", "Prompt prefixes kept", options.cacheEntries);
-    const auto lag = number("report-lag-ms", "Age of load reports", 0);
-    const auto serviceMs = number("service-ms", "Time for a service call", options.serviceMs);
-    const auto loadMs = number("load-ms", "Time to load a version", options.loadMs);
-    TCLAP::SwitchArg ignoresFences("", "ignore-fences", "Carry out orders whatever their fencing number", line);
+    const auto tokenMs = numberArg("token-ms", "Time for a token or an engine step in ms", options.tokenMs);
+    const auto prefill
+        = numberArg("prefill-us-per-byte", "Prefill time per byte of a prompt that isn't cached, in us", 0);
+    const auto slots = numberArg("slots", "Requests that run concurrently", options.slots);
+    const auto layers = numberArg("layers", "Layers of the model", options.layers);
+    const auto cache = numberArg("cache", "Capacity of the prefix cache in entries", options.cacheEntries);
+    const auto lag = numberArg("report-lag-ms", "Interval at which load reports are refreshed, in ms", 0);
+    const auto serviceMs = numberArg("service-ms", "Time for a service call in ms", options.serviceMs);
+    const auto loadMs = numberArg("load-ms", "Time to load a version in ms", options.loadMs);
+    TCLAP::SwitchArg ignoresFences("", "ignore-fences", "Carry out load orders with an old fencing number", line);
     line.parse(argc, argv);
     options.loadMs = loadMs->getValue();
     options.checksFences = !ignoresFences.getValue();
