--- a/tests/gateway_process_test.cpp
+++ b/tests/gateway_process_test.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr seconds patience { 15 };
+constexpr seconds waitTimeout { 15 };
 
 /// Runs of one request at targets.
-std::size_t runsOf(gateway_world& world, const std::string& requestId)
+std::size_t executionCount(gateway_world& world, const std::string& requestId)
 {
     std::size_t count = 0;
     for (const auto& run : world.fleet().runs())
@@ -23,7 +23,7 @@
     return count;
 }
 
-bool answers(gateway_world& world, const std::string& gateway, const std::string& route, int status)
+bool answersWith(gateway_world& world, const std::string& gateway, const std::string& route, int status)
 {
     static std::size_t number = 0;
     const std::string id = "probe-" + std::to_string(++number);
@@ -46,10 +46,10 @@
         const auto plain = world.call(gateway, "POST", "/unsafe/a?b=c", "u-" + gateway);
         CHECK(plain.status == 200);
         CHECK(plain.body == stand_in_fleet::plainBody("/unsafe/a?b=c"));
-        CHECK(runsOf(world, "u-" + gateway) == 1);
+        CHECK(executionCount(world, "u-" + gateway) == 1);
         CHECK(world.call(gateway, "GET", "/nowhere/x", "n-" + gateway).status == 404);
         CHECK(world.call(gateway, "GET", "/safe/x", "k-" + gateway, seconds(5), "wrong").status == 401);
-        CHECK(runsOf(world, "k-" + gateway) == 0);
+        CHECK(executionCount(world, "k-" + gateway) == 0);
         CHECK(world.readyStatus(gateway) == 200);
     }
     for (const auto& run : world.fleet().runs())
@@ -58,13 +58,13 @@
     // A newer document is in force on every gateway; an older one changes nothing; what is invalid is refused.
     REQUIRE(world.publish(5, world.registries()[1], "added") == 200);
     for (const auto& gateway : world.gateways())
-        CHECK(waitUntil([&] { return answers(world, gateway, "added", 200); }, seconds(2)));
+        CHECK(waitUntil([&] { return answersWith(world, gateway, "added", 200); }, seconds(2)));
     CHECK(world.publish(4, world.registries()[2]) == 200);
     CHECK(world.publish(5, world.registries()[0], "other") == 409);
     CHECK(world.publish(5, world.registries()[0], "added") == 200);
     for (const auto& registry : world.registries())
         CHECK(world.readVersion(registry) == 5U);
-    CHECK(answers(world, world.gateways()[0], "added", 200));
+    CHECK(answersWith(world, world.gateways()[0], "added", 200));
 }
 
 TEST_CASE("gateway: streams outlive targets that crash or go silent", "[gateway_process]")
@@ -96,7 +96,7 @@
             CHECK(result.body == gateway_world::streamBody("/stream/n150", 150));
         }
         world.fleet().restart(victim);
-        CHECK(waitUntil([&] { return world.fleet().hasChain("d1") && world.fleet().hasChain("d2"); }, patience));
+        CHECK(waitUntil([&] { return world.fleet().hasChain("d1") && world.fleet().hasChain("d2"); }, waitTimeout));
     }
 }
 
@@ -110,7 +110,7 @@
         const std::string path = (at % 2 == 0 ? "/unsafe/" : "/safe/") + std::to_string(at);
         const std::string id = "f-" + std::to_string(at);
         const auto answer = world.call(world.gateways()[at % 2], "POST", path, id);
-        const std::size_t runs = runsOf(world, id);
+        const std::size_t runs = executionCount(world, id);
         INFO(path << " status " << answer.status << " runs " << runs);
         CHECK(answer.status != 0);
         if (answer.status == 200)
@@ -148,7 +148,7 @@
 
 TEST_CASE("gateway: callers that only an ending gateway is left for come back when it is up again", "[gateway_process]")
 {
-    constexpr double shortest = 0.5; // s; another gateway would take them at once
+    constexpr double minRetryAfter = 0.5; // s; another gateway would take them at once
     gateway_world world(1);
     REQUIRE(world.start());
     const std::string gateway = world.gateways()[0];
@@ -164,7 +164,7 @@
         },
         seconds(6)));
     REQUIRE_FALSE(refused.comeBack.empty());
-    CHECK(std::stod(refused.comeBack) >= shortest);
+    CHECK(std::stod(refused.comeBack) >= minRetryAfter);
     longCall.join();
     CHECK(world.waitForExit(gateway, seconds(9)) == 0);
 }
@@ -175,9 +175,9 @@
     REQUIRE(world.start());
     std::uint64_t version = 10;
     const auto publishes = [&] { return world.publishAnywhere(version, "v" + std::to_string(version)) == 200; };
-    const auto isEverywhere = [&] {
+    const auto isInForceEverywhere = [&] {
         for (const auto& gateway : world.gateways()) {
-            if (!answers(world, gateway, "v" + std::to_string(version), 200))
+            if (!answersWith(world, gateway, "v" + std::to_string(version), 200))
                 return false;
         }
         return true;
@@ -187,28 +187,28 @@
     REQUIRE(publishes());
     world.killHard(first);
     ++version;
-    CHECK(waitUntil(publishes, patience));
-    CHECK(waitUntil(isEverywhere, patience));
+    CHECK(waitUntil(publishes, waitTimeout));
+    CHECK(waitUntil(isInForceEverywhere, waitTimeout));
     world.startProcess(first);
-    CHECK(waitUntil([&] { return world.readVersion(first) == version; }, patience));
+    CHECK(waitUntil([&] { return world.readVersion(first) == version; }, waitTimeout));
 
     const std::string second = world.leader();
     REQUIRE_FALSE(second.empty());
     world.killHard(second);
     world.loseDisk(second);
     world.startProcess(second);
-    CHECK(waitUntil([&] { return world.readVersion(second) == version; }, patience));
+    CHECK(waitUntil([&] { return world.readVersion(second) == version; }, waitTimeout));
 
     for (const auto& name : world.registries())
         world.killHard(name);
-    CHECK(answers(world, world.gateways()[0], "v" + std::to_string(version), 200)); // gateways go on without them
+    CHECK(answersWith(world, world.gateways()[0], "v" + std::to_string(version), 200)); // gateways go on without them
     for (const auto& name : world.registries())
         world.startProcess(name);
     for (const auto& name : world.registries())
-        CHECK(waitUntil([&] { return world.readVersion(name) == version; }, patience));
+        CHECK(waitUntil([&] { return world.readVersion(name) == version; }, waitTimeout));
     ++version;
-    CHECK(waitUntil(publishes, patience));
-    CHECK(waitUntil(isEverywhere, patience));
+    CHECK(waitUntil(publishes, waitTimeout));
+    CHECK(waitUntil(isInForceEverywhere, waitTimeout));
 }
 
 TEST_CASE("registry: a leaving target gets nothing new once that is acknowledged", "[gateway_process]")
@@ -217,7 +217,7 @@
     REQUIRE(world.start());
     const std::size_t leaving = world.plainTargets()[0];
     world.fleet().drain(leaving);
-    REQUIRE(waitUntil([&] { return world.fleet().isDrainAcknowledged(leaving); }, patience));
+    REQUIRE(waitUntil([&] { return world.fleet().isDrainAcknowledged(leaving); }, waitTimeout));
     std::this_thread::sleep_for(milliseconds(500));
     for (int at = 0; at < 60; ++at) {
         const auto answer = world.call(world.gateways()[at % 2], "POST", "/unsafe/d", "d-" + std::to_string(at));
@@ -235,24 +235,24 @@
 {
     gateway_world world(1, 4, 5);
     REQUIRE(world.start());
-    const auto isTold
+    const auto isConfigured
         = [&](const std::string& name) { return name != world.registries()[3] && name != world.registries()[4]; };
     std::string leader = world.leader();
-    for (int round = 0; round < 30 && (leader.empty() || isTold(leader)); ++round) {
+    for (int round = 0; round < 30 && (leader.empty() || isConfigured(leader)); ++round) {
         if (!leader.empty()) {
             world.killHard(leader);
-            REQUIRE(waitUntil([&] { return !world.leader().empty(); }, patience));
+            REQUIRE(waitUntil([&] { return !world.leader().empty(); }, waitTimeout));
             world.startProcess(leader);
-            REQUIRE(waitUntil([&] { return world.readVersion(leader) == 1U; }, patience));
+            REQUIRE(waitUntil([&] { return world.readVersion(leader) == 1U; }, waitTimeout));
         }
         leader = world.leader();
     }
-    REQUIRE_FALSE(isTold(leader));
+    REQUIRE_FALSE(isConfigured(leader));
     const std::string blank = world.registries()[1];
     world.killHard(blank);
     world.loseDisk(blank);
     world.startProcess(blank);
-    CHECK(waitUntil([&] { return world.readVersion(blank) == 1U; }, patience));
+    CHECK(waitUntil([&] { return world.readVersion(blank) == 1U; }, waitTimeout));
 }
 
 TEST_CASE("registry: one that knows no leader takes no announcement", "[gateway_process]")
@@ -260,7 +260,7 @@
     gateway_world world;
     world.loseDisk(world.registries()[1]); // so that it doesn't form a log
     world.startProcess(world.registries()[1]);
-    REQUIRE(waitUntil([&] { return world.announceTo(world.registries()[1]) != 0; }, patience));
+    REQUIRE(waitUntil([&] { return world.announceTo(world.registries()[1]) != 0; }, waitTimeout));
     CHECK(world.announceTo(world.registries()[1]) == 503);
 }
 
@@ -268,14 +268,14 @@
 {
     gateway_world world;
     REQUIRE(world.start());
-    const std::size_t quiet = world.plainTargets()[0];
+    const std::size_t unannounced = world.plainTargets()[0];
     const std::size_t dead = world.plainTargets()[1];
     const std::string leader = world.leader();
-    world.fleet().setAnnouncing(quiet, false);
+    world.fleet().setAnnouncing(unannounced, false);
     world.fleet().setFrozen(dead, true);
-    CHECK(waitUntil([&] { return world.targetState(leader, world.fleet().idOf(dead)) == "lost"; }, patience));
+    CHECK(waitUntil([&] { return world.targetState(leader, world.fleet().idOf(dead)) == "lost"; }, waitTimeout));
     std::this_thread::sleep_for(seconds(2));
-    CHECK(world.targetState(leader, world.fleet().idOf(quiet)) == "ready");
+    CHECK(world.targetState(leader, world.fleet().idOf(unannounced)) == "ready");
 }
 
 TEST_CASE("gateway: SIGHUP takes other addresses of controllers up and cuts nothing", "[gateway_process]")
@@ -290,7 +290,7 @@
     world.signal(world.registries()[0], SIGHUP);
     caller.join();
     CHECK(result.body == gateway_world::streamBody("/stream/n100", 100));
-    CHECK(waitUntil([&] { return world.logOf(gateway).find("settings_reloaded") != std::string::npos; }, patience));
+    CHECK(waitUntil([&] { return world.logOf(gateway).find("settings_reloaded") != std::string::npos; }, waitTimeout));
 }
 
 TEST_CASE("gateway: changes in quick succession reach gateways over the sessions that they have", "[gateway_process]")
@@ -308,7 +308,7 @@
     }
     const std::string newest = "storm" + std::to_string(last - 100);
     for (const auto& gateway : world.gateways()) {
-        CHECK(waitUntil([&] { return answers(world, gateway, newest, 200); }, patience));
+        CHECK(waitUntil([&] { return answersWith(world, gateway, newest, 200); }, waitTimeout));
         // A change that doesn't follow from what a gateway holds would end its session.
         CHECK(world.logOf(gateway).find("E608 session_lost") == std::string::npos);
     }
