--- a/tests/incident_crashing_request_test.cpp
+++ b/tests/incident_crashing_request_test.cpp
@@ -22,12 +22,12 @@
 
 namespace {
 
-constexpr seconds patience { 15 };
+constexpr seconds waitTimeout { 15 };
 /// Targets that one request may end, over all gateways together.
-constexpr std::size_t mostCrashes = 3;
-constexpr milliseconds repeatPause { 40 };
+constexpr std::size_t maxCrashes = 3;
+constexpr milliseconds retryInterval { 40 };
 
-std::size_t crashesBy(gateway_world& world, const std::string& path)
+std::size_t crashCount(gateway_world& world, const std::string& path)
 {
     const auto crashes = world.fleet().crashes();
     return static_cast<std::size_t>(
@@ -37,16 +37,16 @@
 /// Checks the number of ends; leaves the logs when it is too high.
 void checkCrashes(gateway_world& world, const std::string& path)
 {
-    const std::size_t crashes = crashesBy(world, path);
-    CHECK(crashes <= mostCrashes);
-    if (crashes > mostCrashes)
+    const std::size_t crashes = crashCount(world, path);
+    CHECK(crashes <= maxCrashes);
+    if (crashes > maxCrashes)
         WARN("logs: " << world.keepFolder());
 }
 
 /// Sends one request again and again, under new ids, from a thread of its own.
-class persistent_caller {
+class retrying_caller {
 public:
-    persistent_caller(gateway_world& world, std::string gateway, std::string method, std::string path)
+    retrying_caller(gateway_world& world, std::string gateway, std::string method, std::string path)
         : m_world(world)
         , m_gateway(std::move(gateway))
         , m_method(std::move(method))
@@ -54,14 +54,14 @@
         , m_thread([this] { run(); })
     {
     }
-    persistent_caller(const persistent_caller&) = delete;
-    persistent_caller& operator=(const persistent_caller&) = delete;
-    ~persistent_caller() { stop(); }
+    retrying_caller(const retrying_caller&) = delete;
+    retrying_caller& operator=(const retrying_caller&) = delete;
+    ~retrying_caller() { stop(); }
 
     /// @return the answers, in order
     const std::vector<caller_answer>& stop()
     {
-        m_stops = true;
+        m_isStopping = true;
         if (m_thread.joinable())
             m_thread.join();
         return m_answers;
@@ -71,10 +71,10 @@
     void run()
     {
         static std::atomic<int> number { 0 };
-        while (!m_stops) {
+        while (!m_isStopping) {
             m_answers.push_back(
                 m_world.call(m_gateway, m_method, m_path, "again-" + std::to_string(++number), seconds(3)));
-            std::this_thread::sleep_for(repeatPause);
+            std::this_thread::sleep_for(retryInterval);
         }
     }
 
@@ -82,13 +82,13 @@
     std::string m_gateway;
     std::string m_method;
     std::string m_path;
-    std::atomic<bool> m_stops { false };
+    std::atomic<bool> m_isStopping { false };
     std::vector<caller_answer> m_answers;
     std::thread m_thread;
 };
 
 /// Sends a request a few times to each gateway.
-void sendToAll(gateway_world& world, const std::string& method, const std::string& path, int times)
+void sendToAllGateways(gateway_world& world, const std::string& method, const std::string& path, int times)
 {
     static int number = 0;
     for (int at = 0; at < times; ++at) {
@@ -97,7 +97,7 @@
     }
 }
 
-bool isServingEverywhere(gateway_world& world)
+bool allGatewaysServe(gateway_world& world)
 {
     static int number = 0;
     return std::all_of(world.gateways().begin(), world.gateways().end(), [&world](const auto& gateway) {
@@ -115,9 +115,9 @@
     CAPTURE(path);
     gateway_world world(3);
     REQUIRE(world.start());
-    std::vector<std::unique_ptr<persistent_caller>> callers;
+    std::vector<std::unique_ptr<retrying_caller>> callers;
     for (const auto& gateway : world.gateways())
-        callers.push_back(std::make_unique<persistent_caller>(world, gateway, method, path));
+        callers.push_back(std::make_unique<retrying_caller>(world, gateway, method, path));
     std::this_thread::sleep_for(seconds(4));
     for (auto& caller : callers) {
         const auto& answers = caller->stop();
@@ -127,7 +127,7 @@
         CHECK(answers.back().comeBack.empty());
     }
     checkCrashes(world, path);
-    CHECK(waitUntil([&] { return isServingEverywhere(world); }, patience));
+    CHECK(waitUntil([&] { return allGatewaysServe(world); }, waitTimeout));
 }
 
 TEST_CASE("crashing request: what is known of it outlives leaders, gateways and a loss of power", "[incident]")
@@ -135,13 +135,13 @@
     const std::string path = "/stream/crash/n20";
     gateway_world world(3);
     REQUIRE(world.start());
-    sendToAll(world, "POST", path, 3);
+    sendToAllGateways(world, "POST", path, 3);
     checkCrashes(world, path);
     SECTION("the leader is killed")
     {
         const std::string leader = world.leader();
         world.killHard(leader);
-        REQUIRE(waitUntil([&] { return !world.leader().empty(); }, patience));
+        REQUIRE(waitUntil([&] { return !world.leader().empty(); }, waitTimeout));
     }
     SECTION("a gateway starts anew")
     {
@@ -150,12 +150,12 @@
     }
     SECTION("all registries and gateways are killed at once")
     {
-        for (const auto& kind : { world.registries(), world.gateways() }) {
-            for (const auto& name : kind)
+        for (const auto& processes : { world.registries(), world.gateways() }) {
+            for (const auto& name : processes)
                 world.signal(name, SIGKILL);
         }
-        for (const auto& kind : { world.registries(), world.gateways() }) {
-            for (const auto& name : kind) {
+        for (const auto& processes : { world.registries(), world.gateways() }) {
+            for (const auto& name : processes) {
                 (void)world.waitForExit(name, seconds(5));
                 world.startProcess(name);
             }
@@ -164,37 +164,37 @@
     SECTION("a registry loses its disk, and then all are killed")
     {
         const std::string lost = world.registries().back();
-        for (const auto& kind : { world.registries(), world.gateways() }) {
-            for (const auto& name : kind)
+        for (const auto& processes : { world.registries(), world.gateways() }) {
+            for (const auto& name : processes)
                 world.signal(name, SIGKILL);
         }
-        for (const auto& kind : { world.registries(), world.gateways() }) {
-            for (const auto& name : kind)
+        for (const auto& processes : { world.registries(), world.gateways() }) {
+            for (const auto& name : processes)
                 (void)world.waitForExit(name, seconds(5));
         }
         world.loseDisk(lost);
-        for (const auto& kind : { world.registries(), world.gateways() }) {
-            for (const auto& name : kind)
+        for (const auto& processes : { world.registries(), world.gateways() }) {
+            for (const auto& name : processes)
                 world.startProcess(name);
         }
     }
-    REQUIRE(waitUntil([&] { return isServingEverywhere(world); }, patience));
-    sendToAll(world, "POST", path, 3);
+    REQUIRE(waitUntil([&] { return allGatewaysServe(world); }, waitTimeout));
+    sendToAllGateways(world, "POST", path, 3);
     checkCrashes(world, path);
 }
 
 TEST_CASE("crashing request: the same innocent one, asked for by many, is served while targets crash", "[incident]")
 {
     constexpr std::size_t enginesPerDomain = 4;
-    constexpr milliseconds longestRefusal { 3000 };
+    constexpr milliseconds maxRefusalTime { 3000 };
     const std::string path = "/stream/hot/n20";
     const auto body = gateway_world::streamBody(path, 20);
     gateway_world world(3, enginesPerDomain);
     REQUIRE(world.start());
-    std::vector<std::unique_ptr<persistent_caller>> callers;
+    std::vector<std::unique_ptr<retrying_caller>> callers;
     for (int at = 0; at < 4; ++at) {
         for (const auto& gateway : world.gateways())
-            callers.push_back(std::make_unique<persistent_caller>(world, gateway, "POST", path));
+            callers.push_back(std::make_unique<retrying_caller>(world, gateway, "POST", path));
     }
     std::this_thread::sleep_for(milliseconds(500));
     // A sixth of the engines at one moment, twice, each time among them those at which paths begin.
@@ -213,10 +213,10 @@
         // Refused for a moment at most, and never with a final answer.
         CHECK(std::none_of(answers.begin(), answers.end(), [](const auto& one) { return one.status == 400; }));
         CHECK(isServed(answers.back()));
-        std::size_t inRow = 0;
+        std::size_t consecutiveRefusals = 0;
         for (const auto& one : answers) {
-            inRow = isServed(one) ? 0 : inRow + 1;
-            CHECK(inRow * repeatPause < longestRefusal);
+            consecutiveRefusals = isServed(one) ? 0 : consecutiveRefusals + 1;
+            CHECK(consecutiveRefusals * retryInterval < maxRefusalTime);
         }
     }
 }
@@ -226,14 +226,14 @@
     const std::string path = "/stream/crash/n20";
     gateway_world world(3);
     REQUIRE(world.start());
-    std::vector<std::unique_ptr<persistent_caller>> callers;
+    std::vector<std::unique_ptr<retrying_caller>> callers;
     for (int at = 0; at < 3; ++at) {
         for (const auto& gateway : world.gateways())
-            callers.push_back(std::make_unique<persistent_caller>(
+            callers.push_back(std::make_unique<retrying_caller>(
                 world, gateway, "POST", "/stream/other/" + std::to_string(at) + "/n60"));
     }
     std::this_thread::sleep_for(milliseconds(300));
-    sendToAll(world, "POST", path, 3);
+    sendToAllGateways(world, "POST", path, 3);
     for (auto& caller : callers) {
         const auto& answers = caller->stop();
         // Streams that were cut off with a target have gone on elsewhere.
@@ -250,8 +250,8 @@
     CHECK(world.control(registry, "DELETE", "/quarantine/" + std::string(32, '0')).status == 404);
     CHECK(world.control(registry, "DELETE", "/quarantine/all").status == 200);
     CHECK(world.control(registry, "GET", "/quarantine").body == R"({"requests":[]})");
-    const std::size_t before = crashesBy(world, path);
-    REQUIRE(waitUntil([&] { return isServingEverywhere(world); }, patience));
-    sendToAll(world, "POST", path, 1);
-    CHECK(crashesBy(world, path) > before); // it may run again
+    const std::size_t before = crashCount(world, path);
+    REQUIRE(waitUntil([&] { return allGatewaysServe(world); }, waitTimeout));
+    sendToAllGateways(world, "POST", path, 1);
+    CHECK(crashCount(world, path) > before); // it may run again
 }
