--- a/tests/incident_large_change_test.cpp
+++ b/tests/incident_large_change_test.cpp
@@ -20,15 +20,15 @@
 
 namespace {
 
-constexpr seconds patience { 15 };
+constexpr seconds waitTimeout { 15 };
 
-bool serves(gateway_world& world, const std::string& gateway, const std::string& route)
+bool servesRoute(gateway_world& world, const std::string& gateway, const std::string& route)
 {
     static std::size_t number = 0;
     return world.call(gateway, "GET", "/" + route + "/x", "probe-" + std::to_string(++number)).status == 200;
 }
 
-document_options manyRoutes(const std::string& extraRoute)
+document_options manyRoutesDocument(const std::string& extraRoute)
 {
     document_options options;
     options.extraRoute = extraRoute;
@@ -37,7 +37,7 @@
 }
 
 /// A document of which no compression makes less than 150 KB.
-document_options longRoutes(const std::string& extraRoute)
+document_options incompressibleDocument(const std::string& extraRoute)
 {
     document_options options;
     options.extraRoute = extraRoute;
@@ -46,7 +46,7 @@
     return options;
 }
 
-bool logHas(gateway_world& world, const std::string& process, const std::string& event)
+bool logContains(gateway_world& world, const std::string& process, const std::string& event)
 {
     return world.logOf(process).find(event) != std::string::npos;
 }
@@ -57,20 +57,20 @@
 {
     // The whole text to four gateways takes four seconds at this rate; one route, milliseconds.
     constexpr std::uint64_t linkRate = 300'000;
-    constexpr seconds bound { 2 };
+    constexpr seconds maxDelay { 2 };
     gateway_world world(4);
     REQUIRE(world.start());
     const std::string leader = world.leader();
-    REQUIRE(world.publish(10, leader, manyRoutes("before")) == 200);
+    REQUIRE(world.publish(10, leader, manyRoutesDocument("before")) == 200);
     for (const auto& gateway : world.gateways())
-        REQUIRE(waitUntil([&] { return serves(world, gateway, "before"); }, patience));
+        REQUIRE(waitUntil([&] { return servesRoute(world, gateway, "before"); }, waitTimeout));
     world.linkRelay(leader).setRate(linkRate);
-    REQUIRE(world.publish(11, leader, manyRoutes("after")) == 200);
-    const auto deadline = buckthornrail::boot_clock::now() + bound;
+    REQUIRE(world.publish(11, leader, manyRoutesDocument("after")) == 200);
+    const auto deadline = buckthornrail::boot_clock::now() + maxDelay;
     for (const auto& gateway : world.gateways()) {
-        const auto left = std::chrono::duration_cast<milliseconds>(deadline - buckthornrail::boot_clock::now());
-        CHECK(waitUntil([&] { return serves(world, gateway, "after"); }, left));
-        CHECK_FALSE(logHas(world, gateway, "E608 session_lost"));
+        const auto remaining = std::chrono::duration_cast<milliseconds>(deadline - buckthornrail::boot_clock::now());
+        CHECK(waitUntil([&] { return servesRoute(world, gateway, "after"); }, remaining));
+        CHECK_FALSE(logContains(world, gateway, "E608 session_lost"));
     }
 }
 
@@ -80,15 +80,15 @@
     gateway_world world(2);
     REQUIRE(world.start());
     const std::string leader = world.leader();
-    const std::string late = world.gateways()[1];
-    world.killHard(late);
-    REQUIRE(waitUntil([&] { return world.publish(10, leader, longRoutes("long")) == 200; }, patience));
-    REQUIRE(waitUntil([&] { return serves(world, world.gateways()[0], "long"); }, patience));
+    const std::string restarted = world.gateways()[1];
+    world.killHard(restarted);
+    REQUIRE(waitUntil([&] { return world.publish(10, leader, incompressibleDocument("long")) == 200; }, waitTimeout));
+    REQUIRE(waitUntil([&] { return servesRoute(world, world.gateways()[0], "long"); }, waitTimeout));
     for (const auto& registry : world.registries())
         world.linkRelay(registry).setRate(linkRate);
-    world.startProcess(late);
-    CHECK(waitUntil([&] { return world.readyStatus(late) == 200; }, seconds(8)));
-    CHECK_FALSE(logHas(world, late, "E608 session_lost"));
+    world.startProcess(restarted);
+    CHECK(waitUntil([&] { return world.readyStatus(restarted) == 200; }, seconds(8)));
+    CHECK_FALSE(logContains(world, restarted, "E608 session_lost"));
     CHECK(world.leader() == leader);
 }
 
@@ -103,11 +103,11 @@
             world.linkRelay(registry).setRate(linkRate);
     }
     // The call may end before: whether it was committed isn't known then.
-    (void)world.publish(10, leader, longRoutes("long"));
+    (void)world.publish(10, leader, incompressibleDocument("long"));
     CHECK(waitUntil([&] { return world.readVersion(leader) == 10U; }, seconds(8)));
     CHECK(world.leader() == leader);
-    CHECK_FALSE(logHas(world, leader, "E401 leader_lost"));
-    CHECK(waitUntil([&] { return serves(world, world.gateways()[0], "long"); }, patience));
+    CHECK_FALSE(logContains(world, leader, "E401 leader_lost"));
+    CHECK(waitUntil([&] { return servesRoute(world, world.gateways()[0], "long"); }, waitTimeout));
 }
 
 TEST_CASE("large change: a command on its way to the leader isn't sent once more behind itself", "[incident]")
@@ -118,8 +118,8 @@
     const std::string leader = world.leader();
     const std::string other = world.registries()[leader == world.registries()[0] ? 1 : 0];
     world.linkRelay(leader).setRate(linkRate);
-    (void)world.publish(10, other, longRoutes("long"));
+    (void)world.publish(10, other, incompressibleDocument("long"));
     CHECK(waitUntil([&] { return world.readVersion(leader) == 10U; }, seconds(8)));
-    CHECK_FALSE(logHas(world, other, "E406 command_forwarded_again"));
+    CHECK_FALSE(logContains(world, other, "E406 command_forwarded_again"));
     CHECK(world.leader() == leader);
 }
