--- a/tests/incident_named_limit_test.cpp
+++ b/tests/incident_named_limit_test.cpp
@@ -22,7 +22,7 @@
 
 constexpr std::size_t gatewayCount = 5;
 
-std::size_t countSince(gateway_world& world, std::size_t target, clock_type::time_point from)
+std::size_t arrivalsSince(gateway_world& world, std::size_t target, clock_type::time_point from)
 {
     const auto arrivals = world.fleet().arrivalsAt(target);
     return static_cast<std::size_t>(
@@ -30,11 +30,11 @@
 }
 
 /// Checks that a target got no more than it takes; leaves the logs otherwise.
-void checkHeld(gateway_world& world, std::size_t target, double perSecond, clock_type::time_point from)
+void checkLimitKept(gateway_world& world, std::size_t target, double perSecond, clock_type::time_point from)
 {
-    const auto most = mostInWindow(world.fleet().arrivalsAt(target), from);
-    CHECK(static_cast<double>(most) <= allowedUnder(perSecond));
-    if (static_cast<double>(most) > allowedUnder(perSecond))
+    const auto maxArrivals = mostInWindow(world.fleet().arrivalsAt(target), from);
+    CHECK(static_cast<double>(maxArrivals) <= allowedUnder(perSecond));
+    if (static_cast<double>(maxArrivals) > allowedUnder(perSecond))
         WARN("logs: " << world.keepFolder());
 }
 
@@ -51,10 +51,10 @@
     busy_callers callers(world, "GET", "/safe/x");
     std::this_thread::sleep_for(seconds(1));
     world.fleet().setLimit(target, limit);
-    const auto named = clock_type::now();
+    const auto limitSetAt = clock_type::now();
     std::this_thread::sleep_for(limitSettling + seconds(7));
     callers.stop();
-    checkHeld(world, target, limit, named + limitSettling);
+    checkLimitKept(world, target, limit, limitSetAt + limitSettling);
     CHECK(callers.served() > 200);
     CHECK(callers.others() == 0);
 }
@@ -68,10 +68,10 @@
     std::this_thread::sleep_for(seconds(1));
     const auto target = busiestFirst(world);
     world.fleet().setLimit(target, 1.5);
-    const auto named = clock_type::now();
+    const auto limitSetAt = clock_type::now();
     std::this_thread::sleep_for(limitSettling + seconds(6));
     callers.stop();
-    checkHeld(world, target, 1.5, named + limitSettling);
+    checkLimitKept(world, target, 1.5, limitSetAt + limitSettling);
     CHECK(callers.served() > 100);
     CHECK(callers.others() == 0);
 }
@@ -85,7 +85,7 @@
     busy_callers callers(world, "GET", "/safe/x");
     std::this_thread::sleep_for(seconds(1));
     world.fleet().setLimit(target, 2);
-    const auto named = clock_type::now();
+    const auto limitSetAt = clock_type::now();
     std::this_thread::sleep_for(limitSettling);
     for (const std::size_t at : { 0U, 1U }) {
         world.killHard(world.gateways().at(at));
@@ -99,7 +99,7 @@
     world.startProcess(leader);
     std::this_thread::sleep_for(seconds(3));
     callers.stop();
-    checkHeld(world, target, 2, named + limitSettling);
+    checkLimitKept(world, target, 2, limitSetAt + limitSettling);
 }
 
 // Guards against callers that wait, or come back together, where every target has named a limit.
@@ -111,13 +111,13 @@
     std::this_thread::sleep_for(seconds(1));
     for (const auto target : world.plainTargets())
         world.fleet().setLimit(target, 2);
-    const auto named = clock_type::now();
+    const auto limitSetAt = clock_type::now();
     std::this_thread::sleep_for(limitSettling + seconds(6));
     callers.stop();
     // An operator asks any registry who is limited.
     const auto listed = world.control(world.registries().back(), "GET", "/pushback").body;
     for (const auto target : world.plainTargets()) {
-        checkHeld(world, target, 2, named + limitSettling);
+        checkLimitKept(world, target, 2, limitSetAt + limitSettling);
         CHECK(listed.find("\"" + world.fleet().idOf(target) + "\"") != std::string::npos);
     }
     CHECK(callers.others() > 0);
@@ -139,5 +139,5 @@
     const auto from = clock_type::now();
     std::this_thread::sleep_for(seconds(2));
     callers.stop();
-    CHECK(countSince(world, target, from) > 20);
+    CHECK(arrivalsSince(world, target, from) > 20);
 }
