--- a/tests/incident_repeats_test.cpp
+++ b/tests/incident_repeats_test.cpp
@@ -24,10 +24,10 @@
 
 namespace {
 
-constexpr seconds patience { 15 };
+constexpr seconds waitTimeout { 15 };
 
 /// Arrivals at targets beyond the first of their request.
-std::size_t repeatsSeen(gateway_world& world)
+std::size_t retryCount(gateway_world& world)
 {
     const auto arrivals = world.fleet().arrivals();
     const std::set<std::string> requests(arrivals.begin(), arrivals.end());
@@ -61,55 +61,55 @@
 TEST_CASE("repeats: gateways that are killed and come back keep to one budget", "[incident]")
 {
     constexpr std::size_t slack = 30;
-    constexpr int kills = 4;
-    constexpr int callsEachLife = 12;
+    constexpr int restarts = 4;
+    constexpr int callsPerRound = 12;
     gateway_world world(2, 4, 3, "repeat_slack = 30\nrepeat_ratio = 0\nrepeat_window_s = 60\n");
     REQUIRE(world.start());
     for (const auto target : world.plainTargets())
         world.fleet().setFaults(target, { 0, 0, 0, 1, 1 });
     int number = 0;
-    for (int life = 0; life <= kills; ++life) {
+    for (int round = 0; round <= restarts; ++round) {
         for (const auto& gateway : world.gateways()) {
-            for (int at = 0; at < callsEachLife; ++at)
+            for (int at = 0; at < callsPerRound; ++at)
                 (void)world.call(gateway, "GET", "/safe/x", "r-" + std::to_string(++number), seconds(2));
         }
-        if (life == kills)
+        if (round == restarts)
             break;
         for (const auto& gateway : world.gateways())
             world.killHard(gateway);
         for (const auto& gateway : world.gateways())
             world.startProcess(gateway);
         for (const auto& gateway : world.gateways())
-            REQUIRE(waitUntil([&] { return world.readyStatus(gateway) == 200; }, patience));
+            REQUIRE(waitUntil([&] { return world.readyStatus(gateway) == 200; }, waitTimeout));
     }
-    CHECK(repeatsSeen(world) <= slack);
+    CHECK(retryCount(world) <= slack);
 }
 
 TEST_CASE("repeats: the first gateway that a new leader meets takes no more than its part", "[incident]")
 {
     constexpr std::size_t slack = 30;
-    constexpr int callsEach = 12;
+    constexpr int callsPerGateway = 12;
     gateway_world world(4, 4, 3, "repeat_slack = 30\nrepeat_ratio = 0\nrepeat_window_s = 60\n");
     REQUIRE(world.start());
     for (const auto target : world.plainTargets())
         world.fleet().setFaults(target, { 0, 0, 0, 1, 1 });
     int number = 0;
-    const auto callAll = [&](const std::string& gateway) {
-        for (int at = 0; at < callsEach; ++at)
+    const auto sendCalls = [&](const std::string& gateway) {
+        for (int at = 0; at < callsPerGateway; ++at)
             (void)world.call(gateway, "GET", "/safe/x", "r-" + std::to_string(++number), seconds(2));
     };
     for (const auto& gateway : world.gateways())
-        callAll(gateway);
+        sendCalls(gateway);
     const std::string first = world.gateways().front();
     for (const auto& gateway : world.gateways()) {
         if (gateway != first)
             world.signal(gateway, SIGSTOP);
     }
     world.killHard(world.leader());
-    REQUIRE(waitUntil([&] { return !world.leader().empty(); }, patience));
+    REQUIRE(waitUntil([&] { return !world.leader().empty(); }, waitTimeout));
     std::this_thread::sleep_for(seconds(1)); // for the session, and a beat in it
-    callAll(first);
-    CHECK(repeatsSeen(world) <= slack);
+    sendCalls(first);
+    CHECK(retryCount(world) <= slack);
     // The four of them live: none may be told that fewer share the budget.
     CHECK(world.logOf(first).find("before=4") == std::string::npos);
     for (const auto& gateway : world.gateways())
