--- a/tests/incident_rest_test.cpp
+++ b/tests/incident_rest_test.cpp
@@ -18,10 +18,10 @@
 
 namespace {
 
-constexpr seconds patience { 15 };
-constexpr milliseconds rest { 3000 };
-constexpr milliseconds onItsWay { 500 }; ///< what was sent before the gateway could know
-constexpr std::ptrdiff_t mostDuringRest = 2;
+constexpr seconds waitTimeout { 15 };
+constexpr milliseconds retryAfter { 3000 };
+constexpr milliseconds inFlightTime { 500 }; ///< what was sent before the gateway could know
+constexpr std::ptrdiff_t maxDuringBackoff = 2;
 constexpr milliseconds drainTime { 2000 };
 
 template <typename Rows, typename TimeOf>
@@ -40,18 +40,18 @@
 }
 
 /// @return requests that came to a target while it rested, from the first one that it turned away on
-std::ptrdiff_t requestsDuringRest(gateway_world& world, std::size_t target)
+std::ptrdiff_t requestsDuringBackoff(gateway_world& world, std::size_t target)
 {
-    const auto asked = world.fleet().restAskedAt(target);
-    REQUIRE(asked);
-    return requestsBetween(world, target, *asked + onItsWay, *asked + rest);
+    const auto refusedAt = world.fleet().restAskedAt(target);
+    REQUIRE(refusedAt);
+    return requestsBetween(world, target, *refusedAt + inFlightTime, *refusedAt + retryAfter);
 }
 
 /// Checks a number of requests; leaves the logs when it is too high.
-void checkFew(gateway_world& world, std::ptrdiff_t requests, std::ptrdiff_t most)
+void checkAtMost(gateway_world& world, std::ptrdiff_t requests, std::ptrdiff_t maxRequests)
 {
-    CHECK(requests <= most);
-    if (requests > most)
+    CHECK(requests <= maxRequests);
+    if (requests > maxRequests)
         WARN("logs: " << world.keepFolder());
 }
 
@@ -67,16 +67,17 @@
     busy_callers callers(world, method, path);
     std::this_thread::sleep_for(seconds(1));
     const auto target = std::string(path) == "/safe/x" ? world.plainTargets().front() : busiestFirst(world);
-    world.fleet().setRest(target, rest);
-    REQUIRE(waitUntil([&] { return world.fleet().restAskedAt(target).has_value(); }, patience));
-    std::this_thread::sleep_for(rest - milliseconds(100));
+    world.fleet().setRest(target, retryAfter);
+    REQUIRE(waitUntil([&] { return world.fleet().restAskedAt(target).has_value(); }, waitTimeout));
+    std::this_thread::sleep_for(retryAfter - milliseconds(100));
     world.fleet().setRest(target, std::nullopt);
-    const auto over = clock_type::now() + milliseconds(200);
+    const auto backoffEnd = clock_type::now() + milliseconds(200);
     std::this_thread::sleep_for(seconds(2));
     callers.stop();
-    const auto asked = over - rest - milliseconds(100);
-    checkFew(world, requestsBetween(world, target, asked + onItsWay, over - milliseconds(300)), mostDuringRest);
-    CHECK(requestsBetween(world, target, over, over + seconds(2)) > 5);
+    const auto refusedAt = backoffEnd - retryAfter - milliseconds(100);
+    checkAtMost(world, requestsBetween(world, target, refusedAt + inFlightTime, backoffEnd - milliseconds(300)),
+        maxDuringBackoff);
+    CHECK(requestsBetween(world, target, backoffEnd, backoffEnd + seconds(2)) > 5);
     CHECK(callers.others() == 0);
 }
 
@@ -96,13 +97,13 @@
         });
     }
     std::this_thread::sleep_for(milliseconds(200));
-    world.fleet().setRest(target, rest);
-    REQUIRE(waitUntil([&] { return world.fleet().restAskedAt(target).has_value(); }, patience));
-    std::this_thread::sleep_for(rest);
+    world.fleet().setRest(target, retryAfter);
+    REQUIRE(waitUntil([&] { return world.fleet().restAskedAt(target).has_value(); }, waitTimeout));
+    std::this_thread::sleep_for(retryAfter);
     callers.stop();
     for (auto& stream : streams)
         stream.join();
-    checkFew(world, requestsDuringRest(world, target), mostDuringRest);
+    checkAtMost(world, requestsDuringBackoff(world, target), maxDuringBackoff);
 }
 
 // Guards against callers that wait, or come back too soon, where every target rests.
@@ -111,15 +112,16 @@
     gateway_world world(1);
     REQUIRE(world.start());
     for (const auto target : world.plainTargets())
-        world.fleet().setRest(target, rest);
-    const auto begun = clock_type::now();
+        world.fleet().setRest(target, retryAfter);
+    const auto startedAt = clock_type::now();
     busy_callers callers(world, "GET", "/safe/x");
-    std::this_thread::sleep_for(rest);
+    std::this_thread::sleep_for(retryAfter);
     callers.stop();
     std::ptrdiff_t requests = 0;
     for (const auto target : world.plainTargets())
-        requests += requestsBetween(world, target, begun + onItsWay, begun + rest - milliseconds(100));
-    checkFew(world, requests, mostDuringRest * static_cast<std::ptrdiff_t>(world.plainTargets().size()));
+        requests
+            += requestsBetween(world, target, startedAt + inFlightTime, startedAt + retryAfter - milliseconds(100));
+    checkAtMost(world, requests, maxDuringBackoff * static_cast<std::ptrdiff_t>(world.plainTargets().size()));
     CHECK(callers.served() == 0);
     CHECK(callers.others() > 20);
     CHECK(callers.untimed() == 0);
@@ -132,15 +134,16 @@
     REQUIRE(world.start());
     const auto target = world.engines().front();
     world.fleet().restart(target);
-    world.fleet().setRest(target, rest);
-    REQUIRE(waitUntil([&] { return world.fleet().restAskedAt(target).has_value(); }, patience));
-    const auto asked = *world.fleet().restAskedAt(target);
-    std::this_thread::sleep_until(asked + rest);
+    world.fleet().setRest(target, retryAfter);
+    REQUIRE(waitUntil([&] { return world.fleet().restAskedAt(target).has_value(); }, waitTimeout));
+    const auto refusedAt = *world.fleet().restAskedAt(target);
+    std::this_thread::sleep_until(refusedAt + retryAfter);
     const auto calls = countBetween(
-        world.fleet().callsAt(target), [](const auto at) { return at; }, asked + onItsWay, asked + rest);
-    checkFew(world, calls, mostDuringRest);
+        world.fleet().callsAt(target), [](const auto at) { return at; }, refusedAt + inFlightTime,
+        refusedAt + retryAfter);
+    checkAtMost(world, calls, maxDuringBackoff);
     world.fleet().setRest(target, std::nullopt);
-    CHECK(waitUntil([&] { return world.fleet().hasChain("d1"); }, patience));
+    CHECK(waitUntil([&] { return world.fleet().hasChain("d1"); }, waitTimeout));
     CHECK(world.targetState(world.leader(), world.fleet().idOf(target)) == "ready");
 }
 
@@ -155,10 +158,10 @@
     std::this_thread::sleep_for(seconds(1));
     const auto target = std::string(path) == "/safe/x" ? world.plainTargets().front() : busiestFirst(world);
     world.fleet().setSaysLeaving(target, true);
-    const auto said = clock_type::now();
+    const auto announcedAt = clock_type::now();
     std::this_thread::sleep_for(drainTime + seconds(3));
     callers.stop();
-    checkFew(world, requestsBetween(world, target, said + drainTime, clock_type::now()), 0);
+    checkAtMost(world, requestsBetween(world, target, announcedAt + drainTime, clock_type::now()), 0);
     CHECK(callers.others() == 0);
     CHECK(world.targetState(world.leader(), world.fleet().idOf(target)) == "draining");
 }
