--- a/tests/lost_disk_test.cpp
+++ b/tests/lost_disk_test.cpp
@@ -11,25 +11,25 @@
 
 namespace {
 
-constexpr seconds patience { 20 };
+constexpr seconds waitTimeout { 20 };
 
 /// Ends everything at one moment, and waits until it is gone.
 void killAll(gateway_world& world)
 {
-    for (const auto& kind : { world.registries(), world.gateways() }) {
-        for (const auto& name : kind)
+    for (const auto& processes : { world.registries(), world.gateways() }) {
+        for (const auto& name : processes)
             world.signal(name, SIGKILL);
     }
-    for (const auto& kind : { world.registries(), world.gateways() }) {
-        for (const auto& name : kind)
+    for (const auto& processes : { world.registries(), world.gateways() }) {
+        for (const auto& name : processes)
             (void)world.waitForExit(name, seconds(5));
     }
 }
 
 void startAll(gateway_world& world)
 {
-    for (const auto& kind : { world.registries(), world.gateways() }) {
-        for (const auto& name : kind)
+    for (const auto& processes : { world.registries(), world.gateways() }) {
+        for (const auto& name : processes)
             world.startProcess(name);
     }
 }
@@ -38,30 +38,30 @@
 
 TEST_CASE("lost disk: what was acknowledged is read back, and served, by all", "[lost_disk]")
 {
-    const std::size_t lost = GENERATE(0U, 1U, 2U);
-    CAPTURE(lost);
+    const std::size_t firstLost = GENERATE(0U, 1U, 2U);
+    CAPTURE(firstLost);
     gateway_world world(3);
     REQUIRE(world.start());
     // The first time the loser leads, or not, as it comes; the second loss follows right after the repair of the first.
-    for (std::uint64_t time = 0; time < 2; ++time) {
-        const std::uint64_t version = 10 + time;
-        const std::string route = "extra" + std::to_string(time);
-        REQUIRE(waitUntil([&] { return world.publishAnywhere(version, route) == 200; }, patience));
+    for (std::uint64_t round = 0; round < 2; ++round) {
+        const std::uint64_t version = 10 + round;
+        const std::string route = "extra" + std::to_string(round);
+        REQUIRE(waitUntil([&] { return world.publishAnywhere(version, route) == 200; }, waitTimeout));
         killAll(world);
-        world.loseDisk(world.registries()[(lost + time) % world.registries().size()]);
+        world.loseDisk(world.registries()[(firstLost + round) % world.registries().size()]);
         startAll(world);
-        const auto readsBack = [&] {
+        const auto allReadBack = [&] {
             return std::all_of(world.registries().begin(), world.registries().end(),
                 [&](const auto& name) { return world.readVersion(name) == version; });
         };
-        CHECK(waitUntil(readsBack, patience));
-        const auto isServed = [&] {
+        CHECK(waitUntil(allReadBack, waitTimeout));
+        const auto allGatewaysServe = [&] {
             return std::all_of(world.gateways().begin(), world.gateways().end(), [&](const auto& gateway) {
                 static int number = 0;
                 const std::string id = "served-" + std::to_string(++number);
                 return world.call(gateway, "GET", "/" + route + "/x", id).status == 200;
             });
         };
-        CHECK(waitUntil(isServed, patience));
+        CHECK(waitUntil(allGatewaysServe, waitTimeout));
     }
 }
