--- a/tests/session_spread_test.cpp
+++ b/tests/session_spread_test.cpp
@@ -19,17 +19,17 @@
 
 namespace {
 
-constexpr seconds patience { 15 };
+constexpr seconds waitTimeout { 15 };
 /// An acknowledged change is in force everywhere by then.
-constexpr milliseconds inForceBy { 2000 };
+constexpr milliseconds inForceTimeout { 2000 };
 
-bool hasRoute(gateway_world& world, const std::string& gateway, const std::string& route)
+bool servesRoute(gateway_world& world, const std::string& gateway, const std::string& route)
 {
     static int calls = 0;
     return world.call(gateway, "GET", "/" + route + "/x", "spread-" + std::to_string(++calls)).status == 200;
 }
 
-bool eachHasOne(gateway_world& world)
+bool eachRegistryHasOneSession(gateway_world& world)
 {
     const auto& all = world.registries();
     return std::all_of(all.begin(), all.end(), [&world](const auto& name) { return world.sessionsAt(name) == 1; });
@@ -47,7 +47,7 @@
 }
 
 /// @brief The gateway in a registry's failure domain.
-std::string gatewayOf(gateway_world& world, const std::string& registry)
+std::string gatewayInDomainOf(gateway_world& world, const std::string& registry)
 {
     const auto& all = world.registries();
     return world
@@ -60,7 +60,7 @@
 {
     gateway_world world(3);
     REQUIRE(world.start());
-    CHECK(waitUntil([&] { return eachHasOne(world); }, patience));
+    CHECK(waitUntil([&] { return eachRegistryHasOneSession(world); }, waitTimeout));
 }
 
 TEST_CASE("session spread: heartbeats go to the registry of a target's own failure domain", "[session_spread]")
@@ -74,7 +74,7 @@
         for (const auto& registry : world.registries())
             CHECK(waitUntil(
                 [&] { return world.answerToRecord(registry, "i-far", record).find(nearest) != std::string::npos; },
-                patience));
+                waitTimeout));
     }
 }
 
@@ -82,43 +82,43 @@
 {
     gateway_world world(3);
     REQUIRE(world.start());
-    REQUIRE(waitUntil([&] { return eachHasOne(world); }, patience));
+    REQUIRE(waitUntil([&] { return eachRegistryHasOneSession(world); }, waitTimeout));
     const std::string silent = follower(world);
-    const std::string gateway = gatewayOf(world, silent);
+    const std::string gateway = gatewayInDomainOf(world, silent);
     const std::string leader = world.leader();
     SECTION("frozen") { world.signal(silent, SIGSTOP); }
     SECTION("its links are cut, and it takes its state for current") { world.linkRelay(silent).setSilent(true); }
     SECTION("it hears nothing, and is heard") { world.linkRelay(silent).setMode(relay_mode::InwardOnly); }
     REQUIRE(world.publish(2, leader, "two") == 200);
-    CHECK(waitUntil([&] { return hasRoute(world, gateway, "two"); }, inForceBy));
+    CHECK(waitUntil([&] { return servesRoute(world, gateway, "two"); }, inForceTimeout));
     world.signal(silent, SIGCONT);
     world.linkRelay(silent).setMode(relay_mode::Pass);
-    REQUIRE(waitUntil([&] { return world.readVersion(silent) == 2U; }, patience));
+    REQUIRE(waitUntil([&] { return world.readVersion(silent) == 2U; }, waitTimeout));
     REQUIRE(world.publish(3, silent, "three") == 200);
     for (const auto& name : world.gateways())
-        CHECK(waitUntil([&] { return hasRoute(world, name, "three"); }, inForceBy));
+        CHECK(waitUntil([&] { return servesRoute(world, name, "three"); }, inForceTimeout));
 }
 
 TEST_CASE("session spread: what was acknowledged is in force in time though the leader dies", "[session_spread]")
 {
     gateway_world world(3);
     REQUIRE(world.start());
-    REQUIRE(waitUntil([&] { return eachHasOne(world); }, patience));
+    REQUIRE(waitUntil([&] { return eachRegistryHasOneSession(world); }, waitTimeout));
     for (std::uint64_t version = 2; version < 5; ++version) {
         const std::string leader = world.leader();
         REQUIRE_FALSE(leader.empty());
         const std::string route = "v" + std::to_string(version);
-        REQUIRE(waitUntil([&] { return world.publish(version, leader, route) == 200; }, patience));
+        REQUIRE(waitUntil([&] { return world.publish(version, leader, route) == 200; }, waitTimeout));
         const auto acknowledged = buckthornrail::boot_clock::now();
         world.killHard(leader);
         for (const auto& gateway : world.gateways())
-            CHECK(waitUntil([&] { return hasRoute(world, gateway, route); }, inForceBy));
+            CHECK(waitUntil([&] { return servesRoute(world, gateway, route); }, inForceTimeout));
         INFO("in force after "
             << std::chrono::duration_cast<milliseconds>(buckthornrail::boot_clock::now() - acknowledged).count()
             << " ms");
         world.startProcess(leader);
-        REQUIRE(waitUntil([&] { return world.readVersion(leader) == version; }, patience));
-        REQUIRE(waitUntil([&] { return !world.leader().empty(); }, patience));
+        REQUIRE(waitUntil([&] { return world.readVersion(leader) == version; }, waitTimeout));
+        REQUIRE(waitUntil([&] { return !world.leader().empty(); }, waitTimeout));
     }
 }
 
@@ -126,14 +126,14 @@
 {
     gateway_world world(3);
     REQUIRE(world.start());
-    REQUIRE(waitUntil([&] { return eachHasOne(world); }, patience));
+    REQUIRE(waitUntil([&] { return eachRegistryHasOneSession(world); }, waitTimeout));
     const std::string blank = follower(world);
-    const std::string gateway = gatewayOf(world, blank);
+    const std::string gateway = gatewayInDomainOf(world, blank);
     world.killHard(blank);
     world.loseDisk(blank);
     REQUIRE(world.publish(2, world.leader(), "two") == 200);
     world.startProcess(blank);
-    CHECK(waitUntil([&] { return hasRoute(world, gateway, "two"); }, inForceBy));
-    CHECK(waitUntil([&] { return world.sessionsAt(blank) == 1; }, patience)); // it comes back to the nearest
-    CHECK(hasRoute(world, gateway, "two"));
+    CHECK(waitUntil([&] { return servesRoute(world, gateway, "two"); }, inForceTimeout));
+    CHECK(waitUntil([&] { return world.sessionsAt(blank) == 1; }, waitTimeout)); // it comes back to the nearest
+    CHECK(servesRoute(world, gateway, "two"));
 }
