--- a/tests/target_restart_test.cpp
+++ b/tests/target_restart_test.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-constexpr seconds patience { 10 };
+constexpr seconds waitTimeout { 10 };
 /// Heartbeats come every 0.2 s, a load takes 30 ms: what must be seen at once is seen well before a lease of a second
 /// ends.
-constexpr milliseconds soon { 900 };
+constexpr milliseconds detectionTimeout { 900 };
 
 /// A world whose targets keep their ids, all in their second life.
 class restart_world : public gateway_world {
@@ -27,7 +27,7 @@
     {
     }
 
-    bool begin()
+    bool startAndRestartTargets()
     {
         if (!start())
             return false;
@@ -36,12 +36,12 @@
             for (const auto target : *kind)
                 fleet().restart(target);
         }
-        return waitUntil([this] { return areAllReady() && hasChains() && serves(); }, patience);
+        return waitUntil([this] { return areAllReady() && hasAllChains() && allGatewaysServe(); }, waitTimeout);
     }
 
     std::string stateOf(std::size_t target) { return targetState(leader(), fleet().idOf(target)); }
 
-    bool hasChains() { return fleet().hasChain("d1") && fleet().hasChain("d2") && fleet().hasChain("d3"); }
+    bool hasAllChains() { return fleet().hasChain("d1") && fleet().hasChain("d2") && fleet().hasChain("d3"); }
 
     bool areAllReady()
     {
@@ -55,7 +55,7 @@
     }
 
     /// Whether each gateway serves a stream and a plain request at the first attempt of its caller.
-    bool serves()
+    bool allGatewaysServe()
     {
         bool isServed = true;
         for (const auto& gateway : gateways()) {
@@ -72,10 +72,10 @@
 };
 
 /// The number after the last such mark in a log; 0: there is none.
-std::uint64_t lastNumberIn(const std::string& log, const std::string& mark)
+std::uint64_t lastNumberAfter(const std::string& log, const std::string& prefix)
 {
-    const auto at = log.rfind(mark);
-    return at == std::string::npos ? 0 : std::stoull(log.substr(at + mark.size()));
+    const auto at = log.rfind(prefix);
+    return at == std::string::npos ? 0 : std::stoull(log.substr(at + prefix.size()));
 }
 
 } // namespace
@@ -83,7 +83,7 @@
 TEST_CASE("target restart: its layers are loaded anew at once, and streams over it go on", "[target_restart]")
 {
     restart_world world;
-    REQUIRE(world.begin());
+    REQUIRE(world.startAndRestartTargets());
     std::vector<caller_answer> results(8);
     std::vector<std::thread> callers;
     for (std::size_t at = 0; at < results.size(); ++at) {
@@ -94,58 +94,58 @@
     }
     std::this_thread::sleep_for(milliseconds(400));
     world.fleet().restart(world.engines()[1]);
-    CHECK(waitUntil([&] { return world.hasChains(); }, soon));
+    CHECK(waitUntil([&] { return world.hasAllChains(); }, detectionTimeout));
     for (auto& caller : callers)
         caller.join();
     for (const auto& result : results) {
         CHECK(result.status == 200);
         CHECK((result.body == gateway_world::streamBody("/stream/n200", 200)));
     }
-    CHECK(waitUntil([&] { return world.serves(); }, patience));
+    CHECK(waitUntil([&] { return world.allGatewaysServe(); }, waitTimeout));
 }
 
 TEST_CASE("target restart: the life before was lost, or leaving", "[target_restart]")
 {
     restart_world world;
-    REQUIRE(world.begin());
+    REQUIRE(world.startAndRestartTargets());
     const std::size_t lost = world.plainTargets()[0];
     const std::size_t leaving = world.plainTargets()[1];
     const std::size_t engine = world.engines()[0];
     world.fleet().kill(lost);
     world.fleet().drain(leaving);
     world.fleet().drain(engine);
-    REQUIRE(waitUntil([&] { return world.stateOf(lost) == "lost"; }, patience));
-    REQUIRE(waitUntil([&] { return world.stateOf(leaving) == "draining"; }, patience));
-    REQUIRE(waitUntil([&] { return world.stateOf(engine) == "draining"; }, patience));
+    REQUIRE(waitUntil([&] { return world.stateOf(lost) == "lost"; }, waitTimeout));
+    REQUIRE(waitUntil([&] { return world.stateOf(leaving) == "draining"; }, waitTimeout));
+    REQUIRE(waitUntil([&] { return world.stateOf(engine) == "draining"; }, waitTimeout));
     for (const auto target : { lost, leaving, engine })
         world.fleet().restart(target);
     for (const auto target : { lost, leaving, engine })
-        CHECK(waitUntil([&] { return world.stateOf(target) == "ready"; }, soon));
-    CHECK(waitUntil([&] { return world.hasChains() && world.serves(); }, patience));
+        CHECK(waitUntil([&] { return world.stateOf(target) == "ready"; }, detectionTimeout));
+    CHECK(waitUntil([&] { return world.hasAllChains() && world.allGatewaysServe(); }, waitTimeout));
 }
 
 TEST_CASE("target restart: it had said its last word", "[target_restart]")
 {
     restart_world world;
-    REQUIRE(world.begin());
+    REQUIRE(world.startAndRestartTargets());
     const std::size_t target = world.plainTargets()[0];
     const std::string id = world.fleet().idOf(target);
-    const json last = json::parse(world.fleet().announcementOf(target));
+    const json lastRecord = json::parse(world.fleet().announcementOf(target));
     world.fleet().kill(target);
-    const json leave { { "born", last.at("born") } };
-    REQUIRE(world.sendRecord(world.leader(), "DELETE", id, leave.dump()) == 200);
+    const json leaveRecord { { "born", lastRecord.at("born") } };
+    REQUIRE(world.sendRecord(world.leader(), "DELETE", id, leaveRecord.dump()) == 200);
     CHECK(world.stateOf(target) == "gone");
     world.fleet().restart(target);
-    CHECK(waitUntil([&] { return world.stateOf(target) == "ready"; }, soon));
+    CHECK(waitUntil([&] { return world.stateOf(target) == "ready"; }, detectionTimeout));
     // The last word of the life before comes once more, late.
-    CHECK(world.sendRecord(world.leader(), "DELETE", id, leave.dump()) == 200);
+    CHECK(world.sendRecord(world.leader(), "DELETE", id, leaveRecord.dump()) == 200);
     CHECK(world.stateOf(target) == "ready");
 }
 
 TEST_CASE("target restart: at another address, with another target at the old one", "[target_restart]")
 {
     restart_world world;
-    REQUIRE(world.begin());
+    REQUIRE(world.startAndRestartTargets());
     const std::size_t moving = world.plainTargets()[0];
     const std::string id = world.fleet().idOf(moving);
     const json before = json::parse(world.fleet().announcementOf(moving));
@@ -155,8 +155,8 @@
     json other = before;
     other["born"] = after.at("born").get<std::uint64_t>() + 1;
     REQUIRE(world.sendRecord(world.leader(), "PUT", "i-other", other.dump()) == 200);
-    CHECK(waitUntil([&] { return world.targetState(world.leader(), "i-other") == "ready"; }, soon));
-    CHECK(waitUntil([&] { return world.stateOf(moving) == "ready"; }, soon));
+    CHECK(waitUntil([&] { return world.targetState(world.leader(), "i-other") == "ready"; }, detectionTimeout));
+    CHECK(waitUntil([&] { return world.stateOf(moving) == "ready"; }, detectionTimeout));
     // The first announcement of the life before, held up until now.
     CHECK(world.sendRecord(world.leader(), "PUT", id, before.dump()) == 200);
     json first = before;
@@ -171,23 +171,23 @@
 TEST_CASE("target restart: three times in two seconds, while the controllers elect", "[target_restart]")
 {
     restart_world world;
-    REQUIRE(world.begin());
+    REQUIRE(world.startAndRestartTargets());
     const std::size_t engine = world.engines()[2];
     const std::size_t plain = world.plainTargets()[0];
     world.killHard(world.leader());
-    for (int life = 0; life < 3; ++life) {
+    for (int round = 0; round < 3; ++round) {
         world.fleet().restart(engine);
         world.fleet().restart(plain);
         std::this_thread::sleep_for(milliseconds(500));
     }
-    CHECK(waitUntil([&] { return !world.leader().empty() && world.areAllReady(); }, patience));
-    CHECK(waitUntil([&] { return world.hasChains() && world.serves(); }, patience));
+    CHECK(waitUntil([&] { return !world.leader().empty() && world.areAllReady(); }, waitTimeout));
+    CHECK(waitUntil([&] { return world.hasAllChains() && world.allGatewaysServe(); }, waitTimeout));
 }
 
 TEST_CASE("target restart: a clock that was stepped back is believed once the life before is over", "[target_restart]")
 {
     restart_world world;
-    REQUIRE(world.begin());
+    REQUIRE(world.startAndRestartTargets());
     const std::size_t target = world.plainTargets()[0];
     const std::string id = world.fleet().idOf(target);
     json ahead = json::parse(world.fleet().announcementOf(target));
@@ -195,21 +195,21 @@
     ahead["born"] = ahead.at("born").get<std::uint64_t>() + 3'600'000;
     ahead["address"] = "127.0.0.1:9";
     REQUIRE(world.sendRecord(world.leader(), "PUT", id, ahead.dump()) == 200);
-    CHECK(
-        waitUntil([&] { return world.targetLine(world.leader(), id).find("127.0.0.1:9") != std::string::npos; }, soon));
+    CHECK(waitUntil([&] { return world.targetLine(world.leader(), id).find("127.0.0.1:9") != std::string::npos; },
+        detectionTimeout));
     // The one that lives goes on announcing its earlier start.
     CHECK(waitUntil(
         [&] {
             const std::string line = world.targetLine(world.leader(), id);
             return line.find("ready") != std::string::npos && line.find("127.0.0.1:9") == std::string::npos;
         },
-        patience));
+        waitTimeout));
 }
 
 TEST_CASE("records of another writer name no target, and change none", "[target_restart]")
 {
     restart_world world;
-    REQUIRE(world.begin());
+    REQUIRE(world.startAndRestartTargets());
     const std::string leader = world.leader();
     const std::string id = world.fleet().idOf(world.plainTargets()[0]);
     const json good = json::parse(world.fleet().announcementOf(world.plainTargets()[0]));
@@ -240,18 +240,18 @@
         CHECK(world.sendRecord(leader, "PUT", "i-new", body) == 400);
     }
     // Well formed, but of a service that no document names, at the address of a target that is in use.
-    json odd = good;
-    odd["service"] = "odd";
+    json unknownService = good;
+    unknownService["service"] = "odd";
     for (const auto* state : { "ready", "draining" }) {
-        odd["state"] = state;
-        CHECK(world.sendRecord(leader, "PUT", "i-odd", odd.dump()) == 200);
+        unknownService["state"] = state;
+        CHECK(world.sendRecord(leader, "PUT", "i-odd", unknownService.dump()) == 200);
     }
     std::this_thread::sleep_for(milliseconds(300));
     CHECK(world.targetState(leader, "i-new").empty());
     CHECK(world.targetState(leader, "i-odd").empty());
     CHECK(world.targetLine(leader, id) == before);
     CHECK(world.areAllReady());
-    CHECK(world.serves());
+    CHECK(world.allGatewaysServe());
     CHECK(world.metricsOf(leader).find("records_refused") != std::string::npos);
     CHECK(world.logOf(leader).find("E611 record_refused") != std::string::npos);
 }
@@ -259,39 +259,39 @@
 TEST_CASE("target restart: words of two lives cross at different controllers", "[target_restart]")
 {
     restart_world world;
-    REQUIRE(world.begin());
+    REQUIRE(world.startAndRestartTargets());
     const std::size_t target = world.plainTargets()[0];
     const std::string id = world.fleet().idOf(target);
     for (int round = 0; round < 6; ++round) {
-        json late = json::parse(world.fleet().announcementOf(target));
+        json previous = json::parse(world.fleet().announcementOf(target));
         world.fleet().restart(target);
         const json first = json::parse(world.fleet().announcementOf(target));
         // The platform would send these one after the other; here they come in any order.
         std::vector<std::thread> writers;
         for (const auto& registry : world.registries()) {
-            writers.emplace_back([&world, &registry, &id, late, first]() mutable {
-                late["seq"] = 500;
-                (void)world.sendRecord(registry, "PUT", id, late.dump());
+            writers.emplace_back([&world, &registry, &id, previous, first]() mutable {
+                previous["seq"] = 500;
+                (void)world.sendRecord(registry, "PUT", id, previous.dump());
                 (void)world.sendRecord(registry, "PUT", id, first.dump());
-                late["state"] = "draining";
-                (void)world.sendRecord(registry, "PUT", id, late.dump());
-                (void)world.sendRecord(registry, "DELETE", id, json { { "born", late.at("born") } }.dump());
+                previous["state"] = "draining";
+                (void)world.sendRecord(registry, "PUT", id, previous.dump());
+                (void)world.sendRecord(registry, "DELETE", id, json { { "born", previous.at("born") } }.dump());
             });
         }
         for (auto& writer : writers)
             writer.join();
-        CHECK(waitUntil([&] { return world.stateOf(target) == "ready"; }, soon));
+        CHECK(waitUntil([&] { return world.stateOf(target) == "ready"; }, detectionTimeout));
     }
     std::this_thread::sleep_for(milliseconds(500));
     CHECK(world.stateOf(target) == "ready");
-    CHECK(world.serves());
+    CHECK(world.allGatewaysServe());
 }
 
 TEST_CASE("target restart: while the log is compacted, and a controller reads it anew", "[target_restart]")
 {
     constexpr int changes = 130; // the log is compacted each hundred entries
     restart_world world;
-    REQUIRE(world.begin());
+    REQUIRE(world.startAndRestartTargets());
     const std::size_t engine = world.engines()[0];
     std::uint64_t version = 100;
     for (int at = 0; at < changes; ++at) {
@@ -299,39 +299,43 @@
         if (at % 40 == 20)
             world.fleet().restart(engine);
     }
-    const std::string again = world.registries()[0] == world.leader() ? world.registries()[1] : world.registries()[0];
-    REQUIRE(waitUntil([&] { return world.hasChains() && world.areAllReady(); }, patience));
+    const std::string restarted
+        = world.registries()[0] == world.leader() ? world.registries()[1] : world.registries()[0];
+    REQUIRE(waitUntil([&] { return world.hasAllChains() && world.areAllReady(); }, waitTimeout));
     // Lines are written each 100 ms: a process killed sooner takes the last ones with it.
-    const auto logs = [&](const std::string& line) {
-        return waitUntil([&] { return world.logOf(again).find(line) != std::string::npos; }, patience);
+    const auto waitForLogLine = [&](const std::string& line) {
+        return waitUntil([&] { return world.logOf(restarted).find(line) != std::string::npos; }, waitTimeout);
     };
-    REQUIRE(logs("E403 snapshot_saved"));
-    world.killHard(again);
-    const auto saved = lastNumberIn(world.logOf(again), "E403 snapshot_saved index=");
-    world.startProcess(again);
+    REQUIRE(waitForLogLine("E403 snapshot_saved"));
+    world.killHard(restarted);
+    const auto savedIndex = lastNumberAfter(world.logOf(restarted), "E403 snapshot_saved index=");
+    world.startProcess(restarted);
     const std::string id = world.fleet().idOf(engine);
-    REQUIRE(waitUntil([&] { return !world.leader().empty() && world.targetState(again, id) == "ready"; }, patience));
-    CHECK(waitUntil([&] { return world.targetLine(again, id) == world.targetLine(world.leader(), id); }, patience));
+    REQUIRE(
+        waitUntil([&] { return !world.leader().empty() && world.targetState(restarted, id) == "ready"; }, waitTimeout));
+    CHECK(waitUntil(
+        [&] { return world.targetLine(restarted, id) == world.targetLine(world.leader(), id); }, waitTimeout));
     // It began with the last snapshot, and not with the whole log. One whose line was lost with the process is newer.
-    CHECK(saved >= 100);
-    const auto opened = [&] { return lastNumberIn(world.logOf(again), "E407 log_opened snapshot="); };
-    CHECK(waitUntil([&] { return opened() >= saved; }, patience));
-    CHECK(waitUntil([&] { return world.serves(); }, patience));
+    CHECK(savedIndex >= 100);
+    const auto openedIndex = [&] { return lastNumberAfter(world.logOf(restarted), "E407 log_opened snapshot="); };
+    CHECK(waitUntil([&] { return openedIndex() >= savedIndex; }, waitTimeout));
+    CHECK(waitUntil([&] { return world.allGatewaysServe(); }, waitTimeout));
 }
 
 TEST_CASE("target restart: while a gateway hears nothing", "[target_restart]")
 {
     restart_world world;
-    REQUIRE(world.begin());
-    const std::string deaf = world.gateways()[0];
-    world.signal(deaf, SIGSTOP);
-    for (int life = 0; life < 2; ++life) {
+    REQUIRE(world.startAndRestartTargets());
+    const std::string stopped = world.gateways()[0];
+    world.signal(stopped, SIGSTOP);
+    for (int round = 0; round < 2; ++round) {
         world.fleet().restart(world.engines()[0]);
         world.fleet().restart(world.plainTargets()[0]);
         std::this_thread::sleep_for(milliseconds(1200));
     }
-    world.signal(deaf, SIGCONT);
-    CHECK(waitUntil([&] { return world.hasChains() && world.areAllReady() && world.serves(); }, patience));
-    const auto stream = world.call(deaf, "POST", "/stream/n20", "after");
+    world.signal(stopped, SIGCONT);
+    CHECK(waitUntil(
+        [&] { return world.hasAllChains() && world.areAllReady() && world.allGatewaysServe(); }, waitTimeout));
+    const auto stream = world.call(stopped, "POST", "/stream/n20", "after");
     CHECK((stream.body == gateway_world::streamBody("/stream/n20", 20)));
 }
