--- a/tests/large_table_test.cpp
+++ b/tests/large_table_test.cpp
@@ -23,13 +23,13 @@
 
 namespace {
 
-constexpr seconds patience { 15 };
+constexpr seconds waitTimeout { 15 };
 
 /// Targets that only answer when they are asked whether they live, each at an address of its own on the loopback
 /// network.
-class quiet_targets {
+class health_check_targets {
 public:
-    quiet_targets()
+    health_check_targets()
         : m_service(m_loop,
             [](const net::whole_request&, const net::responder& respond) {
                 respond(net::plainResponse(200, "{}", "application/json"));
@@ -38,9 +38,9 @@
         , m_thread([this] { m_loop.run(); })
     {
     }
-    quiet_targets(const quiet_targets&) = delete;
-    quiet_targets& operator=(const quiet_targets&) = delete;
-    ~quiet_targets()
+    health_check_targets(const health_check_targets&) = delete;
+    health_check_targets& operator=(const health_check_targets&) = delete;
+    ~health_check_targets()
     {
         m_loop.stop();
         m_thread.join();
@@ -63,18 +63,18 @@
 };
 
 /// @brief Bytes of the update that a gateway without anything gets at the beginning of its session; 0: it got none.
-std::size_t bytesOfFirstUpdate(const std::string& registryLink)
+std::size_t firstUpdateSize(const std::string& registryLink)
 {
     std::size_t bytes = 0;
     link::event_loop loop;
     std::unique_ptr<link::link_hub> hub;
-    const auto begin = [&hub](link::channel_number channel, bool) {
+    const auto onConnected = [&hub](link::channel_number channel, bool) {
         link::gateway_beat beat;
         beat.instance = "gateway-blank";
         beat.sequence = 1;
         hub->send(channel, link::encode(link::message(beat)));
     };
-    const auto read = [&](link::channel_number, const std::string& received) {
+    const auto onReceived = [&](link::channel_number, const std::string& received) {
         const auto message = link::decode(received);
         const auto* update = message ? std::get_if<link::gateway_update>(&*message) : nullptr;
         if (update == nullptr || !update->isServed)
@@ -83,9 +83,9 @@
         loop.stop();
     };
     hub = std::make_unique<link::link_hub>(
-        loop, link::hub_handlers { begin, [&loop](link::channel_number) { loop.stop(); }, read });
+        loop, link::hub_handlers { onConnected, [&loop](link::channel_number) { loop.stop(); }, onReceived });
     hub->dial(registryLink);
-    loop.runAt(buckthornrail::boot_clock::now() + patience, [&loop] { loop.stop(); });
+    loop.runAt(buckthornrail::boot_clock::now() + waitTimeout, [&loop] { loop.stop(); });
     loop.run();
     return bytes;
 }
@@ -95,16 +95,16 @@
 TEST_CASE("large table: a gateway's session begins with a small part of its size", "[large_table]")
 {
     constexpr int count = 1000;
-    constexpr std::size_t bytesAsTheyStand = count * 150; // measured: a record takes so much of a message
+    constexpr std::size_t uncompressedBytes = count * 150; // measured: a record takes so much of a message
     gateway_world world(1);
     REQUIRE(world.start());
-    const quiet_targets targets;
+    const health_check_targets targets;
     const std::string leader = world.leader();
     for (int number = 0; number < count; ++number)
         REQUIRE(targets.announce(world, leader, number) == 200);
     REQUIRE(waitUntil(
-        [&] { return !world.targetState(leader, "i-quiet-" + std::to_string(count - 1)).empty(); }, patience));
-    const std::size_t bytes = bytesOfFirstUpdate(world.linkRelay(leader).address());
+        [&] { return !world.targetState(leader, "i-quiet-" + std::to_string(count - 1)).empty(); }, waitTimeout));
+    const std::size_t bytes = firstUpdateSize(world.linkRelay(leader).address());
     CHECK(bytes > 0);
-    CHECK(bytes < bytesAsTheyStand / 4);
+    CHECK(bytes < uncompressedBytes / 4);
 }
