--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -37,7 +37,7 @@
 }
 
 /// How many answers of each code were not good.
-std::string badAnswers(const std::vector<caller_record>& callers)
+std::string failureCounts(const std::vector<caller_record>& callers)
 {
     std::map<std::string, int> counts;
     for (const auto& caller : callers) {
@@ -59,7 +59,7 @@
     };
 }
 
-std::uint64_t versionOf(const cluster& system)
+std::uint64_t configurationVersion(const cluster& system)
 {
     const auto answer = system.operate("GET", "/v1/config");
     return answer.status == 200 ? answer.body["version"].get<std::uint64_t>() : 0;
@@ -87,10 +87,10 @@
     CHECK(waitUntil([&] { return system.putConfiguration(document, 1, "after-kill").status == 200; }, seconds(15)));
     std::this_thread::sleep_for(seconds(2));
     const auto records = recordsOf(callers.stop());
-    CHECK(badAnswers(records) == "");
+    CHECK(failureCounts(records) == "");
     CHECK(violationsOf(system, records) == "");
     CHECK(records.size() > 20);
-    CHECK(versionOf(system) == 2);
+    CHECK(configurationVersion(system) == 2);
 }
 
 TEST_CASE("processes: a sidecar killed and a target killed in mid-answer cost no answer", "[process]")
@@ -107,7 +107,7 @@
     system.start("sidecar-0");
     std::this_thread::sleep_for(seconds(2));
     const auto records = recordsOf(callers.stop());
-    CHECK(badAnswers(records) == "");
+    CHECK(failureCounts(records) == "");
     CHECK(violationsOf(system, records) == "");
 }
 
@@ -131,7 +131,7 @@
     const auto ran = system.executions();
     std::this_thread::sleep_for(seconds(1));
     const auto records = recordsOf(callers.stop());
-    CHECK(badAnswers(records) == "");
+    CHECK(failureCounts(records) == "");
     CHECK(violationsOf(system, records) == "");
     const auto after = system.executions();
     for (std::size_t at = ran.size(); at < after.size(); ++at)
@@ -164,7 +164,7 @@
     system.signal("sidecar-0", SIGCONT);
     std::this_thread::sleep_for(seconds(2));
     const auto records = recordsOf(callers.stop());
-    CHECK(badAnswers(records) == "");
+    CHECK(failureCounts(records) == "");
     CHECK(violationsOf(system, records) == "");
     CHECK(waitUntil([&] { return system.isReady("sidecar-0"); }, seconds(10)));
 }
@@ -226,7 +226,7 @@
     REQUIRE(waitUntil(repaired, seconds(20)));
     const std::string second = system.leader() == "controller-1" ? "controller-2" : system.leader();
     system.killHard(second);
-    CHECK(waitUntil([&] { return versionOf(system) == 1; }, seconds(15)));
+    CHECK(waitUntil([&] { return configurationVersion(system) == 1; }, seconds(15)));
     json document = cluster::standardDocument();
     document["workspaces"]["w3"] = json::object();
     CHECK(waitUntil([&] { return system.putConfiguration(document, 1, "repaired").status == 200; }, seconds(15)));
@@ -272,7 +272,7 @@
     cluster_spec spec = twoTargets();
     spec.snapshotEntries = 50;
     cluster system(spec);
-    const auto with = [](const std::string& name) {
+    const auto withWorkspace = [](const std::string& name) {
         json document = cluster::standardDocument();
         document["workspaces"][name] = json::object();
         return document;
@@ -281,33 +281,33 @@
     std::vector<std::thread> operators;
     for (std::size_t at = 0; at < answers.size(); ++at) {
         const std::string name = "race-" + std::to_string(at);
-        operators.emplace_back([&, at, name] { answers[at] = system.putConfiguration(with(name), 1, name); });
+        operators.emplace_back([&, at, name] { answers[at] = system.putConfiguration(withWorkspace(name), 1, name); });
     }
     for (auto& one : operators)
         one.join();
-    std::size_t won = 0;
+    std::size_t acceptedCount = 0;
     for (std::size_t at = 0; at < answers.size(); ++at) {
         CHECK((answers[at].status == 200 || answers[at].status == 409));
-        won += answers[at].status == 200 ? 1 : 0;
+        acceptedCount += answers[at].status == 200 ? 1 : 0;
         const std::string name = "race-" + std::to_string(at);
-        CHECK(system.putConfiguration(with(name), 1, name).status == answers[at].status);
+        CHECK(system.putConfiguration(withWorkspace(name), 1, name).status == answers[at].status);
     }
-    CHECK(won == 1);
-    CHECK(versionOf(system) == 2);
+    CHECK(acceptedCount == 1);
+    CHECK(configurationVersion(system) == 2);
     CHECK(system.putConfiguration({ { "nonsense", 1 } }, 2, "bad").status == 422);
-    CHECK(system.putConfiguration(with("x"), 99, "future").status == 409);
+    CHECK(system.putConfiguration(withWorkspace("x"), 99, "future").status == 409);
 
-    const std::string behind = system.leader() == "controller-2" ? "controller-1" : "controller-2";
-    system.killHard(behind);
+    const std::string lagging = system.leader() == "controller-2" ? "controller-1" : "controller-2";
+    system.killHard(lagging);
     system.killHard("entry-1");
     for (int at = 0; at < 300; ++at) {
         const std::string name = "w-" + std::to_string(at);
-        REQUIRE(system.putConfiguration(with(name), 2 + static_cast<std::uint64_t>(at), name).status == 200);
+        REQUIRE(system.putConfiguration(withWorkspace(name), 2 + static_cast<std::uint64_t>(at), name).status == 200);
     }
-    system.start(behind);
+    system.start(lagging);
     system.start("entry-1");
     const auto caughtUp = [&] {
-        const auto answer = system.call(behind, "GET", "/v1/config");
+        const auto answer = system.call(lagging, "GET", "/v1/config");
         return answer.status == 200 && answer.body["version"] == 302;
     };
     CHECK(waitUntil(caughtUp, seconds(20)));
@@ -318,14 +318,14 @@
         seconds(2)));
     // In force everywhere: both entries know the last workspace, and neither the one before.
     for (const std::string entry : { "entry-0", "entry-1" }) {
-        const auto ask = [&](const std::string& workspace) {
+        const auto statusFor = [&](const std::string& workspace) {
             return system
                 .call(entry, "POST", "/v1/completions", R"({"model":"essay-summary","prompt":"x","max_tokens":1})",
                     { { "X-Workspace", workspace } })
                 .status;
         };
-        CHECK(ask("w-299") == 200);
-        CHECK(ask("w-298") == 403);
+        CHECK(statusFor("w-299") == 200);
+        CHECK(statusFor("w-298") == 403);
     }
 }
 
@@ -345,7 +345,7 @@
     system.killHard("target-3");
     std::this_thread::sleep_for(seconds(3));
     const auto records = recordsOf(callers.stop());
-    CHECK(badAnswers(records) == "");
+    CHECK(failureCounts(records) == "");
     CHECK(violationsOf(system, records) == "");
     std::string layers;
     for (const auto& line : checkLayers(system.executions(), 8))
@@ -369,7 +369,7 @@
     system.setSilent("sidecar-0", false);
     std::this_thread::sleep_for(seconds(1));
     const auto records = recordsOf(callers.stop());
-    CHECK(badAnswers(records) == "");
+    CHECK(failureCounts(records) == "");
     CHECK(violationsOf(system, records) == "");
 }
 
@@ -381,7 +381,7 @@
     std::vector<caller_record> records;
     for (int at = 0; at < 12; ++at)
         records.push_back(system.complete("entry-0", "p" + std::to_string(at), 4, at % 2 == 0));
-    CHECK(badAnswers(records) == "");
+    CHECK(failureCounts(records) == "");
     CHECK(violationsOf(system, records) == "");
 }
 
@@ -411,7 +411,7 @@
     CHECK(waitUntil([&] { return order("sidecar-1", "2").status == 200; }, seconds(5)));
     CHECK(waitUntil([&] { return serves("sidecar-1", "2"); }, seconds(15)));
     const auto records = recordsOf(callers.stop());
-    CHECK(badAnswers(records) == "");
+    CHECK(failureCounts(records) == "");
     CHECK(violationsOf(system, records) == "");
 }
 
@@ -419,7 +419,7 @@
 {
     cluster system(twoTargets());
     const std::map<std::string, std::string> workspace { { "X-Workspace", "w1" } };
-    const auto nameOf
+    const auto errorName
         = [&](const std::string& path, const std::string& body, std::map<std::string, std::string> headers) {
               const auto answer = system.call("entry-0", "POST", path, body, headers);
               CHECK(answer.status >= 400);
@@ -428,20 +428,20 @@
               return answer.body["error"]["name"].get<std::string>();
           };
     const std::string good = R"({"model":"essay-summary","prompt":"x"})";
-    CHECK(nameOf("/v1/completions", "{", workspace) == "malformed_request");
-    CHECK(nameOf("/v1/completions", R"({"model":"essay-summary"})", workspace) == "malformed_request");
-    CHECK(nameOf("/v1/completions", R"({"model":"x","prompt":"x"})", workspace) == "unknown_model");
-    CHECK(nameOf("/v1/completions", R"({"model":"essay-summary","prompt":"x","max_tokens":0})", workspace)
+    CHECK(errorName("/v1/completions", "{", workspace) == "malformed_request");
+    CHECK(errorName("/v1/completions", R"({"model":"essay-summary"})", workspace) == "malformed_request");
+    CHECK(errorName("/v1/completions", R"({"model":"x","prompt":"x"})", workspace) == "unknown_model");
+    CHECK(errorName("/v1/completions", R"({"model":"essay-summary","prompt":"x","max_tokens":0})", workspace)
         == "malformed_request");
-    CHECK(nameOf("/v1/completions", good, {}) == "bad_header");
-    CHECK(nameOf("/v1/completions", good, { { "X-Workspace", "nobody" } }) == "unknown_workspace");
-    CHECK(nameOf("/v1/completions", good, { { "X-Workspace", "w1" }, { "X-Timeout-Ms", "soon" } }) == "bad_header");
-    CHECK(nameOf("/v1/completions", good, { { "X-Workspace", "w1" }, { "X-Priority", "urgent" } }) == "bad_header");
-    CHECK(nameOf("/v1/completions", std::string((4U << 20U) + 1, 'x'), workspace) == "body_too_large");
-    CHECK(nameOf("/services/nothing/x", "", workspace) == "unknown_service");
-    CHECK(nameOf("/nowhere", "", workspace) == "not_found");
+    CHECK(errorName("/v1/completions", good, {}) == "bad_header");
+    CHECK(errorName("/v1/completions", good, { { "X-Workspace", "nobody" } }) == "unknown_workspace");
+    CHECK(errorName("/v1/completions", good, { { "X-Workspace", "w1" }, { "X-Timeout-Ms", "soon" } }) == "bad_header");
+    CHECK(errorName("/v1/completions", good, { { "X-Workspace", "w1" }, { "X-Priority", "urgent" } }) == "bad_header");
+    CHECK(errorName("/v1/completions", std::string((4U << 20U) + 1, 'x'), workspace) == "body_too_large");
+    CHECK(errorName("/services/nothing/x", "", workspace) == "unknown_service");
+    CHECK(errorName("/nowhere", "", workspace) == "not_found");
     const std::string deep(200000, '[');
-    CHECK(nameOf("/v1/completions", deep, workspace) == "malformed_request");
+    CHECK(errorName("/v1/completions", deep, workspace) == "malformed_request");
     CHECK(system.operate("POST", "/v1/config/check", deep).status == 422);
     CHECK(system.operate("PUT", "/v1/config", R"({"base":1,"change_id":"d","document":)" + deep).status == 400);
     CHECK(system.executions().empty());
