--- a/tests/request_faults_test.cpp
+++ b/tests/request_faults_test.cpp
@@ -13,52 +13,56 @@
 using fate = request_world::fate;
 
 /// A fault of the matrix: what to do when message number `step` is about to be sent.
-struct fault_row {
+struct fault_case {
     const char* name;
     fate (*apply)(request_world&);
 };
 
-fate deliver(void (*action)(request_world&), request_world& world)
+fate deliverAndRun(void (*action)(request_world&), request_world& world)
 {
     world.soon([&world, action] { action(world); });
     return fate::Deliver;
 }
 
 constexpr std::array faultTable {
-    fault_row { "message lost", [](request_world&) { return fate::Lose; } },
-    fault_row { "message repeated", [](request_world&) { return fate::Repeat; } },
-    fault_row { "message late", [](request_world&) { return fate::Delay; } },
-    fault_row {
-        "sidecar 0 killed", [](request_world& w) { return deliver([](request_world& x) { x.killSidecar(0); }, w); } },
-    fault_row { "both sidecars killed",
+    fault_case { "message lost", [](request_world&) { return fate::Lose; } },
+    fault_case { "message repeated", [](request_world&) { return fate::Repeat; } },
+    fault_case { "message late", [](request_world&) { return fate::Delay; } },
+    fault_case { "sidecar 0 killed",
+        [](request_world& w) { return deliverAndRun([](request_world& x) { x.killSidecar(0); }, w); } },
+    fault_case { "both sidecars killed",
         [](request_world& w) {
-            return deliver(
+            return deliverAndRun(
                 [](request_world& x) {
                     x.killSidecar(0);
                     x.killSidecar(1);
                 },
                 w);
         } },
-    fault_row { "sidecar 0 frozen",
-        [](request_world& w) { return deliver([](request_world& x) { x.freezeSidecar(0, true); }, w); } },
-    fault_row {
-        "entry 0 killed", [](request_world& w) { return deliver([](request_world& x) { x.killEntry(0); }, w); } },
-    fault_row {
-        "link closed", [](request_world& w) { return deliver([](request_world& x) { x.closeLink(0, 0); }, w); } },
-    fault_row { "link cut in silence",
-        [](request_world& w) { return deliver([](request_world& x) { x.cutLink(0, 0, true); }, w); } },
-    fault_row { "target 0 dies",
-        [](request_world& w) { return deliver([](request_world& x) { x.setMode(0, target_mode::Dies); }, w); } },
-    fault_row { "target 0 stalls",
-        [](request_world& w) { return deliver([](request_world& x) { x.setMode(0, target_mode::Stalls); }, w); } },
-    fault_row { "target 0 refuses connections",
-        [](request_world& w) { return deliver([](request_world& x) { x.setMode(0, target_mode::Refuses); }, w); } },
-    fault_row {
-        "sidecar 0 drains", [](request_world& w) { return deliver([](request_world& x) { x.drainSidecar(0); }, w); } },
-    fault_row {
-        "claims lost", [](request_world& w) { return deliver([](request_world& x) { x.loseClaims(true); }, w); } },
-    fault_row { "new configuration",
-        [](request_world& w) { return deliver([](request_world& x) { x.newConfiguration(); }, w); } },
+    fault_case { "sidecar 0 frozen",
+        [](request_world& w) { return deliverAndRun([](request_world& x) { x.freezeSidecar(0, true); }, w); } },
+    fault_case {
+        "entry 0 killed", [](request_world& w) { return deliverAndRun([](request_world& x) { x.killEntry(0); }, w); } },
+    fault_case {
+        "link closed", [](request_world& w) { return deliverAndRun([](request_world& x) { x.closeLink(0, 0); }, w); } },
+    fault_case { "link cut in silence",
+        [](request_world& w) { return deliverAndRun([](request_world& x) { x.cutLink(0, 0, true); }, w); } },
+    fault_case { "target 0 dies",
+        [](request_world& w) { return deliverAndRun([](request_world& x) { x.setMode(0, target_mode::Dies); }, w); } },
+    fault_case { "target 0 stalls",
+        [](request_world& w) {
+            return deliverAndRun([](request_world& x) { x.setMode(0, target_mode::Stalls); }, w);
+        } },
+    fault_case { "target 0 refuses connections",
+        [](request_world& w) {
+            return deliverAndRun([](request_world& x) { x.setMode(0, target_mode::Refuses); }, w);
+        } },
+    fault_case { "sidecar 0 drains",
+        [](request_world& w) { return deliverAndRun([](request_world& x) { x.drainSidecar(0); }, w); } },
+    fault_case { "claims lost",
+        [](request_world& w) { return deliverAndRun([](request_world& x) { x.loseClaims(true); }, w); } },
+    fault_case { "new configuration",
+        [](request_world& w) { return deliverAndRun([](request_world& x) { x.newConfiguration(); }, w); } },
 };
 
 /// The traffic of the matrix: two plain requests, a streamed one, and one key sent three times through two entries.
@@ -84,7 +88,7 @@
     world.loseClaims(false);
 }
 
-std::string joined(const std::vector<std::string>& lines)
+std::string joinLines(const std::vector<std::string>& lines)
 {
     std::string text;
     for (const auto& line : lines)
@@ -93,7 +97,7 @@
 }
 
 /// One random action on the world.
-void disturb(request_world& world, std::uint32_t draw)
+void applyRandomAction(request_world& world, std::uint32_t draw)
 {
     const std::size_t sidecar = draw / 32 % world.sidecars();
     const std::size_t entry = draw / 256 % world.entries();
@@ -141,7 +145,7 @@
 }
 
 /// Runs random schedules with a protection missing until a checker notices.
-bool isNoticed(missing_protection missing)
+bool isViolationDetected(missing_protection missing)
 {
     for (std::uint64_t seed = 1; seed <= 400; ++seed) {
         request_world world(2, 3, seed);
@@ -149,7 +153,7 @@
         std::mt19937_64 random(seed);
         world.onMessage = [&random](std::size_t) { return random() % 20 == 0 ? fate::Delay : fate::Deliver; };
         for (int at = 0; at < 25; ++at)
-            disturb(world, static_cast<std::uint32_t>(random()));
+            applyRandomAction(world, static_cast<std::uint32_t>(random()));
         world.run(milliseconds(9000));
         if (!world.violations().empty())
             return true;
@@ -161,13 +165,13 @@
 
 TEST_CASE("requests: fault matrix, every fault at every step", "[faults]")
 {
-    request_world calm(2, 2, 1);
-    sendTraffic(calm);
-    REQUIRE(calm.violations().empty());
+    request_world faultless(2, 2, 1);
+    sendTraffic(faultless);
+    REQUIRE(faultless.violations().empty());
     std::size_t cases = 0;
     for (const auto& fault : faultTable) {
         for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-            for (std::size_t step = 0; step < calm.messages() + 10; ++step) {
+            for (std::size_t step = 0; step < faultless.messages() + 10; ++step) {
                 request_world world(2, 2, seed);
                 world.onMessage
                     = [&](std::size_t number) { return number == step ? fault.apply(world) : fate::Deliver; };
@@ -175,7 +179,7 @@
                 endFaults(world);
                 world.run(milliseconds(7000));
                 INFO(fault.name << " at message " << step << ", seed " << seed);
-                REQUIRE(joined(world.violations()).empty());
+                REQUIRE(joinLines(world.violations()).empty());
                 for (const auto& caller : world.callers()) {
                     const bool entryDied = std::string(fault.name) == "entry 0 killed";
                     REQUIRE((caller.answered || entryDied));
@@ -203,7 +207,7 @@
                 endFaults(world);
                 world.run(milliseconds(7000));
                 INFO(first.name << " and " << second.name << " at message " << step);
-                REQUIRE(joined(world.violations()).empty());
+                REQUIRE(joinLines(world.violations()).empty());
                 ++cases;
             }
         }
@@ -223,21 +227,21 @@
             return draw == 0 ? fate::Lose : draw == 1 ? fate::Repeat : draw == 2 ? fate::Delay : fate::Deliver;
         };
         for (const auto draw : draws)
-            disturb(world, draw);
+            applyRandomAction(world, draw);
         endFaults(world);
         world.run(milliseconds(9000));
-        RC_ASSERT(joined(world.violations()) == "");
+        RC_ASSERT(joinLines(world.violations()) == "");
     });
 }
 
 TEST_CASE("requests: each checker notices when its protection is missing", "[faults][checker]")
 {
-    CHECK_FALSE(isNoticed(missing_protection::None));
-    CHECK(isNoticed(missing_protection::Tombstones));
-    CHECK(isNoticed(missing_protection::Claims));
-    CHECK(isNoticed(missing_protection::Incarnations));
-    CHECK(isNoticed(missing_protection::Ownership));
-    CHECK(isNoticed(missing_protection::Digests));
+    CHECK_FALSE(isViolationDetected(missing_protection::None));
+    CHECK(isViolationDetected(missing_protection::Tombstones));
+    CHECK(isViolationDetected(missing_protection::Claims));
+    CHECK(isViolationDetected(missing_protection::Incarnations));
+    CHECK(isViolationDetected(missing_protection::Ownership));
+    CHECK(isViolationDetected(missing_protection::Digests));
 }
 
 TEST_CASE("requests: an idempotent answer goes on after the last token when its target dies", "[faults]")
