--- a/tests/docs_test.cpp
+++ b/tests/docs_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-std::string page(const std::string& name)
+std::string readPage(const std::string& name)
 {
     std::ifstream stream("docs/" + name);
     std::ostringstream text;
@@ -21,7 +21,7 @@
     return text.str();
 }
 
-std::size_t rowsOf(const std::string& text)
+std::size_t tableRowCount(const std::string& text)
 {
     std::size_t rows = 0;
     std::istringstream lines(text);
@@ -30,13 +30,13 @@
     return rows;
 }
 
-constexpr std::size_t headRows = 1;
+constexpr std::size_t headerRows = 1;
 
 } // namespace
 
 TEST_CASE("docs: RESULT_CODES.md has every code, and no other", "[docs]")
 {
-    const auto text = page("RESULT_CODES.md");
+    const auto text = readPage("RESULT_CODES.md");
     std::set<result_code> seen;
     for (const auto& row : resultTable()) {
         std::ostringstream line;
@@ -47,24 +47,24 @@
         CHECK(text.find(line.str()) != std::string::npos);
         CHECK(seen.insert(row.code).second);
     }
-    CHECK(rowsOf(text) == resultTable().size() + headRows);
+    CHECK(tableRowCount(text) == resultTable().size() + headerRows);
 }
 
 TEST_CASE("docs: EVENTS.md has every event, and no other", "[docs]")
 {
-    const auto text = page("EVENTS.md");
+    const auto text = readPage("EVENTS.md");
     for (const auto& row : eventTable()) {
         std::ostringstream line;
         line << "| " << static_cast<int>(row.code) << " | " << row.name << " | " << row.meaning << " |\n";
         INFO(line.str());
         CHECK(text.find(line.str()) != std::string::npos);
     }
-    CHECK(rowsOf(text) == eventTable().size() + headRows);
+    CHECK(tableRowCount(text) == eventTable().size() + headerRows);
 }
 
 TEST_CASE("docs: SETTINGS.md has every key, and no other", "[docs]")
 {
-    const auto text = page("SETTINGS.md");
+    const auto text = readPage("SETTINGS.md");
     for (const auto& rule : settings::settingRules()) {
         std::ostringstream line;
         line << "| [" << rule.section << "] " << rule.key << " | ";
@@ -74,5 +74,5 @@
         const std::string row = text.substr(at, text.find('\n', at) - at);
         CHECK(row.find(std::string(rule.meaning)) != std::string::npos);
     }
-    CHECK(rowsOf(text) == settings::settingRules().size() + headRows);
+    CHECK(tableRowCount(text) == settings::settingRules().size() + headerRows);
 }
