--- a/tests/gateway_process_test.cpp
+++ b/tests/gateway_process_test.cpp
@@ -100,8 +100,7 @@
     }
 }
 
-TEST_CASE("gateway: with a faulty service each caller gets only its own, complete answer, and unsafe requests run at "
-          "most once",
+TEST_CASE("gateway: with a faulty service callers get only their own, whole answers, unsafe ones run once at most",
     "[gateway_process]")
 {
     gateway_world world;
@@ -151,7 +150,7 @@
 TEST_CASE("gateway: the only gateway, when it is shutting down, refuses callers with a time to retry after its restart",
     "[gateway_process]")
 {
-    constexpr double minRetryAfter = 0.5; // s; a shorter time would suit only if another gateway could serve at once
+    constexpr double minRetryAfter = 0.5; // s; less would suit only while another gateway can serve at once
     gateway_world world(1);
     REQUIRE(world.start());
     const std::string gateway = world.gateways()[0];
@@ -205,8 +204,8 @@
 
     for (const auto& name : world.registries())
         world.killHard(name);
-    CHECK(answersWith(
-        world, world.gateways()[0], "v" + std::to_string(version), 200)); // gateways keep serving without registries
+    // Gateways keep serving without registries.
+    CHECK(answersWith(world, world.gateways()[0], "v" + std::to_string(version), 200));
     for (const auto& name : world.registries())
         world.startProcess(name);
     for (const auto& name : world.registries())
--- a/tests/incident_named_limit_test.cpp
+++ b/tests/incident_named_limit_test.cpp
@@ -40,7 +40,7 @@
 
 // Guards against a limit that gateways ignore, or that each of the five applies alone, which allows five times the
 // limit.
-TEST_CASE("named limit: all gateways together stay within it, and the other targets serve the rest", "[incident]")
+TEST_CASE("target limit: all gateways together stay within it, and the other targets serve the rest", "[incident]")
 {
     const double limit = GENERATE(2.0, 0.3);
     CAPTURE(limit);
@@ -59,7 +59,7 @@
 }
 
 // Guards against limits that apply only to plain services, and not to streams over paths and their retries.
-TEST_CASE("named limit: streams stay within it at the first target of their paths", "[incident]")
+TEST_CASE("target limit: streams stay within it at the first target of their paths", "[incident]")
 {
     gateway_world world(gatewayCount);
     REQUIRE(world.start());
@@ -76,7 +76,7 @@
 }
 
 // Guards against a limit that is lost, or divided among too few gateways, when gateways restart and the leader changes.
-TEST_CASE("named limit: it is kept while gateways restart and a leader is killed", "[incident]")
+TEST_CASE("target limit: it is kept while gateways restart and a leader is killed", "[incident]")
 {
     gateway_world world(gatewayCount);
     REQUIRE(world.start());
@@ -102,7 +102,7 @@
 }
 
 // Guards against callers that wait, or retry at the same time, when every target is limited.
-TEST_CASE("named limit: with all limits used up, requests are refused at once with a time to retry", "[incident]")
+TEST_CASE("target limit: with all limits used up, requests are refused at once with a time to retry", "[incident]")
 {
     gateway_world world(gatewayCount);
     REQUIRE(world.start());
@@ -124,7 +124,7 @@
 }
 
 // Guards against limits that still apply after they were withdrawn.
-TEST_CASE("named limit: a target that withdraws its limit gets its share of requests again", "[incident]")
+TEST_CASE("target limit: a target that withdraws its limit gets its share of requests again", "[incident]")
 {
     gateway_world world(gatewayCount);
     REQUIRE(world.start());
--- a/tests/incident_rest_test.cpp
+++ b/tests/incident_rest_test.cpp
@@ -126,8 +126,8 @@
     CHECK(callers.untimed() == 0);
 }
 
-// Guards against registries that press orders and questions upon a target that asks for rest, or take it for lost.
-TEST_CASE("rest: a registry's orders and questions wait for its end", "[incident]")
+// Guards against registries that keep sending orders and probes to a target in backoff, or consider it lost.
+TEST_CASE("target backoff: a registry sends its orders and probes after the Retry-After has passed", "[incident]")
 {
     gateway_world world(1);
     REQUIRE(world.start());
--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -209,7 +209,7 @@
     CHECK(waitUntil([&] { return system.isReady("entry-1") && system.isReady("entry-0"); }, seconds(15)));
 }
 
-TEST_CASE("processes: a lost disk is repaired, and a second controller may die right after", "[process]")
+TEST_CASE("processes: a lost disk is repaired, and a second controller may be killed right after", "[process]")
 {
     cluster system(twoTargets());
     system.killHard("controller-1");
--- a/tests/session_spread_test.cpp
+++ b/tests/session_spread_test.cpp
@@ -1,10 +1,10 @@
 /// @file
 /// @brief Gateway sessions and target heartbeats are spread over all registries.
 ///
-/// Guards against a load on the leader that grows with the fleet: gateways disconnected from every registry that wasn't
-/// the leader, and heartbeats were redirected to the leader's address. With 2,997 targets on 293 machines the leader
-/// had 4,865 connections, more than the 4,096 that a machine allows, and used 64% of its processor; the median registry
-/// 9%.
+/// Guards against a leader whose load grows with the fleet: gateways disconnected from every registry but the leader,
+/// and heartbeats were redirected to the leader's address. With 2,997 targets on 293 machines the leader of five
+/// registries had 4,865 connections, more than the 4,096 that a machine allows, and used 64% of its processor, the
+/// median registry used 9%.
 #include "support/gateway_world.hpp"
 
 #include <algorithm>
@@ -133,7 +133,7 @@
     REQUIRE(world.publish(2, world.leader(), "two") == 200);
     world.startProcess(blank);
     CHECK(waitUntil([&] { return servesRoute(world, gateway, "two"); }, inForceTimeout));
-    CHECK(waitUntil(
-        [&] { return world.sessionsAt(blank) == 1; }, waitTimeout)); // the gateway returns to the nearest registry
+    // The gateway returns to the nearest registry.
+    CHECK(waitUntil([&] { return world.sessionsAt(blank) == 1; }, waitTimeout));
     CHECK(servesRoute(world, gateway, "two"));
 }
