--- a/src/app/controller/controller.cpp
+++ b/src/app/controller/controller.cpp
@@ -10,13 +10,13 @@
 
 constexpr milliseconds tickPeriod { 20 };
 constexpr milliseconds slowTickPeriod { 200 };
-constexpr milliseconds confirmationPatience { 400 };
+constexpr milliseconds confirmationTimeout { 400 };
 constexpr milliseconds pushPeriod { 200 }; ///< changes that follow each other closely go out together
 constexpr milliseconds confirmationPeriod { 100 }; ///< one quorum round answers all heartbeats that came meanwhile
-constexpr milliseconds transitionPatience { 1000 };
-constexpr milliseconds longestLeaseCheckGap { 1000 };
-constexpr milliseconds claimPatience { 2500 };
-constexpr milliseconds commandPatience { 10000 };
+constexpr milliseconds transitionTimeout { 1000 };
+constexpr milliseconds maxLeaseCheckGap { 1000 };
+constexpr milliseconds claimTimeout { 2500 };
+constexpr milliseconds commandTimeout { 10000 };
 constexpr milliseconds handOverPeriod { 300 };
 
 } // namespace
@@ -81,7 +81,7 @@
 
 tl::expected<void, failure> controller::initialize() { return m_log->initialize(); }
 
-void controller::submit(command_body body, result_callback callback, milliseconds patience)
+void controller::submit(command_body body, result_callback callback, milliseconds timeout)
 {
     const command value { randomName(), std::move(body) };
     m_log->submit(
@@ -92,12 +92,12 @@
             else
                 callback(tl::make_unexpected(failure { result_code::NoQuorum, "" }));
         },
-        patience);
+        timeout);
 }
 
-void controller::confirm(std::function<void(bool)> callback, milliseconds patience)
+void controller::confirm(std::function<void(bool)> callback, milliseconds timeout)
 {
-    m_log->confirm(std::move(callback), patience);
+    m_log->confirm(std::move(callback), timeout);
 }
 
 std::string controller::applyCommand(const std::string& bytes)
@@ -167,7 +167,7 @@
     } else if (const auto* ended = std::get_if<link::order_report>(&message)) {
         submit(
             order_ended_command { ended->instance, ended->fence, ended->code, ended->reason }, [](const auto&) {},
-            commandPatience);
+            commandTimeout);
     }
 }
 
@@ -211,7 +211,7 @@
             if (current)
                 m_sessions.confirmed(number, m_state);
         },
-        confirmationPatience);
+        confirmationTimeout);
 }
 
 void controller::onClaim(link::channel_number channel, const link::claim_request& request)
@@ -226,7 +226,7 @@
                 reply.result = result->claim;
             m_hub->send(channel, link::encode(reply));
         },
-        claimPatience);
+        claimTimeout);
 }
 
 void controller::logTransitions(const transition_batch& batch) const
@@ -269,7 +269,7 @@
         return;
     const steady_time now = steadyNow();
     const steady_time checkedBefore = std::exchange(m_leasesChecked, now);
-    if (now - checkedBefore > longestLeaseCheckGap) {
+    if (now - checkedBefore > maxLeaseCheckGap) {
         // This process was held up, or has just begun to lead: heartbeats of that time may still be unread.
         for (auto& [id, deadline] : m_leases)
             deadline = std::max(deadline, now + milliseconds(m_settings.leaseMs));
@@ -286,14 +286,14 @@
         const auto lease = m_leases.try_emplace(id, now + milliseconds(2 * m_settings.leaseMs)).first;
         if (now < lease->second)
             continue;
-        lease->second = now + transitionPatience;
+        lease->second = now + transitionTimeout;
         batch.transitions.push_back({ record, true });
         telemetry::logEvent(event_code::InstanceLost, { { "instance", id }, { "domain", record.failureDomain } },
             telemetry::severity::Warning);
     }
     if (!batch.transitions.empty())
         submit(
-            std::move(batch), [](const auto&) {}, transitionPatience);
+            std::move(batch), [](const auto&) {}, transitionTimeout);
 }
 
 void controller::proposeTransitions()
@@ -303,10 +303,9 @@
     auto missing = m_sessions.missingTransitions(m_state, steadyNow());
     if (missing.empty())
         return;
-    m_transitionDeadline = steadyNow() + transitionPatience;
+    m_transitionDeadline = steadyNow() + transitionTimeout;
     submit(
-        transition_batch { std::move(missing) }, [this](const auto&) { m_transitionDeadline = {}; },
-        transitionPatience);
+        transition_batch { std::move(missing) }, [this](const auto&) { m_transitionDeadline = {}; }, transitionTimeout);
 }
 
 int runController(const settings::settings& settings)
--- a/src/app/controller/controller.hpp
+++ b/src/app/controller/controller.hpp
@@ -47,10 +47,10 @@
 
     /// @brief Forms a new log with this controller as its only member; the others then join by themselves.
     tl::expected<void, failure> initialize();
-    /// @brief Commits a command through whoever leads. NoQuorum after the patience.
-    void submit(command_body body, result_callback callback, milliseconds patience);
+    /// @brief Commits a command through whoever leads. NoQuorum after the timeout.
+    void submit(command_body body, result_callback callback, milliseconds timeout);
     /// @brief Calls back once a quorum has confirmed that this controller is current, or with false.
-    void confirm(std::function<void(bool)> callback, milliseconds patience);
+    void confirm(std::function<void(bool)> callback, milliseconds timeout);
 
     [[nodiscard]] controller_status status() const;
     [[nodiscard]] const controller_state& state() const { return m_state; }
--- a/src/app/controller/controller_api.cpp
+++ b/src/app/controller/controller_api.cpp
@@ -14,9 +14,9 @@
 using http::http_request;
 using nlohmann::json;
 
-constexpr milliseconds confirmPatience { 2000 };
-constexpr milliseconds commitPatience { 5000 };
-constexpr milliseconds loopPatience { 6000 };
+constexpr milliseconds confirmTimeout { 2000 };
+constexpr milliseconds commitTimeout { 5000 };
+constexpr milliseconds loopTimeout { 6000 };
 constexpr int maxDepth = 32;
 constexpr std::string_view instancePrefix = "/v1/instances/";
 
@@ -101,7 +101,7 @@
     void status(const http_request& /*request*/, http_exchange& exchange)
     {
         const auto status
-            = askLoop<controller_status>(m_loop, loopPatience, [this](const auto& reply) { reply(m_role.status()); });
+            = askLoop<controller_status>(m_loop, loopTimeout, [this](const auto& reply) { reply(m_role.status()); });
         if (!status) {
             refuse(exchange, { result_code::NoQuorum, "the controller is busy" });
             return;
@@ -113,7 +113,7 @@
     {
         using outcome = tl::expected<void, failure>;
         const auto done
-            = askLoop<outcome>(m_loop, loopPatience, [this](const auto& reply) { reply(m_role.initialize()); });
+            = askLoop<outcome>(m_loop, loopTimeout, [this](const auto& reply) { reply(m_role.initialize()); });
         if (!done || !*done) {
             refuse(exchange, done ? done->error() : failure { result_code::NoQuorum, "the controller is busy" });
             return;
@@ -166,15 +166,15 @@
 
     result_or_failure commit(command_body body)
     {
-        const auto result = askLoop<result_or_failure>(m_loop, loopPatience,
-            [this, body = std::move(body)](const auto& reply) { m_role.submit(body, reply, commitPatience); });
+        const auto result = askLoop<result_or_failure>(m_loop, loopTimeout,
+            [this, body = std::move(body)](const auto& reply) { m_role.submit(body, reply, commitTimeout); });
         return result.value_or(tl::make_unexpected(failure { result_code::NoQuorum, "the controller is busy" }));
     }
 
     std::optional<configuration_reading> readConfirmed()
     {
         using reading = std::optional<configuration_reading>;
-        const auto answer = askLoop<reading>(m_loop, loopPatience, [this](const auto& reply) {
+        const auto answer = askLoop<reading>(m_loop, loopTimeout, [this](const auto& reply) {
             m_role.confirm(
                 [this, reply](bool current) {
                     if (!current) {
@@ -184,7 +184,7 @@
                     const auto& store = m_role.state().configuration();
                     reply(configuration_reading { store.version(), store.text(), store.history() });
                 },
-                confirmPatience);
+                confirmTimeout);
         });
         return answer.value_or(std::nullopt);
     }
--- a/src/app/shell/control_shell.cpp
+++ b/src/app/shell/control_shell.cpp
@@ -20,7 +20,7 @@
 
 using nlohmann::json;
 
-constexpr milliseconds callPatience { 10000 };
+constexpr milliseconds callTimeout { 10000 };
 constexpr int firstErrorStatus = 400;
 
 struct shell_options {
@@ -50,7 +50,7 @@
     request.path = path;
     request.body = body;
     request.contentType = body.empty() ? "" : "application/json";
-    request.deadline = steadyNow() + callPatience;
+    request.deadline = steadyNow() + callTimeout;
     if (!options.token.empty())
         request.headers.push_back({ "Authorization", "Bearer " + options.token });
     const auto response = http::call(request);
