--- a/src/app/controller/controller.cpp
+++ b/src/app/controller/controller.cpp
@@ -64,7 +64,7 @@
             failure { result_code::BadSettings, "can't listen on " + m_settings.reachableAddress() });
     m_ticker = std::make_unique<periodic_task>(m_loop, tickPeriod, [this] { tick(); });
     m_slowTicker = std::make_unique<periodic_task>(m_loop, slowTickPeriod, [this] {
-        reportHeard();
+        reportRenewals();
         expireLeases();
         proposeTransitions();
         m_log->scheduleFlush();
@@ -163,7 +163,7 @@
     } else if (const auto* claim = std::get_if<link::claim_request>(&message)) {
         onClaim(channel, *claim);
     } else if (const auto* report = std::get_if<link::lease_report>(&message)) {
-        heard(report->instances);
+        renewLeases(report->instances);
     } else if (const auto* ended = std::get_if<link::order_report>(&message)) {
         submit(
             order_ended_command { ended->instance, ended->fence, ended->code, ended->reason }, [](const auto&) {},
@@ -191,14 +191,15 @@
 
 void controller::confirmSessions()
 {
-    if (m_log->replica().leader() != m_confirmedBy) {
+    if (m_log->replica().leader() != m_confirmingLeader) {
         // What the old leader was asked it may never answer.
-        m_confirmedBy = m_log->replica().leader();
+        m_confirmingLeader = m_log->replica().leader();
         m_openConfirmation = 0;
-        m_sessions.forgetConfirmations();
+        m_sessions.dropConfirmations();
     }
     const steady_time now = steadyNow();
-    if (m_confirmedBy == 0 || now < m_confirmDeadline || !m_sessions.hasWaiting() || m_openConfirmation != 0)
+    if (m_confirmingLeader == 0 || now < m_confirmDeadline || !m_sessions.hasPendingHeartbeats()
+        || m_openConfirmation != 0)
         return;
     m_confirmDeadline = now + confirmationPeriod;
     const std::uint64_t number = ++m_lastConfirmation;
@@ -245,18 +246,18 @@
     }
 }
 
-void controller::reportHeard()
+void controller::reportRenewals()
 {
-    const auto instances = m_sessions.takeHeard();
+    const auto instances = m_sessions.takeRenewals();
     if (instances.empty())
         return;
     if (m_log->isLeader())
-        heard(instances);
+        renewLeases(instances);
     else
         m_log->sendToLeader(link::lease_report { instances });
 }
 
-void controller::heard(const std::vector<instance_id>& instances)
+void controller::renewLeases(const std::vector<instance_id>& instances)
 {
     const steady_time deadline = steadyNow() + milliseconds(m_settings.leaseMs);
     for (const auto& id : instances)
@@ -268,8 +269,8 @@
     if (!m_log->isLeader())
         return;
     const steady_time now = steadyNow();
-    const steady_time checkedBefore = std::exchange(m_leasesChecked, now);
-    if (now - checkedBefore > maxLeaseCheckGap) {
+    const steady_time lastCheck = std::exchange(m_leasesChecked, now);
+    if (now - lastCheck > maxLeaseCheckGap) {
         // This process was held up, or has just begun to lead: heartbeats of that time may still be unread.
         for (auto& [id, deadline] : m_leases)
             deadline = std::max(deadline, now + milliseconds(m_settings.leaseMs));
--- a/src/app/controller/controller.hpp
+++ b/src/app/controller/controller.hpp
@@ -24,7 +24,7 @@
 };
 
 /// The configuration as confirmed by a quorum.
-struct configuration_reading {
+struct confirmed_configuration {
     configuration_version version = 0;
     std::string text;
     std::vector<configuration::change_record> history;
@@ -67,8 +67,8 @@
     void tick();
     void logTransitions(const transition_batch& batch) const;
     void confirmSessions();
-    void reportHeard();
-    void heard(const std::vector<instance_id>& instances);
+    void reportRenewals();
+    void renewLeases(const std::vector<instance_id>& instances);
     void expireLeases();
     void proposeTransitions();
 
@@ -83,7 +83,7 @@
     steady_time m_confirmDeadline {}; ///< the sessions' next confirmation
     std::uint64_t m_lastConfirmation = 0;
     std::uint64_t m_openConfirmation = 0; ///< of the sessions; 0: none
-    agreement::member_id m_confirmedBy = 0; ///< the leader that the open confirmation was asked of
+    agreement::member_id m_confirmingLeader = 0; ///< the leader that the open confirmation was asked of
     std::map<instance_id, steady_time> m_leases; ///< only the leader's counts
     steady_time m_leasesChecked {};
     steady_time m_transitionDeadline {}; ///< the batch sent last is given until then
--- a/src/app/controller/controller_api.cpp
+++ b/src/app/controller/controller_api.cpp
@@ -145,16 +145,17 @@
 private:
     void order(const std::string& instance, const std::string& body, http_exchange& exchange)
     {
-        const json wish = json::parse(body, nullptr, false);
-        const auto isText = [&wish](const char* name) {
-            return wish.is_object() && wish.contains(name) && wish[name].is_string() && !wish[name].empty();
+        const json parameters = json::parse(body, nullptr, false);
+        const auto isText = [&parameters](const char* name) {
+            return parameters.is_object() && parameters.contains(name) && parameters[name].is_string()
+                && !parameters[name].empty();
         };
         if (!isText("model") || !isText("version")) {
             refuse(exchange, { result_code::MalformedRequest, "'model' and 'version' must be texts" });
             return;
         }
-        const auto result
-            = commit(order_command { instance, wish["model"].get<std::string>(), wish["version"].get<std::string>() });
+        const auto result = commit(order_command {
+            instance, parameters["model"].get<std::string>(), parameters["version"].get<std::string>() });
         if (!result || result->outcome.code != result_code::Ok) {
             refuse(exchange, result ? result->outcome : result.error());
             return;
@@ -171,9 +172,9 @@
         return result.value_or(tl::make_unexpected(failure { result_code::NoQuorum, "the controller is busy" }));
     }
 
-    std::optional<configuration_reading> readConfirmed()
+    std::optional<confirmed_configuration> readConfirmed()
     {
-        using reading = std::optional<configuration_reading>;
+        using reading = std::optional<confirmed_configuration>;
         const auto answer = askLoop<reading>(m_loop, loopTimeout, [this](const auto& reply) {
             m_role.confirm(
                 [this, reply](bool current) {
@@ -182,7 +183,7 @@
                         return;
                     }
                     const auto& store = m_role.state().configuration();
-                    reply(configuration_reading { store.version(), store.text(), store.history() });
+                    reply(confirmed_configuration { store.version(), store.text(), store.history() });
                 },
                 confirmTimeout);
         });
--- a/src/app/controller/controller_state.hpp
+++ b/src/app/controller/controller_state.hpp
@@ -17,7 +17,7 @@
     std::vector<membership::transition> transitions;
 };
 
-/// An operator's wish that an instance drains, or takes work again.
+/// An operator's parameters that an instance drains, or takes work again.
 struct drain_command {
     instance_id instance;
     bool drain = true;
--- a/src/app/controller/placement.cpp
+++ b/src/app/controller/placement.cpp
@@ -49,8 +49,8 @@
             && (open->second.order.model != held.model || open->second.order.version != held.version);
         return item.first != command.instance && !isOrderedAway && isReadyCopy(item.second, held);
     };
-    const bool hasOther = std::any_of(instances.records().begin(), instances.records().end(), staysReady);
-    if (changes && !hasOther && isReadyCopy(*subject, held) && isInUse(document, held.model, held.version))
+    const bool hasOtherCopy = std::any_of(instances.records().begin(), instances.records().end(), staysReady);
+    if (changes && !hasOtherCopy && isReadyCopy(*subject, held) && isInUse(document, held.model, held.version))
         return tl::make_unexpected(failure { result_code::LastCopy, held.model + " version " + held.version });
     auto& record = m_records[command.instance];
     record = { command.instance, { ++m_lastFence, command.model, command.version }, order_state::Waiting, "" };
--- a/src/app/controller/session_table.cpp
+++ b/src/app/controller/session_table.cpp
@@ -31,32 +31,35 @@
         session.configuration = announce.configuration;
         session.revision = announce.membershipRevision;
     }
-    m_heard.insert(announce.record.id);
+    m_renewals.insert(announce.record.id);
 }
 
 void session_table::heartbeat(link::channel_number channel, const link::session_heartbeat& heartbeat, steady_time now)
 {
-    m_waiting[channel] = heartbeat.sequence;
+    m_pendingHeartbeats[channel] = heartbeat.sequence;
     const auto found = m_sessions.find(channel);
     if (found == m_sessions.end())
         return;
     found->second.leaseDeadline = now + m_lease;
-    m_heard.insert(found->second.record.id);
+    m_renewals.insert(found->second.record.id);
 }
 
 void session_table::closed(link::channel_number channel)
 {
     m_sessions.erase(channel);
-    m_waiting.erase(channel);
-    for (auto& [readId, channels] : m_confirming)
+    m_pendingHeartbeats.erase(channel);
+    for (auto& [confirmation, channels] : m_confirming)
         channels.erase(channel);
 }
 
-void session_table::beginConfirmation(std::uint64_t readId) { m_confirming[readId] = std::exchange(m_waiting, {}); }
+void session_table::beginConfirmation(std::uint64_t confirmation)
+{
+    m_confirming[confirmation] = std::exchange(m_pendingHeartbeats, {});
+}
 
-void session_table::confirmed(std::uint64_t readId, const controller_state& state)
+void session_table::confirmed(std::uint64_t confirmation, const controller_state& state)
 {
-    const auto found = m_confirming.find(readId);
+    const auto found = m_confirming.find(confirmation);
     if (found == m_confirming.end())
         return;
     const auto channels = std::move(found->second);
@@ -112,30 +115,30 @@
     return missing;
 }
 
-std::vector<instance_id> session_table::takeHeard()
+std::vector<instance_id> session_table::takeRenewals()
 {
-    std::vector<instance_id> heard(m_heard.begin(), m_heard.end());
-    m_heard.clear();
-    return heard;
+    std::vector<instance_id> renewals(m_renewals.begin(), m_renewals.end());
+    m_renewals.clear();
+    return renewals;
 }
 
 void session_table::push(link::channel_number channel, session_entry& session, const controller_state& state)
 {
     if (!session.wantsState)
         return;
-    for (const auto& bytes : configurationFor(session.configuration, state))
+    for (const auto& bytes : configurationUpdates(session.configuration, state))
         m_send(channel, bytes);
     session.configuration = state.configuration().version();
-    for (const auto& bytes : membershipFor(session.revision, state))
+    for (const auto& bytes : membershipUpdates(session.revision, state))
         m_send(channel, bytes);
     session.revision = state.membership().revision();
 }
 
-const std::vector<std::string>& session_table::configurationFor(
+const std::vector<std::string>& session_table::configurationUpdates(
     configuration_version held, const controller_state& state)
 {
-    startAnew(m_configuration, state.configuration().version());
-    const auto [known, isNew] = m_configuration.byHeld.try_emplace(held);
+    resetIfOutdated(m_configuration, state.configuration().version());
+    const auto [known, isNew] = m_configuration.byHeldVersion.try_emplace(held);
     const auto update = isNew ? state.configuration().updateFor(held) : std::nullopt;
     if (!update)
         return known->second;
@@ -144,19 +147,19 @@
     return known->second;
 }
 
-const std::vector<std::string>& session_table::membershipFor(std::uint64_t held, const controller_state& state)
+const std::vector<std::string>& session_table::membershipUpdates(std::uint64_t held, const controller_state& state)
 {
-    startAnew(m_membership, state.membership().revision());
-    const auto [known, isNew] = m_membership.byHeld.try_emplace(held);
+    resetIfOutdated(m_membership, state.membership().revision());
+    const auto [known, isNew] = m_membership.byHeldVersion.try_emplace(held);
     if (isNew && held != state.membership().revision())
         known->second.push_back(link::encode(state.membership().changesSince(held)));
     return known->second;
 }
 
-void session_table::startAnew(encoded_updates& updates, std::uint64_t to)
+void session_table::resetIfOutdated(encoded_updates& updates, std::uint64_t to)
 {
     if (updates.to != to)
-        updates.byHeld.clear();
+        updates.byHeldVersion.clear();
     updates.to = to;
 }
 
--- a/src/app/controller/session_table.hpp
+++ b/src/app/controller/session_table.hpp
@@ -31,13 +31,13 @@
     void closed(link::channel_number channel);
 
     /// @brief True when heartbeats wait for a confirmation.
-    [[nodiscard]] bool hasWaiting() const { return !m_waiting.empty(); }
+    [[nodiscard]] bool hasPendingHeartbeats() const { return !m_pendingHeartbeats.empty(); }
     /// @brief The heartbeats that came so far will be answered by this confirmation.
-    void beginConfirmation(std::uint64_t readId);
+    void beginConfirmation(std::uint64_t confirmation);
     /// @brief This controller's state is no older than the beginning of that confirmation.
-    void confirmed(std::uint64_t readId, const controller_state& state);
+    void confirmed(std::uint64_t confirmation, const controller_state& state);
     /// @brief Confirmations that began before are given up.
-    void forgetConfirmations() { m_confirming.clear(); }
+    void dropConfirmations() { m_confirming.clear(); }
 
     /// @brief Sends what was committed to all sessions that are up to date so far.
     void pushAll(const controller_state& state);
@@ -47,7 +47,7 @@
         const controller_state& state, steady_time now) const;
 
     /// @brief Instances heard since the last call.
-    std::vector<instance_id> takeHeard();
+    std::vector<instance_id> takeRenewals();
     [[nodiscard]] std::size_t size() const { return m_sessions.size(); }
 
 private:
@@ -64,21 +64,21 @@
     /// the whole table of 2,600 instances took a controller four seconds of a core for 390 entries.
     struct encoded_updates {
         std::uint64_t to = 0; ///< version or revision that they lead to
-        std::map<std::uint64_t, std::vector<std::string>> byHeld;
+        std::map<std::uint64_t, std::vector<std::string>> byHeldVersion;
     };
 
     void push(link::channel_number channel, session_entry& session, const controller_state& state);
     /// @brief Forgets updates that lead to another version than this one.
-    static void startAnew(encoded_updates& updates, std::uint64_t to);
-    const std::vector<std::string>& configurationFor(configuration_version held, const controller_state& state);
-    const std::vector<std::string>& membershipFor(std::uint64_t held, const controller_state& state);
+    static void resetIfOutdated(encoded_updates& updates, std::uint64_t to);
+    const std::vector<std::string>& configurationUpdates(configuration_version held, const controller_state& state);
+    const std::vector<std::string>& membershipUpdates(std::uint64_t held, const controller_state& state);
 
     channel_sender m_send;
     milliseconds m_lease;
     std::map<link::channel_number, session_entry> m_sessions;
-    std::map<link::channel_number, std::uint64_t> m_waiting; ///< newest heartbeat of each channel
+    std::map<link::channel_number, std::uint64_t> m_pendingHeartbeats; ///< newest heartbeat of each channel
     std::map<std::uint64_t, std::map<link::channel_number, std::uint64_t>> m_confirming; ///< by read id
-    std::set<instance_id> m_heard;
+    std::set<instance_id> m_renewals;
     encoded_updates m_configuration;
     encoded_updates m_membership;
 };
--- a/src/app/shell/control_shell.cpp
+++ b/src/app/shell/control_shell.cpp
@@ -206,8 +206,8 @@
 
 int order(const shell_options& options)
 {
-    const json wish = { { "model", options.words[2] }, { "version", options.words[3] } };
-    const auto answer = callAny(options, "POST", "/v1/instances/" + options.words[1] + "/order", wish.dump());
+    const json parameters = { { "model", options.words[2] }, { "version", options.words[3] } };
+    const auto answer = callAny(options, "POST", "/v1/instances/" + options.words[1] + "/order", parameters.dump());
     const auto fence = answer.body.is_object() ? answer.body.value("fence", 0) : 0;
     return report(options, answer, "ordered with fencing number " + std::to_string(fence));
 }
@@ -329,17 +329,17 @@
     return table;
 }
 
-bool isValue(const std::string& word)
+bool isPlaceholder(const std::string& word)
 {
     return !word.empty() && std::isupper(static_cast<unsigned char>(word.front())) != 0;
 }
 
-bool fits(const shell_command& command, const std::vector<std::string>& words)
+bool matches(const shell_command& command, const std::vector<std::string>& words)
 {
     if (command.words.size() != words.size())
         return false;
     for (std::size_t at = 0; at < words.size(); ++at) {
-        if (!isValue(command.words[at]) && command.words[at] != words[at])
+        if (!isPlaceholder(command.words[at]) && command.words[at] != words[at])
             return false;
     }
     return true;
@@ -411,7 +411,7 @@
         }
     }
     for (const auto& command : commands()) {
-        if (fits(command, options.words))
+        if (matches(command, options.words))
             return command.run(options);
     }
     std::cerr << "buckthornrail ctl: no such command\n" << usage() << "\n";
