--- a/src/app/shell/control_shell.cpp
+++ b/src/app/shell/control_shell.cpp
@@ -4,7 +4,7 @@
 
 #include "app/controller/operator_access.hpp"
 #include "app/shared/process.hpp"
-#include "app/shell/log_account.hpp"
+#include "app/shell/request_timeline.hpp"
 #include "buckthornrail/http/http_client.hpp"
 
 #include <filesystem>
@@ -272,12 +272,12 @@
         }
         sources.push_back({ std::filesystem::path(path).stem().string(), files.back() });
     }
-    const auto account = accountOf(options.words[1], sources);
-    if (account.empty()) {
+    const auto timeline = requestTimeline(options.words[1], sources);
+    if (timeline.empty()) {
         std::cerr << "buckthornrail ctl: none of the logs names request " << options.words[1] << "\n";
         return exitFailure;
     }
-    std::cout << format(account);
+    std::cout << format(timeline);
     return exitOk;
 }
 
--- a/src/app/shell/log_account.cpp
+++ b/src/app/shell/request_timeline.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// @brief Reading log lines back.
-#include "app/shell/log_account.hpp"
+#include "app/shell/request_timeline.hpp"
 
 #include <algorithm>
 #include <array>
@@ -14,7 +14,7 @@
 namespace {
 
 /// Clocks of machines differ by some of it, and what a target suffers is told a little after a request feels it.
-constexpr double spanSlack = 1.0;
+constexpr double timeMargin = 1.0;
 /// Events of a process as a whole: starts and stops, leaders and disks, documents, sessions.
 constexpr std::array processEvents { "E100", "E101", "E102", "E400", "E401", "E404", "E405", "E500", "E501", "E502",
     "E503", "E607", "E608", "E612" };
@@ -51,7 +51,7 @@
 }
 
 /// Targets that a request's line names: "target=T", or "chosen=T=0-40,T=40-80".
-void noteTargets(const std::string& text, std::set<std::string>& targets)
+void collectTargets(const std::string& text, std::set<std::string>& targets)
 {
     if (const auto target = fieldOf(text, "target"); !target.empty())
         targets.insert(target);
@@ -72,28 +72,28 @@
 
 } // namespace
 
-std::vector<account_line> accountOf(const std::string& request, const std::vector<log_source>& sources)
+std::vector<timeline_entry> requestTimeline(const std::string& request, const std::vector<log_source>& sources)
 {
-    std::vector<account_line> account;
+    std::vector<timeline_entry> timeline;
     if (request.empty())
-        return account;
+        return timeline;
     std::set<std::string> targets;
     std::set<std::string> writers;
     for (const auto& source : sources) {
         forEachLine(source, [&](const log_line& line) {
             if (fieldOf(line.text, "request") != request)
                 return;
-            account.push_back({ source.name, line.seconds, line.text, true });
-            noteTargets(line.text, targets);
+            timeline.push_back({ source.name, line.seconds, line.text, true });
+            collectTargets(line.text, targets);
             writers.insert(source.name);
         });
     }
-    if (account.empty())
-        return account;
-    const auto earlier = [](const account_line& a, const account_line& b) { return a.seconds < b.seconds; };
-    const auto [first, last] = std::minmax_element(account.begin(), account.end(), earlier);
-    const double from = first->seconds - spanSlack;
-    const double until = last->seconds + spanSlack;
+    if (timeline.empty())
+        return timeline;
+    const auto earlier = [](const timeline_entry& a, const timeline_entry& b) { return a.seconds < b.seconds; };
+    const auto [first, last] = std::minmax_element(timeline.begin(), timeline.end(), earlier);
+    const double from = first->seconds - timeMargin;
+    const double until = last->seconds + timeMargin;
     for (const auto& source : sources) {
         forEachLine(source, [&](const log_line& line) {
             if (line.seconds < from || line.seconds > until || !fieldOf(line.text, "request").empty())
@@ -103,26 +103,27 @@
             const bool isOfWriter = writers.contains(source.name)
                 && std::find(processEvents.begin(), processEvents.end(), line.code) != processEvents.end();
             if (isOfTarget || isOfWriter)
-                account.push_back({ source.name, line.seconds, line.text, false });
+                timeline.push_back({ source.name, line.seconds, line.text, false });
         });
     }
-    std::stable_sort(account.begin(), account.end(), earlier);
-    return account;
+    std::stable_sort(timeline.begin(), timeline.end(), earlier);
+    return timeline;
 }
 
-std::string format(const std::vector<account_line>& account)
+std::string format(const std::vector<timeline_entry>& timeline)
 {
-    const auto first = std::find_if(account.begin(), account.end(), [](const auto& line) { return line.isOwn; });
-    if (first == account.end())
+    const auto first
+        = std::find_if(timeline.begin(), timeline.end(), [](const auto& line) { return line.namesRequest; });
+    if (first == timeline.end())
         return {};
     std::size_t width = 0;
-    for (const auto& line : account)
+    for (const auto& line : timeline)
         width = std::max(width, line.source.size());
     std::string text;
-    for (const auto& line : account) {
+    for (const auto& line : timeline) {
         std::array<char, 32> time {};
         std::snprintf(time.data(), time.size(), "%+9.3f s ", line.seconds - first->seconds);
-        text += std::string(line.isOwn ? "> " : "  ") + time.data() + line.source
+        text += std::string(line.namesRequest ? "> " : "  ") + time.data() + line.source
             + std::string(width - line.source.size() + 1, ' ') + line.text + "\n";
     }
     return text;
--- a/src/app/shell/log_account_test.cpp
+++ b/src/app/shell/request_timeline_test.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// @brief Accounts of requests from logs.
-#include "app/shell/log_account.hpp"
+#include "app/shell/request_timeline.hpp"
 
 #include <catch2/catch.hpp>
 #include <sstream>
@@ -26,36 +26,36 @@
                                 "I 200.800 E502 configuration_applied version=8\n"
                                 "I 260.000 E603 target_changed target=i-2 state=ready\n";
 
-std::vector<account_line> accountFrom(const std::string& request)
+std::vector<timeline_entry> timelineFrom(const std::string& request)
 {
     std::istringstream gateway(gatewayLog);
     std::istringstream registry(registryLog);
-    return accountOf(request, { { "registry", registry }, { "gateway", gateway } });
+    return requestTimeline(request, { { "registry", registry }, { "gateway", gateway } });
 }
 
 } // namespace
 
-TEST_CASE("log account: a request's lines, and what befell its targets and gateway meanwhile", "[log_account]")
+TEST_CASE("log timeline: a request's lines, and what befell its targets and gateway meanwhile", "[request_timeline]")
 {
-    const auto account = accountFrom("r-1");
+    const auto timeline = timelineFrom("r-1");
     std::vector<std::string> codes;
-    codes.reserve(account.size());
-    for (const auto& line : account)
-        codes.push_back(line.text.substr(0, 4) + (line.isOwn ? "!" : ""));
+    codes.reserve(timeline.size());
+    for (const auto& line : timeline)
+        codes.push_back(line.text.substr(0, 4) + (line.namesRequest ? "!" : ""));
     CHECK(codes == std::vector<std::string> { "E200!", "E211", "E203!", "E502", "E601", "E204!" });
-    CHECK(account[4].source == "registry");
+    CHECK(timeline[4].source == "registry");
 }
 
-TEST_CASE("log account: no line names the request", "[log_account]")
+TEST_CASE("log timeline: no line names the request", "[request_timeline]")
 {
-    CHECK(accountFrom("r-2").empty());
-    CHECK(accountFrom("").empty());
+    CHECK(timelineFrom("r-2").empty());
+    CHECK(timelineFrom("").empty());
     CHECK(format({}).empty());
 }
 
-TEST_CASE("log account: times count from the request's first line", "[log_account]")
+TEST_CASE("log timeline: times count from the request's first line", "[request_timeline]")
 {
-    const auto text = format(accountFrom("r-1"));
+    const auto text = format(timelineFrom("r-1"));
     CHECK(text.starts_with(">    +0.000 s gateway  E200 route_chosen request=r-1"));
     CHECK(text.find("     +0.590 s registry E601 instance_lost instance=i-2") != std::string::npos);
 }
