--- a/src/app/controller/console_page.cpp
+++ b/src/app/controller/console_page.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief The operators' console: one page of forms that make one validated document.
+/// @brief The operators' console: a page with forms that edit the configuration document, which is checked and
+/// submitted as a whole.
 #include "app/controller/controller_api.hpp"
 
 namespace buckthornrail::app {
--- a/src/app/controller/controller.cpp
+++ b/src/app/controller/controller.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Sessions, leases and orders over the replicated log.
+/// @brief Sessions, leases, claims and orders on top of the replicated log.
 #include "app/controller/controller.hpp"
 
 #include "app/controller/controller_api.hpp"
@@ -11,8 +11,8 @@
 constexpr milliseconds tickPeriod { 20 };
 constexpr milliseconds slowTickPeriod { 200 };
 constexpr milliseconds confirmationTimeout { 400 };
-constexpr milliseconds pushPeriod { 200 }; ///< changes that follow each other closely go out together
-constexpr milliseconds confirmationPeriod { 100 }; ///< one quorum round answers all heartbeats that came meanwhile
+constexpr milliseconds pushPeriod { 200 }; ///< changes in quick succession are batched
+constexpr milliseconds confirmationPeriod { 100 }; ///< one quorum round answers all heartbeats received since the last
 constexpr milliseconds transitionTimeout { 1000 };
 constexpr milliseconds maxLeaseCheckGap { 1000 };
 constexpr milliseconds claimTimeout { 2500 };
@@ -192,7 +192,7 @@
 void controller::confirmSessions()
 {
     if (m_log->replica().leader() != m_confirmingLeader) {
-        // What the old leader was asked it may never answer.
+        // The previous leader may never answer the confirmation that was requested from it.
         m_confirmingLeader = m_log->replica().leader();
         m_openConfirmation = 0;
         m_sessions.dropConfirmations();
@@ -271,7 +271,7 @@
     const steady_time now = steadyNow();
     const steady_time lastCheck = std::exchange(m_leasesChecked, now);
     if (now - lastCheck > maxLeaseCheckGap) {
-        // This process was held up, or has just begun to lead: heartbeats of that time may still be unread.
+        // This process was stalled, or has just become the leader: heartbeats sent meanwhile may still be unread.
         for (auto& [id, deadline] : m_leases)
             deadline = std::max(deadline, now + milliseconds(m_settings.leaseMs));
     }
@@ -283,7 +283,7 @@
             m_leases.erase(id);
             continue;
         }
-        // A new leader has heard nobody yet: everyone gets a whole lease to come.
+        // A new leader has received no heartbeats yet: with two leases, an instance has one whole lease to send one.
         const auto lease = m_leases.try_emplace(id, now + milliseconds(2 * m_settings.leaseMs)).first;
         if (now < lease->second)
             continue;
--- a/src/app/controller/controller_api.cpp
+++ b/src/app/controller/controller_api.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Operators' requests.
+/// @brief Handlers of operators' requests.
 #include "app/controller/controller_api.hpp"
 
 #include "app/controller/operator_access.hpp"
@@ -66,7 +66,7 @@
         { "sessions", status.sessions }, { "instances", instances } };
 }
 
-/// Operators' requests, run on the HTTP server's threads.
+/// Handles operators' requests on the HTTP server's threads, which wait for results from the loop thread.
 class operator_api {
 public:
     operator_api(link::event_loop& loop, controller& role)
@@ -103,7 +103,7 @@
         const auto status
             = askLoop<controller_status>(m_loop, loopTimeout, [this](const auto& reply) { reply(m_role.status()); });
         if (!status) {
-            refuse(exchange, { result_code::NoQuorum, "the controller is busy" });
+            refuse(exchange, { result_code::NoQuorum, "the controller's event loop did not answer in time" });
             return;
         }
         respondJson(exchange, statusToJson(*status));
@@ -115,7 +115,9 @@
         const auto done
             = askLoop<outcome>(m_loop, loopTimeout, [this](const auto& reply) { reply(m_role.initialize()); });
         if (!done || !*done) {
-            refuse(exchange, done ? done->error() : failure { result_code::NoQuorum, "the controller is busy" });
+            refuse(exchange,
+                done ? done->error()
+                     : failure { result_code::NoQuorum, "the controller's event loop did not answer in time" });
             return;
         }
         respondJson(exchange, { { "initialized", true } });
@@ -151,7 +153,7 @@
                 && !parameters[name].empty();
         };
         if (!isText("model") || !isText("version")) {
-            refuse(exchange, { result_code::MalformedRequest, "'model' and 'version' must be texts" });
+            refuse(exchange, { result_code::MalformedRequest, "'model' and 'version' must be non-empty strings" });
             return;
         }
         const auto result = commit(order_command {
@@ -169,7 +171,8 @@
     {
         const auto result = askLoop<result_or_failure>(m_loop, loopTimeout,
             [this, body = std::move(body)](const auto& reply) { m_role.submit(body, reply, commitTimeout); });
-        return result.value_or(tl::make_unexpected(failure { result_code::NoQuorum, "the controller is busy" }));
+        return result.value_or(tl::make_unexpected(
+            failure { result_code::NoQuorum, "the controller's event loop did not answer in time" }));
     }
 
     std::optional<confirmed_configuration> readConfirmed()
@@ -211,7 +214,8 @@
         respondJson(exchange, answer);
     }
 
-    /// Reads {"base", "change_id", "author", "document"}.
+    /// Parses a body with the fields "base", "change_id", "author" (optional) and "document".
+    /// @return the change without its patch, and the new document's text
     static tl::expected<std::pair<configuration::change_command, std::string>, failure> readChange(
         const std::string& body)
     {
@@ -220,7 +224,7 @@
         };
         try {
             const json value = json::parse(body, [](int depth, json::parse_event_t, json&) {
-                if (depth > maxDepth) // writing it out again takes a stack frame for each level
+                if (depth > maxDepth) // serialising it again takes a stack frame per level
                     throw std::length_error("the body is nested too deeply");
                 return true;
             });
@@ -269,7 +273,8 @@
                 { result_code::VersionConflict, "version " + std::to_string(reading->version) + " is current" });
             return;
         }
-        // When the base is an older one the patch won't be used: the log answers "conflict", or the first answer again.
+        // With an older base the patch is not applied: the result is a conflict or, for a resent change, the first
+        // result.
         change->first.patch = configuration::makePatch(reading->text, configuration::formatDocument(*parsed));
         const auto result = commit(change->first);
         if (!result) {
--- a/src/app/controller/controller_api.hpp
+++ b/src/app/controller/controller_api.hpp
@@ -6,11 +6,11 @@
 
 namespace buckthornrail::app {
 
-/// @brief Routes of the interface and of the console.
+/// @brief Routes of the HTTP interface and of the console. Handlers run on the HTTP server's threads.
 std::vector<http::http_route> controllerRoutes(
     link::event_loop& loop, controller& role, const settings::settings& settings);
 
-/// @brief The console's page.
+/// @brief The console's page as HTML.
 const std::string& consolePage();
 
 } // namespace buckthornrail::app
--- a/src/app/controller/controller_state.cpp
+++ b/src/app/controller/controller_state.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Applying commands, and the snapshot of the state.
+/// @brief Encoding and applying commands, and snapshots of the state.
 #include "app/controller/controller_state.hpp"
 
 #include "buckthornrail/link/state_json.hpp"
@@ -32,7 +32,7 @@
             return command_body(std::in_place_index<At>, body.get<std::variant_alternative_t<At, command_body>>());
         return bodyFromJson<At + 1>(type, body);
     } else {
-        throw std::out_of_range("command type " + std::to_string(type) + " is not known");
+        throw std::out_of_range("command type " + std::to_string(type) + " is unknown");
     }
 }
 
--- a/src/app/controller/controller_state.hpp
+++ b/src/app/controller/controller_state.hpp
@@ -17,7 +17,7 @@
     std::vector<membership::transition> transitions;
 };
 
-/// An operator's parameters that an instance drains, or takes work again.
+/// An operator's request that an instance drains, or accepts work again.
 struct drain_command {
     instance_id instance;
     bool drain = true;
@@ -26,33 +26,35 @@
 using command_body = std::variant<configuration::change_command, transition_batch, drain_command,
     dispatch::claim_command, order_command, order_ended_command>;
 
-/// One command of the log. Applying it twice has the effect of once.
+/// A command in the replicated log. Applying it is idempotent.
 struct command {
-    std::string id; ///< unique; the proposer waits for it
+    std::string id; ///< unique; the proposer recognises its committed command by it
     command_body body;
 };
 
-/// What a command came to.
+/// Result of applying a command.
 struct command_result {
-    failure outcome; ///< Ok, or why it was refused
+    failure outcome; ///< Ok, or the reason of a refusal
     configuration::change_result change; ///< for change_command
     dispatch::claim_result claim; ///< for claim_command
-    dispatch::fencing_token fence = 0; ///< for order_command
+    dispatch::fencing_token fence = 0; ///< fencing token, for order_command
 };
 
-/// @brief A command as CBOR.
+/// @brief Encodes a command as CBOR.
 std::string encodeCommand(const command& value);
-/// @return MalformedMessage when the bytes aren't a command.
+/// @brief Decodes a command. @return MalformedMessage when the bytes are not a known command
 tl::expected<command, failure> decodeCommand(const std::string& bytes);
 
-/// @brief Deterministic: no clock, no random source.
+/// @brief The replicated state machine. Deterministic: it uses neither a clock nor random numbers.
 class controller_state {
 public:
+    /// @brief Applies a command. @return its result; Ok without effect for repeated commands other than changes and
+    /// claims, whose result is repeated
     command_result apply(const command& value);
 
-    /// @brief The whole state as CBOR.
+    /// @brief Encodes the whole state as CBOR, for a snapshot.
     [[nodiscard]] std::string save() const;
-    /// @return StorageCorrupt when the bytes can't be read.
+    /// @brief Replaces the state with a snapshot's. @return StorageCorrupt when the bytes can't be decoded
     tl::expected<void, failure> restore(const std::string& bytes);
 
     [[nodiscard]] const configuration::configuration_store& configuration() const { return m_configuration; }
@@ -68,7 +70,7 @@
     dispatch::claim_table m_claims;
     placement_table m_placement;
     static constexpr std::size_t maxRecentIds = 4096;
-    /// Of commands that are not idempotent by themselves; a late repeat changes nothing.
+    /// Ids of commands that are not idempotent in themselves, so that a late repeat has no effect.
     recent_set<std::string> m_recentIds { maxRecentIds };
 };
 
--- a/src/app/controller/operator_access.cpp
+++ b/src/app/controller/operator_access.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Operators' token.
+/// @brief Verification of operators' tokens.
 #include "app/controller/operator_access.hpp"
 
 #include "buckthornrail/http/error_answer.hpp"
@@ -11,7 +11,7 @@
 
 constexpr std::string_view bearer = "Bearer ";
 
-/// Takes the same time wherever the texts differ.
+/// Compares in constant time for texts of equal length, so that timing reveals nothing about the token.
 bool isEqual(const std::string& left, const std::string& right)
 {
     if (left.size() != right.size())
--- a/src/app/controller/operator_access.hpp
+++ b/src/app/controller/operator_access.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Who may operate: the holder of the token, or without a token file only loopback.
+/// @brief Authorisation of operators' requests: by the token, or from loopback only when no token file is set.
 #pragma once
 
 #include "buckthornrail/http/http_server.hpp"
@@ -7,13 +7,13 @@
 
 namespace buckthornrail::app {
 
-/// @brief Checks operators' requests.
+/// @brief Authorises operators' requests.
 class operator_access {
 public:
-    /// @brief Reads the token file, if one is set; a file that can't be read lets nobody in.
+    /// @brief Reads the token file, if one is set. Every request is refused when it can't be read.
     explicit operator_access(const settings::settings& settings);
     [[nodiscard]] bool allows(const http::http_request& request) const;
-    /// @brief A handler that answers 401 to those who may not operate.
+    /// @brief Wraps a handler so that unauthorised requests are answered with status 401.
     [[nodiscard]] http::http_handler guard(http::http_handler handler) const;
 
 private:
@@ -21,7 +21,7 @@
     std::string m_token;
 };
 
-/// @brief First line of a token file, without blanks; empty when it can't be read.
+/// @brief Reads the token from a file, up to the first white space. @return empty when the file can't be read
 std::string readToken(const std::string& file);
 
 } // namespace buckthornrail::app
--- a/src/app/controller/placement.cpp
+++ b/src/app/controller/placement.cpp
@@ -36,12 +36,12 @@
     const auto* subject = instances.find(command.instance);
     if (subject == nullptr || subject->target.model.empty())
         return tl::make_unexpected(
-            failure { result_code::NotFound, "no target with a model is called " + command.instance });
+            failure { result_code::NotFound, "no target with a model at instance " + command.instance });
     if (!document.models.contains(command.model))
-        return tl::make_unexpected(failure { result_code::NotFound, "no model is called " + command.model });
+        return tl::make_unexpected(failure { result_code::NotFound, "no such model: " + command.model });
     const auto& held = subject->target;
     const bool changes = held.model != command.model || held.version != command.version;
-    // A copy that an order is about to take away counts no more.
+    // A copy that a pending order will unload doesn't count.
     const auto staysReady = [&](const auto& item) {
         const auto open = m_records.find(item.first);
         const bool isOrderedAway = open != m_records.end()
--- a/src/app/controller/placement.hpp
+++ b/src/app/controller/placement.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Replicated orders to targets: fencing numbers, a shared weight store, and the last copy of a version.
+/// @brief Replicated orders to load a model version: their fencing tokens, the limit on concurrent loads, and the check
+/// for the last copy of a version.
 #pragma once
 
 #include "buckthornrail/configuration/configuration_store.hpp"
@@ -10,7 +11,7 @@
 
 namespace buckthornrail::app {
 
-/// An operator's wish that an instance's target loads another version.
+/// An operator's request that an instance's target loads a version of a model.
 struct order_command {
     instance_id instance;
     std::string model;
@@ -34,7 +35,7 @@
     enum_name<order_state> { order_state::Failed, "failed" },
 };
 
-/// The newest order of one instance.
+/// The newest order to an instance's target.
 struct order_record {
     instance_id instance;
     dispatch::target_order order;
@@ -42,18 +43,22 @@
     std::string reason;
 };
 
-/// Loads at once; the rest wait, so that each gets a useful part of the weight store's rate.
+/// Maximum number of concurrent loads. Further orders wait, so that each load gets a useful share of the weight store's
+/// bandwidth.
 inline constexpr std::size_t maxLoadsAtOnce = 2;
 
-/// @brief Deterministic part of the controllers' state machine.
+/// @brief The newest order to each target; deterministic, as it is part of the replicated state machine.
 class placement_table {
 public:
-    /// @return NotFound, or LastCopy when the order would take away the last ready copy of a version in use.
+    /// @brief Issues an order, which replaces an earlier one to the same instance.
+    /// @return the order's fencing token; NotFound, or LastCopy when the order would unload the last ready copy of a
+    /// version in use
     tl::expected<dispatch::fencing_token, failure> order(const order_command& command,
         const membership::membership_table& instances, const configuration::document& document);
+    /// @brief Records the end of an order and releases the next ones. Reports with another token are ignored.
     void ended(const order_ended_command& command);
 
-    /// @brief The order that an instance's sidecar should carry out, if any.
+    /// @brief The order that an instance's sidecar should carry out; null if there is none.
     [[nodiscard]] const order_record* releasedFor(const instance_id& instance) const;
     [[nodiscard]] const std::map<instance_id, order_record>& records() const { return m_records; }
     [[nodiscard]] dispatch::fencing_token lastFence() const { return m_lastFence; }
--- a/src/app/controller/session_table.cpp
+++ b/src/app/controller/session_table.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Sessions of a controller.
+/// @brief Sessions of a controller: pushes of updates, and answers to heartbeats.
 #include "app/controller/session_table.hpp"
 
 namespace buckthornrail::app {
@@ -96,7 +96,7 @@
 {
     std::vector<membership::transition> missing;
     for (const auto& [channel, session] : m_sessions) {
-        // A frozen process keeps its link: what it said before it froze must not undo that it was lost.
+        // A suspended process keeps its link open: its earlier announcement must not undo its loss.
         if (now >= session.leaseDeadline)
             continue;
         const auto* known = state.membership().find(session.record.id);
--- a/src/app/controller/session_table.hpp
+++ b/src/app/controller/session_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A controller's sessions with daemons: what each holds, what it still has to be sent, whose lease runs.
+/// @brief A controller's sessions with instances: what each has received, updates to be sent, and leases.
 #pragma once
 
 #include "app/controller/controller_state.hpp"
@@ -16,69 +16,77 @@
 /// @brief Sends an encoded message over a channel.
 using channel_sender = std::function<void(link::channel_number, const std::string& bytes)>;
 
-/// @brief Sessions of one controller. A session is sent nothing before a quorum has confirmed the controller once.
+/// @brief Sessions of one controller. A session receives nothing until a quorum round that began after one of its
+/// heartbeats has confirmed the controller's state.
 class session_table {
 public:
-    /// @param lease a session without a heartbeat for so long says nothing any more
+    /// @param lease the announcement of a session is ignored when this time has passed since its last heartbeat
     session_table(channel_sender sender, milliseconds lease)
         : m_send(std::move(sender))
         , m_lease(lease)
     {
     }
 
+    /// @brief Opens a session, or updates the record of an open one.
     void announced(link::channel_number channel, const link::session_announce& announce, steady_time now);
+    /// @brief Renews the session's lease. The heartbeat is answered after the next confirmation.
     void heartbeat(link::channel_number channel, const link::session_heartbeat& heartbeat, steady_time now);
+    /// @brief Removes the session of a closed link.
     void closed(link::channel_number channel);
 
-    /// @brief True when heartbeats wait for a confirmation.
+    /// @brief Whether heartbeats wait for a confirmation to begin.
     [[nodiscard]] bool hasPendingHeartbeats() const { return !m_pendingHeartbeats.empty(); }
-    /// @brief The heartbeats that came so far will be answered by this confirmation.
+    /// @brief Assigns the pending heartbeats to a confirmation that begins now.
     void beginConfirmation(std::uint64_t confirmation);
-    /// @brief This controller's state is no older than the beginning of that confirmation.
+    /// @brief Brings sessions up to date and answers the heartbeats of a confirmation. The controller's state is no
+    /// older than the beginning of that confirmation.
     void confirmed(std::uint64_t confirmation, const controller_state& state);
-    /// @brief Confirmations that began before are given up.
+    /// @brief Drops the confirmations in flight.
     void dropConfirmations() { m_confirming.clear(); }
 
-    /// @brief Sends what was committed to all sessions that are up to date so far.
+    /// @brief Sends committed changes to all sessions for which the state has been confirmed.
     void pushAll(const controller_state& state);
 
-    /// @brief Announced records that the replicated table doesn't show yet.
+    /// @brief Announced records that the replicated table doesn't contain yet, of sessions whose lease hasn't expired.
     [[nodiscard]] std::vector<membership::transition> missingTransitions(
         const controller_state& state, steady_time now) const;
 
-    /// @brief Instances heard since the last call.
+    /// @brief Instances that announced themselves or sent a heartbeat since the last call.
     std::vector<instance_id> takeRenewals();
     [[nodiscard]] std::size_t size() const { return m_sessions.size(); }
 
 private:
     struct session_entry {
         membership::instance_record record;
-        configuration_version configuration = 0;
-        std::uint64_t revision = 0;
-        bool wantsState = false;
-        bool synced = false;
+        configuration_version configuration = 0; ///< version that it has been sent, or announced to hold
+        std::uint64_t revision = 0; ///< the same, of the membership table
+        bool wantsState = false; ///< otherwise it receives only the answers to its heartbeats
+        bool synced = false; ///< the state has been confirmed for it, so changes may be pushed to it
         steady_time leaseDeadline {};
     };
 
-    /// Encoded messages that bring a receiver up to date, by what it holds. Made once for all receivers: for each anew,
-    /// the whole table of 2,600 instances took a controller four seconds of a core for 390 entries.
+    /// Encoded messages that bring a receiver up to date, by the version or revision that it holds. Shared by all
+    /// receivers: encoding the table of 2,600 instances for each of 390 entries took a controller four seconds of CPU
+    /// time.
     struct encoded_updates {
-        std::uint64_t to = 0; ///< version or revision that they lead to
+        std::uint64_t to = 0; ///< version or revision after the update
         std::map<std::uint64_t, std::vector<std::string>> byHeldVersion;
     };
 
     void push(link::channel_number channel, session_entry& session, const controller_state& state);
-    /// @brief Forgets updates that lead to another version than this one.
+    /// @brief Drops the updates if they lead to another version or revision.
     static void resetIfOutdated(encoded_updates& updates, std::uint64_t to);
+    /// @param held the receiver's version, or revision of the membership table
+    /// @return encoded messages; none when the receiver is up to date
     const std::vector<std::string>& configurationUpdates(configuration_version held, const controller_state& state);
     const std::vector<std::string>& membershipUpdates(std::uint64_t held, const controller_state& state);
 
     channel_sender m_send;
     milliseconds m_lease;
     std::map<link::channel_number, session_entry> m_sessions;
-    std::map<link::channel_number, std::uint64_t> m_pendingHeartbeats; ///< newest heartbeat of each channel
-    std::map<std::uint64_t, std::map<link::channel_number, std::uint64_t>> m_confirming; ///< by read id
-    std::set<instance_id> m_renewals;
+    std::map<link::channel_number, std::uint64_t> m_pendingHeartbeats; ///< sequence of the newest heartbeat, by channel
+    std::map<std::uint64_t, std::map<link::channel_number, std::uint64_t>> m_confirming; ///< heartbeats by confirmation
+    std::set<instance_id> m_renewals; ///< instances whose leases the leader has to renew
     encoded_updates m_configuration;
     encoded_updates m_membership;
 };
--- a/src/app/controller/session_table_test.cpp
+++ b/src/app/controller/session_table_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What sessions are sent, and when they say nothing any more.
+/// @brief Tests of the updates that sessions receive, and of announcements after an expired lease.
 #include "app/controller/session_table.hpp"
 
 #include <catch2/catch.hpp>
@@ -34,7 +34,8 @@
 
 } // namespace
 
-TEST_CASE("sessions: nothing is sent before a quorum has confirmed, then everything before the answer", "[sessions]")
+TEST_CASE(
+    "sessions: updates are sent only after a quorum's confirmation, and before the heartbeat's answer", "[sessions]")
 {
     std::vector<link::message> sent;
     session_table table([&](auto, const auto& bytes) { sent.push_back(link::decode(bytes).value()); }, lease);
@@ -44,7 +45,7 @@
     table.pushAll(state);
     CHECK(sent.empty());
     table.beginConfirmation(1);
-    table.heartbeat(channel, { 2 }, begin); // came after the confirmation began: not answered by it
+    table.heartbeat(channel, { 2 }, begin); // arrived after the confirmation began, so it is not answered by it
     table.confirmed(1, state);
     REQUIRE(sent.size() == 2);
     CHECK(std::get<link::configuration_page>(sent[0]).to == 1);
@@ -54,7 +55,7 @@
     CHECK(sent.size() == 2);
 }
 
-TEST_CASE("sessions: a sidecar is told the version alone", "[sessions]")
+TEST_CASE("sessions: a sidecar receives only the version of the configuration", "[sessions]")
 {
     std::vector<link::message> sent;
     session_table table([&](auto, const auto& bytes) { sent.push_back(link::decode(bytes).value()); }, lease);
@@ -66,7 +67,7 @@
     CHECK(std::get<link::session_ack>(sent[0]).configuration == 1);
 }
 
-TEST_CASE("sessions: what a frozen process said before does not undo that it was lost", "[sessions]")
+TEST_CASE("sessions: the earlier announcement of a suspended process does not undo its loss", "[sessions]")
 {
     session_table table([](auto, const auto&) {}, lease);
     controller_state state = configured();
@@ -77,14 +78,14 @@
     state.apply({ "2", transition_batch { { { announce.record, true } } } });
     REQUIRE(state.membership().find("s")->state == membership::instance_state::Lost);
     CHECK(table.missingTransitions(state, begin + lease).empty());
-    table.heartbeat(channel, { 2 }, begin + lease); // it woke up
+    table.heartbeat(channel, { 2 }, begin + lease); // the process was resumed
     CHECK(table.missingTransitions(state, begin + lease).size() == 1);
 }
 
-TEST_CASE("sessions: entries that all come back at once are told within a second what they lack", "[sessions]")
+TEST_CASE("sessions: entries that all reconnect at once receive their updates within a second", "[sessions]")
 {
-    // The size designed for. Made for each of them anew, the table of instances took a controller many seconds, in
-    // which it answered nobody; entries leave a controller sooner, and would begin again.
+    // The largest supported fleet. Encoding the table of instances for each entry blocked a controller for many
+    // seconds; entries switch to another controller before that, where the same would happen again.
     constexpr std::size_t entries = 390;
     constexpr std::size_t sidecars = 2600;
     constexpr std::chrono::seconds bound { 1 };
--- a/src/app/shell/control_shell.cpp
+++ b/src/app/shell/control_shell.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Commands of the operators' shell, as a table.
+/// @brief The operators' shell: its commands, and their calls of the HTTP interfaces.
 #include "app/shell/control_shell.hpp"
 
 #include "app/controller/operator_access.hpp"
@@ -24,20 +24,20 @@
 constexpr int firstErrorStatus = 400;
 
 struct shell_options {
-    std::vector<std::string> controllers;
+    std::vector<std::string> controllers; ///< HTTP addresses
     std::string token;
     bool asJson = false;
     std::string author;
     std::string changeId;
     std::uint64_t base = 0;
     bool hasBase = false;
-    std::vector<std::string> words;
-    std::vector<std::string> logs; ///< files, for explain
+    std::vector<std::string> words; ///< the command and its values
+    std::vector<std::string> logs; ///< paths of log files, for explain
 };
 
-/// An answer, or what went wrong.
+/// Answer to an HTTP call.
 struct shell_answer {
-    int status = 0; ///< 0: no controller could be reached
+    int status = 0; ///< HTTP status; 0: no answer
     json body;
 };
 
@@ -59,7 +59,8 @@
     return { response.status, json::parse(response.body, nullptr, false) };
 }
 
-/// Asks the controllers in turn until one gives an answer other than "no quorum".
+/// Calls the controllers in turn until one answers with a status other than that of NoQuorum.
+/// @return the last answer
 shell_answer callAny(
     const shell_options& options, const std::string& method, const std::string& path, const std::string& body = {})
 {
@@ -76,6 +77,7 @@
     return last;
 }
 
+/// Prints the sentence, the answer as JSON, or the error. @return the exit status
 int report(const shell_options& options, const shell_answer& answer, const std::string& sentence)
 {
     if (answer.status == 0) {
@@ -96,7 +98,7 @@
     const json error = answer.body.is_object() ? answer.body.value("error", json::object()) : json::object();
     std::cerr << "buckthornrail ctl: " << error.value("code", answer.status) << " " << error.value("name", "error")
               << ": " << error.value("message", "");
-    // Registries give the reason alone.
+    // Registries answer errors with a reason alone.
     const json& reasoned = error.contains("reason") ? error : answer.body;
     if (reasoned.is_object() && reasoned.contains("reason"))
         std::cerr << " (" << reasoned.value("reason", "") << ")";
@@ -160,7 +162,7 @@
             return report(options, current, "");
         base = current.body.value("version", std::uint64_t { 0 });
     }
-    // The same id goes to each controller that is tried: a change whose answer was lost is not made twice.
+    // Every controller that is tried gets the same id, so that a change whose answer was lost is not applied twice.
     const std::string changeId = options.changeId.empty() ? randomName() : options.changeId;
     const json change
         = { { "base", base }, { "change_id", changeId }, { "author", options.author }, { "document", document } };
@@ -209,12 +211,12 @@
     const json parameters = { { "model", options.words[2] }, { "version", options.words[3] } };
     const auto answer = callAny(options, "POST", "/v1/instances/" + options.words[1] + "/order", parameters.dump());
     const auto fence = answer.body.is_object() ? answer.body.value("fence", 0) : 0;
-    return report(options, answer, "ordered with fencing number " + std::to_string(fence));
+    return report(options, answer, "ordered with fencing token " + std::to_string(fence));
 }
 
 int initialize(const shell_options& options)
 {
-    // Only the first controller is asked: a second one must not form a log of its own.
+    // Only the first controller is called: a second one must not form a log of its own.
     const auto answer = callOne(options, options.controllers.front(), "POST", "/v1/cluster/init", "{}");
     return report(options, answer, "initialized; the other controllers join by themselves");
 }
@@ -258,7 +260,7 @@
     return report(options, answer, "cleared: " + std::to_string(cleared));
 }
 
-/// @brief Explains a request from logs, whether or not their processes still run.
+/// @brief Explains a request from log files, for which no process needs to run.
 int explainFromLogs(const shell_options& options)
 {
     std::vector<std::ifstream> files;
@@ -274,7 +276,7 @@
     }
     const auto timeline = requestTimeline(options.words[1], sources);
     if (timeline.empty()) {
-        std::cerr << "buckthornrail ctl: none of the logs names request " << options.words[1] << "\n";
+        std::cerr << "buckthornrail ctl: none of the logs mentions request " << options.words[1] << "\n";
         return exitFailure;
     }
     std::cout << format(timeline);
@@ -299,11 +301,11 @@
             text += "\n  " + decision.get<std::string>();
         return report(options, answer, text);
     }
-    std::cerr << "buckthornrail ctl: no entry remembers request " << options.words[1] << "\n";
+    std::cerr << "buckthornrail ctl: no entry has a record of request " << options.words[1] << "\n";
     return exitFailure;
 }
 
-/// One command: its words, of which those in capitals stand for a value.
+/// A command. Words in capitals are placeholders for values.
 struct shell_command {
     std::vector<std::string> words;
     int (*run)(const shell_options&);
@@ -372,18 +374,18 @@
     shell_options options;
     try {
         TCLAP::CmdLine line("The operators' shell. " + usage(), ' ', "0.1.0");
-        TCLAP::ValueArg<std::string> controllers("c", "controllers", "HTTP addresses of controllers, parted by commas",
-            false, "127.0.0.1:8001", "IP:port,...", line);
+        TCLAP::ValueArg<std::string> controllers("c", "controllers",
+            "HTTP addresses of controllers, separated by commas", false, "127.0.0.1:8001", "IP:port,...", line);
         TCLAP::ValueArg<std::string> tokenFile(
             "t", "token-file", "File with the operators' token", false, "", "file", line);
         TCLAP::SwitchArg asJson("j", "json", "Print answers as JSON", line);
         TCLAP::ValueArg<std::string> author("a", "author", "Name for the history", false, "ctl", "name", line);
         TCLAP::ValueArg<std::string> changeId(
-            "i", "change-id", "Id of the change; give the same one to resend it", false, "", "id", line);
+            "i", "change-id", "Id of the change; repeat it to resend the change", false, "", "id", line);
         TCLAP::ValueArg<std::uint64_t> base(
-            "b", "base", "Version that the change is based on; without it the current one", false, 0, "version", line);
+            "b", "base", "Version that the change is based on; default: the current one", false, 0, "version", line);
         TCLAP::MultiArg<std::string> logs(
-            "l", "log", "Log of a gateway or registry, for explain; may be given again", false, "file", line);
+            "l", "log", "Log of a gateway or registry, for explain; may be repeated", false, "file", line);
         TCLAP::UnlabeledMultiArg<std::string> words("command", "Command and its values", true, "words", line);
         std::vector<std::string> copy = arguments;
         line.parse(copy);
--- a/src/app/shell/control_shell.hpp
+++ b/src/app/shell/control_shell.hpp
@@ -7,7 +7,7 @@
 
 namespace buckthornrail::app {
 
-/// @brief Runs one command. @return the exit status: 0 done, 1 refused or failed, 2 wrong use
+/// @brief Runs one command. @return the exit status: 0 done, 1 refused or failed, 2 invalid usage
 int runControlShell(const std::vector<std::string>& arguments);
 
 } // namespace buckthornrail::app
--- a/src/app/shell/request_timeline.cpp
+++ b/src/app/shell/request_timeline.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Reading log lines back.
+/// @brief Parsing of log lines, and selection of those that concern a request.
 #include "app/shell/request_timeline.hpp"
 
 #include <algorithm>
@@ -13,13 +13,14 @@
 namespace buckthornrail::app {
 namespace {
 
-/// Clocks of machines differ by some of it, and what a target suffers is told a little after a request feels it.
+/// Seconds. Allows for clock skew between machines, and for faults of a target that are logged after the request has
+/// met them.
 constexpr double timeMargin = 1.0;
-/// Events of a process as a whole: starts and stops, leaders and disks, documents, sessions.
+/// Events that concern a whole process: starts and stops, leaders and disks, documents, sessions.
 constexpr std::array processEvents { "E100", "E101", "E102", "E400", "E401", "E404", "E405", "E500", "E501", "E502",
     "E503", "E607", "E608", "E612" };
 
-/// A line as telemetry writes it: "I SECONDS E200 name field=value ...".
+/// A log line in telemetry's format: "I SECONDS E200 name field=value ...".
 struct log_line {
     double seconds = 0;
     std::string code;
@@ -37,7 +38,7 @@
     return line;
 }
 
-/// @return the value of a field, without quotes; empty when there is none
+/// @return the value of a field without quotes; empty when the line has no such field
 std::string fieldOf(const std::string& text, const std::string& name)
 {
     const std::string key = " " + name + "=";
@@ -50,7 +51,7 @@
     return text.substr(begin, text.find(' ', begin) - begin);
 }
 
-/// Targets that a request's line names: "target=T", or "chosen=T=0-40,T=40-80".
+/// Collects the targets in a request's line: "target=T", or "chosen=T=0-40,T=40-80".
 void collectTargets(const std::string& text, std::set<std::string>& targets)
 {
     if (const auto target = fieldOf(text, "target"); !target.empty())
--- a/src/app/shell/request_timeline_test.cpp
+++ b/src/app/shell/request_timeline_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Accounts of requests from logs.
+/// @brief Tests of timelines of requests from logs.
 #include "app/shell/request_timeline.hpp"
 
 #include <catch2/catch.hpp>
@@ -35,7 +35,8 @@
 
 } // namespace
 
-TEST_CASE("log timeline: a request's lines, and what befell its targets and gateway meanwhile", "[request_timeline]")
+TEST_CASE(
+    "request timeline: a request's lines, and events of its targets and gateway at the same time", "[request_timeline]")
 {
     const auto timeline = timelineFrom("r-1");
     std::vector<std::string> codes;
@@ -46,14 +47,14 @@
     CHECK(timeline[4].source == "registry");
 }
 
-TEST_CASE("log timeline: no line names the request", "[request_timeline]")
+TEST_CASE("request timeline: empty when no line has the request's id", "[request_timeline]")
 {
     CHECK(timelineFrom("r-2").empty());
     CHECK(timelineFrom("").empty());
     CHECK(format({}).empty());
 }
 
-TEST_CASE("log timeline: times count from the request's first line", "[request_timeline]")
+TEST_CASE("request timeline: times are relative to the request's first line", "[request_timeline]")
 {
     const auto text = format(timelineFrom("r-1"));
     CHECK(text.starts_with(">    +0.000 s gateway  E200 route_chosen request=r-1"));
