--- a/src/app/controller/controller_api.cpp
+++ b/src/app/controller/controller_api.cpp
@@ -243,10 +243,10 @@
             if (change.changeId.empty())
                 return malformed("'change_id' is empty");
             return std::pair { change, value.at("document").dump() };
-        } catch (const json::exception& fault) {
-            return malformed(fault.what());
-        } catch (const std::length_error& fault) {
-            return malformed(fault.what());
+        } catch (const json::exception& error) {
+            return malformed(error.what());
+        } catch (const std::length_error& error) {
+            return malformed(error.what());
         }
     }
 
--- a/src/app/controller/controller_state.cpp
+++ b/src/app/controller/controller_state.cpp
@@ -52,10 +52,10 @@
         const json envelope = json::from_cbor(bytes);
         return command { envelope.at("id").get<std::string>(),
             bodyFromJson(envelope.at("t").get<std::size_t>(), envelope.at("b")) };
-    } catch (const json::exception& fault) {
-        return tl::make_unexpected(failure { result_code::MalformedMessage, fault.what() });
-    } catch (const std::out_of_range& fault) {
-        return tl::make_unexpected(failure { result_code::MalformedMessage, fault.what() });
+    } catch (const json::exception& error) {
+        return tl::make_unexpected(failure { result_code::MalformedMessage, error.what() });
+    } catch (const std::out_of_range& error) {
+        return tl::make_unexpected(failure { result_code::MalformedMessage, error.what() });
     }
 }
 
@@ -126,10 +126,10 @@
         m_placement.restore(
             whole.at("orders").get<std::vector<order_record>>(), whole.at("fence").get<dispatch::fencing_token>());
         m_recentIds.assign(whole.at("recent").get<std::deque<std::string>>());
-    } catch (const json::exception& fault) {
-        return tl::make_unexpected(failure { result_code::StorageCorrupt, fault.what() });
-    } catch (const std::out_of_range& fault) {
-        return tl::make_unexpected(failure { result_code::StorageCorrupt, fault.what() });
+    } catch (const json::exception& error) {
+        return tl::make_unexpected(failure { result_code::StorageCorrupt, error.what() });
+    } catch (const std::out_of_range& error) {
+        return tl::make_unexpected(failure { result_code::StorageCorrupt, error.what() });
     }
     return {};
 }
--- a/src/app/shell/control_shell.cpp
+++ b/src/app/shell/control_shell.cpp
@@ -402,8 +402,8 @@
             std::cerr << "buckthornrail ctl: no token in " << tokenFile.getValue() << "\n";
             return exitBadSettings;
         }
-    } catch (const TCLAP::ArgException& fault) {
-        std::cerr << "buckthornrail ctl: " << fault.error() << " " << fault.argId() << "\n";
+    } catch (const TCLAP::ArgException& error) {
+        std::cerr << "buckthornrail ctl: " << error.error() << " " << error.argId() << "\n";
         return exitBadSettings;
     }
     for (const auto& address : options.controllers) {
