--- a/src/app/controller/controller.cpp
+++ b/src/app/controller/controller.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Sessions, leases and orders over the replicated log.
+/// @brief Sessions, leases, claims and orders on top of the replicated log.
 #include "app/controller/controller.hpp"
 
 #include "app/controller/controller_api.hpp"
@@ -10,13 +10,13 @@
 
 constexpr milliseconds tickPeriod { 20 };
 constexpr milliseconds slowTickPeriod { 200 };
-constexpr milliseconds confirmationPatience { 400 };
-constexpr milliseconds pushPeriod { 200 }; ///< changes that follow each other closely go out together
-constexpr milliseconds confirmationPeriod { 100 }; ///< one quorum round answers all heartbeats that came meanwhile
-constexpr milliseconds transitionPatience { 1000 };
-constexpr milliseconds longestLeaseCheckGap { 1000 };
-constexpr milliseconds claimPatience { 2500 };
-constexpr milliseconds commandPatience { 10000 };
+constexpr milliseconds confirmationTimeout { 400 };
+constexpr milliseconds pushPeriod { 200 }; ///< changes in quick succession are batched
+constexpr milliseconds confirmationPeriod { 100 }; ///< one quorum round answers all heartbeats received since the last
+constexpr milliseconds transitionTimeout { 1000 };
+constexpr milliseconds maxLeaseCheckGap { 1000 };
+constexpr milliseconds claimTimeout { 2500 };
+constexpr milliseconds commandTimeout { 10000 };
 constexpr milliseconds handOverPeriod { 300 };
 
 } // namespace
@@ -64,7 +64,7 @@
             failure { result_code::BadSettings, "can't listen on " + m_settings.reachableAddress() });
     m_ticker = std::make_unique<periodic_task>(m_loop, tickPeriod, [this] { tick(); });
     m_slowTicker = std::make_unique<periodic_task>(m_loop, slowTickPeriod, [this] {
-        reportHeard();
+        reportRenewals();
         expireLeases();
         proposeTransitions();
         m_log->scheduleFlush();
@@ -81,7 +81,7 @@
 
 tl::expected<void, failure> controller::initialize() { return m_log->initialize(); }
 
-void controller::submit(command_body body, result_callback callback, milliseconds patience)
+void controller::submit(command_body body, result_callback callback, milliseconds timeout)
 {
     const command value { randomId(), std::move(body) };
     m_log->submit(
@@ -92,12 +92,12 @@
             else
                 callback(tl::make_unexpected(failure { result_code::NoQuorum, "" }));
         },
-        patience);
+        timeout);
 }
 
-void controller::confirm(std::function<void(bool)> callback, milliseconds patience)
+void controller::confirm(std::function<void(bool)> callback, milliseconds timeout)
 {
-    m_log->confirm(std::move(callback), patience);
+    m_log->confirm(std::move(callback), timeout);
 }
 
 std::string controller::applyCommand(const std::string& bytes)
@@ -163,11 +163,11 @@
     } else if (const auto* claim = std::get_if<link::claim_request>(&message)) {
         onClaim(channel, *claim);
     } else if (const auto* report = std::get_if<link::lease_report>(&message)) {
-        heard(report->instances);
+        renewLeases(report->instances);
     } else if (const auto* ended = std::get_if<link::order_report>(&message)) {
         submit(
             order_ended_command { ended->instance, ended->fence, ended->code, ended->reason }, [](const auto&) {},
-            commandPatience);
+            commandTimeout);
     }
 }
 
@@ -191,14 +191,15 @@
 
 void controller::confirmSessions()
 {
-    if (m_log->replica().leader() != m_confirmedBy) {
-        // What the old leader was asked it may never answer.
-        m_confirmedBy = m_log->replica().leader();
+    if (m_log->replica().leader() != m_confirmingLeader) {
+        // The previous leader may never answer the confirmation that was requested from it.
+        m_confirmingLeader = m_log->replica().leader();
         m_openConfirmation = 0;
-        m_sessions.forgetConfirmations();
+        m_sessions.dropConfirmations();
     }
     const steady_time now = steadyNow();
-    if (m_confirmedBy == 0 || now < m_confirmDeadline || !m_sessions.hasWaiting() || m_openConfirmation != 0)
+    if (m_confirmingLeader == 0 || now < m_confirmDeadline || !m_sessions.hasPendingHeartbeats()
+        || m_openConfirmation != 0)
         return;
     m_confirmDeadline = now + confirmationPeriod;
     const std::uint64_t number = ++m_lastConfirmation;
@@ -211,7 +212,7 @@
             if (current)
                 m_sessions.confirmed(number, m_state);
         },
-        confirmationPatience);
+        confirmationTimeout);
 }
 
 void controller::onClaim(link::channel_number channel, const link::claim_request& request)
@@ -226,7 +227,7 @@
                 reply.result = result->claim;
             m_hub->send(channel, link::encode(reply));
         },
-        claimPatience);
+        claimTimeout);
 }
 
 void controller::logTransitions(const transition_batch& batch) const
@@ -245,18 +246,18 @@
     }
 }
 
-void controller::reportHeard()
+void controller::reportRenewals()
 {
-    const auto instances = m_sessions.takeHeard();
+    const auto instances = m_sessions.takeRenewals();
     if (instances.empty())
         return;
     if (m_log->isLeader())
-        heard(instances);
+        renewLeases(instances);
     else
         m_log->sendToLeader(link::lease_report { instances });
 }
 
-void controller::heard(const std::vector<instance_id>& instances)
+void controller::renewLeases(const std::vector<instance_id>& instances)
 {
     const steady_time deadline = steadyNow() + milliseconds(m_settings.leaseMs);
     for (const auto& id : instances)
@@ -268,9 +269,9 @@
     if (!m_log->isLeader())
         return;
     const steady_time now = steadyNow();
-    const steady_time checkedBefore = std::exchange(m_leasesChecked, now);
-    if (now - checkedBefore > longestLeaseCheckGap) {
-        // This process was held up, or has just begun to lead: heartbeats of that time may still be unread.
+    const steady_time lastCheck = std::exchange(m_leasesChecked, now);
+    if (now - lastCheck > maxLeaseCheckGap) {
+        // This process was stalled, or has just become the leader: heartbeats sent meanwhile may still be unread.
         for (auto& [id, deadline] : m_leases)
             deadline = std::max(deadline, now + milliseconds(m_settings.leaseMs));
     }
@@ -282,18 +283,18 @@
             m_leases.erase(id);
             continue;
         }
-        // A new leader has heard nobody yet: everyone gets a whole lease to come.
+        // A new leader has received no heartbeats yet: with two leases, an instance has one whole lease to send one.
         const auto lease = m_leases.try_emplace(id, now + milliseconds(2 * m_settings.leaseMs)).first;
         if (now < lease->second)
             continue;
-        lease->second = now + transitionPatience;
+        lease->second = now + transitionTimeout;
         batch.transitions.push_back({ record, true });
         telemetry::logEvent(event_code::InstanceLost, { { "instance", id }, { "domain", record.failureDomain } },
             telemetry::severity::Warning);
     }
     if (!batch.transitions.empty())
         submit(
-            std::move(batch), [](const auto&) {}, transitionPatience);
+            std::move(batch), [](const auto&) {}, transitionTimeout);
 }
 
 void controller::proposeTransitions()
@@ -303,10 +304,9 @@
     auto missing = m_sessions.missingTransitions(m_state, steadyNow());
     if (missing.empty())
         return;
-    m_transitionDeadline = steadyNow() + transitionPatience;
+    m_transitionDeadline = steadyNow() + transitionTimeout;
     submit(
-        transition_batch { std::move(missing) }, [this](const auto&) { m_transitionDeadline = {}; },
-        transitionPatience);
+        transition_batch { std::move(missing) }, [this](const auto&) { m_transitionDeadline = {}; }, transitionTimeout);
 }
 
 int runController(const settings::settings& settings)
--- a/src/app/controller/controller_api.cpp
+++ b/src/app/controller/controller_api.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Operators' requests.
+/// @brief Handlers of operators' requests.
 #include "app/controller/controller_api.hpp"
 
 #include "app/controller/operator_access.hpp"
@@ -14,9 +14,9 @@
 using http::http_request;
 using nlohmann::json;
 
-constexpr milliseconds confirmPatience { 2000 };
-constexpr milliseconds commitPatience { 5000 };
-constexpr milliseconds loopPatience { 6000 };
+constexpr milliseconds confirmTimeout { 2000 };
+constexpr milliseconds commitTimeout { 5000 };
+constexpr milliseconds loopTimeout { 6000 };
 constexpr int maxDepth = 32;
 constexpr std::string_view instancePrefix = "/v1/instances/";
 
@@ -66,7 +66,7 @@
         { "sessions", status.sessions }, { "instances", instances } };
 }
 
-/// Operators' requests, run on the HTTP server's threads.
+/// Handles operators' requests on the HTTP server's threads, which wait for results from the loop thread.
 class operator_api {
 public:
     operator_api(link::event_loop& loop, controller& role)
@@ -100,10 +100,10 @@
 
     void status(const http_request& /*request*/, http_exchange& exchange)
     {
-        const auto status = callOnLoop<controller_status>(
-            m_loop, loopPatience, [this](const auto& reply) { reply(m_role.status()); });
+        const auto status
+            = callOnLoop<controller_status>(m_loop, loopTimeout, [this](const auto& reply) { reply(m_role.status()); });
         if (!status) {
-            refuse(exchange, { result_code::NoQuorum, "the controller is busy" });
+            refuse(exchange, { result_code::NoQuorum, "the controller's event loop did not answer in time" });
             return;
         }
         respondJson(exchange, statusToJson(*status));
@@ -113,9 +113,11 @@
     {
         using outcome = tl::expected<void, failure>;
         const auto done
-            = callOnLoop<outcome>(m_loop, loopPatience, [this](const auto& reply) { reply(m_role.initialize()); });
+            = callOnLoop<outcome>(m_loop, loopTimeout, [this](const auto& reply) { reply(m_role.initialize()); });
         if (!done || !*done) {
-            refuse(exchange, done ? done->error() : failure { result_code::NoQuorum, "the controller is busy" });
+            refuse(exchange,
+                done ? done->error()
+                     : failure { result_code::NoQuorum, "the controller's event loop did not answer in time" });
             return;
         }
         respondJson(exchange, { { "initialized", true } });
@@ -145,16 +147,17 @@
 private:
     void order(const std::string& instance, const std::string& body, http_exchange& exchange)
     {
-        const json wish = json::parse(body, nullptr, false);
-        const auto isText = [&wish](const char* name) {
-            return wish.is_object() && wish.contains(name) && wish[name].is_string() && !wish[name].empty();
+        const json parameters = json::parse(body, nullptr, false);
+        const auto isText = [&parameters](const char* name) {
+            return parameters.is_object() && parameters.contains(name) && parameters[name].is_string()
+                && !parameters[name].empty();
         };
         if (!isText("model") || !isText("version")) {
-            refuse(exchange, { result_code::MalformedRequest, "'model' and 'version' must be texts" });
+            refuse(exchange, { result_code::MalformedRequest, "'model' and 'version' must be non-empty strings" });
             return;
         }
-        const auto result
-            = commit(order_command { instance, wish["model"].get<std::string>(), wish["version"].get<std::string>() });
+        const auto result = commit(order_command {
+            instance, parameters["model"].get<std::string>(), parameters["version"].get<std::string>() });
         if (!result || result->outcome.code != result_code::Ok) {
             refuse(exchange, result ? result->outcome : result.error());
             return;
@@ -166,15 +169,16 @@
 
     result_or_failure commit(command_body body)
     {
-        const auto result = callOnLoop<result_or_failure>(m_loop, loopPatience,
-            [this, body = std::move(body)](const auto& reply) { m_role.submit(body, reply, commitPatience); });
-        return result.value_or(tl::make_unexpected(failure { result_code::NoQuorum, "the controller is busy" }));
+        const auto result = callOnLoop<result_or_failure>(m_loop, loopTimeout,
+            [this, body = std::move(body)](const auto& reply) { m_role.submit(body, reply, commitTimeout); });
+        return result.value_or(tl::make_unexpected(
+            failure { result_code::NoQuorum, "the controller's event loop did not answer in time" }));
     }
 
-    std::optional<configuration_reading> readConfirmed()
+    std::optional<confirmed_configuration> readConfirmed()
     {
-        using reading = std::optional<configuration_reading>;
-        const auto answer = callOnLoop<reading>(m_loop, loopPatience, [this](const auto& reply) {
+        using reading = std::optional<confirmed_configuration>;
+        const auto answer = callOnLoop<reading>(m_loop, loopTimeout, [this](const auto& reply) {
             m_role.confirm(
                 [this, reply](bool current) {
                     if (!current) {
@@ -182,9 +186,9 @@
                         return;
                     }
                     const auto& store = m_role.state().configuration();
-                    reply(configuration_reading { store.version(), store.text(), store.history() });
+                    reply(confirmed_configuration { store.version(), store.text(), store.history() });
                 },
-                confirmPatience);
+                confirmTimeout);
         });
         return answer.value_or(std::nullopt);
     }
@@ -210,7 +214,8 @@
         respondJson(exchange, answer);
     }
 
-    /// Reads {"base", "change_id", "author", "document"}.
+    /// Parses a body with the fields "base", "change_id", "author" (optional) and "document".
+    /// @return the change without its patch, and the new document's text
     static tl::expected<std::pair<configuration::change_command, std::string>, failure> readChange(
         const std::string& body)
     {
@@ -219,7 +224,7 @@
         };
         try {
             const json value = json::parse(body, [](int depth, json::parse_event_t, json&) {
-                if (depth > maxDepth) // writing it out again takes a stack frame for each level
+                if (depth > maxDepth) // serialising it again takes a stack frame per level
                     throw std::length_error("the body is nested too deeply");
                 return true;
             });
@@ -238,10 +243,10 @@
             if (change.changeId.empty())
                 return malformed("'change_id' is empty");
             return std::pair { change, value.at("document").dump() };
-        } catch (const json::exception& fault) {
-            return malformed(fault.what());
-        } catch (const std::length_error& fault) {
-            return malformed(fault.what());
+        } catch (const json::exception& error) {
+            return malformed(error.what());
+        } catch (const std::length_error& error) {
+            return malformed(error.what());
         }
     }
 
@@ -268,7 +273,8 @@
                 { result_code::VersionConflict, "version " + std::to_string(reading->version) + " is current" });
             return;
         }
-        // When the base is an older one the patch won't be used: the log answers "conflict", or the first answer again.
+        // With an older base the patch is not applied: the result is a conflict or, for a resent change, the first
+        // result.
         change->first.patch = configuration::makePatch(reading->text, configuration::formatDocument(*parsed));
         const auto result = commit(change->first);
         if (!result) {
