--- a/src/app/registry/registry.cpp
+++ b/src/app/registry/registry.cpp
@@ -246,7 +246,7 @@
 {
     const link::timed_task task(m_loop, "tick");
     const steady_time now = steadyNow();
-    if (const auto gap = m_standstill.check(now); gap > milliseconds(0)) {
+    if (const auto gap = m_stallWatch.check(now); gap > milliseconds(0)) {
         telemetry::logEvent(event_code::ProcessStoodStill,
             { { "ms", std::to_string(gap.count()) }, { "version", std::to_string(m_state.document().version) } },
             telemetry::severity::Warning);
--- a/src/app/registry/registry.hpp
+++ b/src/app/registry/registry.hpp
@@ -172,7 +172,7 @@
     steady_time m_bootstrapAt {};
     steady_time m_nextConfirmAt {}; ///< no quorum round starts before
     confirmation_round m_round;
-    stall_watch m_standstill;
+    stall_watch m_stallWatch;
     std::unique_ptr<periodic_task> m_ticker;
 };
 
--- a/src/buckthornrail/execution/chain_run.cpp
+++ b/src/buckthornrail/execution/chain_run.cpp
@@ -20,7 +20,7 @@
 {
     m_phaseDeadline = m_request.deadline;
     if (now >= m_request.deadline) {
-        finish({ result_code::DeadlinePassed, "the timeout is already over" });
+        finish({ result_code::DeadlinePassed, "the deadline had passed before the request was dispatched" });
         return;
     }
     choose();
