--- a/include/buckthornrail/dispatch/messages.hpp
+++ b/include/buckthornrail/dispatch/messages.hpp
@@ -66,7 +66,8 @@
     std::string reason;
 };
 
-/// Sidecar to entry: the work is being sent to the target, which may execute it from now on.
+/// Sidecar to entry: the work is being sent to the target, which may execute it from now on. For a stage: it is open
+/// and ready for steps.
 struct attempt_started {
     attempt_id attempt;
 };
--- a/include/buckthornrail/membership/membership_table.hpp
+++ b/include/buckthornrail/membership/membership_table.hpp
@@ -54,7 +54,8 @@
 /// @brief A receiver's copy of the table, kept current by deltas.
 class membership_view {
 public:
-    /// @return false when the delta is older than the copy or its base is newer; nothing is changed then
+    /// @return false when the delta is older than the copy, or when it is not a full one and its base is newer; nothing
+    /// is changed then
     bool apply(const membership_delta& delta);
     [[nodiscard]] const std::map<instance_id, instance_record>& records() const { return m_records; }
     [[nodiscard]] const instance_record* find(const instance_id& id) const;
--- a/src/buckthornrail/dispatch/request_run.cpp
+++ b/src/buckthornrail/dispatch/request_run.cpp
@@ -190,7 +190,8 @@
 void request_run::configurationReceived(steady_time now)
 {
     (void)now;
-    // The sidecar that refused because of the newer configuration is not excluded from the next choice.
+    // The sidecar that refused has the newer configuration and is as suitable as any other, so it is not excluded from
+    // the next choice.
     if (m_phase == phase::AwaitingConfiguration)
         chooseAgain(m_lastFailure);
 }
