--- a/include/buckthornrail/agreement/admission.hpp
+++ b/include/buckthornrail/agreement/admission.hpp
@@ -26,13 +26,14 @@
 std::optional<std::vector<member>> nextMembers(
     const replica& leader, std::span<const joining_replica> joining, steady_time now);
 
-/// @brief Computes the set of members without one that is unreachable, if its removal doesn't reduce fault tolerance.
+/// @brief Computes the set of members without an unreachable one that is due for removal.
 ///
 /// An even number of voters tolerates as many failures as one voter fewer, but needs a larger quorum. So with an even
 /// number of at least four voters, an unreachable voter is removed. An unreachable learner is removed too, and any
-/// unreachable member when the set is full. The remaining voters must include a reachable quorum.
+/// unreachable member when the set is full, because no replica could join otherwise. The remaining voters must include
+/// a reachable quorum.
 /// @param replaceable members unreachable for long enough to remove a voter from an even number of voters
-/// @param droppable members unreachable for long enough to remove a learner, or any member of a full set
+/// @param droppable members unreachable for still longer: enough to remove a learner, or any member of a full set
 /// @return the complete new set of members; nothing when no member can be removed
 std::optional<std::vector<member>> withoutDeadMember(const replica& leader, std::span<const member_id> replaceable,
     std::span<const member_id> droppable, steady_time now);
--- a/include/buckthornrail/http1/message_parser.hpp
+++ b/include/buckthornrail/http1/message_parser.hpp
@@ -37,7 +37,9 @@
 
     /// @brief Appends received bytes and parses them. @return the new state
     parse_state put(std::string_view bytes);
-    /// @brief Signals the end of the connection, which ends a body without a length. @return the new state
+    /// @brief Signals that the peer has closed the connection in order, which ends a body without a length. Not to be
+    /// called after a reset, as a truncated body would then count as complete.
+    /// @return the new state
     parse_state putEof();
     /// @brief Starts the next message with the remaining bytes. @return the new state
     parse_state next();
--- a/include/buckthornrail/link/message.hpp
+++ b/include/buckthornrail/link/message.hpp
@@ -167,7 +167,7 @@
     std::optional<std::uint64_t> sliceVersion;
     std::uint64_t targetRevision = 0; ///< of the target table that it holds
     std::uint32_t openAttempts = 0; ///< in flight at targets
-    std::vector<registry::target_incarnation> darkTargets; ///< unreachable for it since the last heartbeat
+    std::vector<registry::target_incarnation> darkTargets; ///< found unreachable since the last heartbeat
     registry::target_loads loads; ///< of its attempts, by target of that revision
     std::uint64_t life = 0; ///< incarnation: random number that each process draws at its start
     registry::retry_counts repeats; ///< retries that it spent within the budget's window
@@ -204,10 +204,10 @@
     std::vector<text_update> targets; ///< at most one, between revisions of the table; empty: no change
     std::vector<controller_location> controllers; ///< all members; empty: unchanged in this session
     std::uint32_t gateways = 1; ///< with an open session, including the receiver
-    std::uint32_t budgetSharers = 0; ///< gateways that share the retry budget; 0: unknown
+    std::uint32_t budgetSharers = 0; ///< gateways that may have spent from the retry budget; 0: unknown
     std::vector<registry::retry_counts> earlierRepeats; ///< at most one: of earlier processes; empty: unknown
     std::uint32_t othersOpenAttempts = 0; ///< in flight from all other gateways, as reported last
-    registry::target_loads othersLoads; ///< by target of the table after `targets` is applied; empty: unknown
+    registry::target_loads othersLoads; ///< the same by target, after `targets` is applied; empty: unknown
     std::vector<registry::quarantine_delta> quarantine; ///< at most one; empty: no change
     std::vector<registry::quarantine_receipt> quarantineReceipts;
     std::optional<std::uint32_t> ordinal; ///< its index among the gateways that share the budget; nothing: unknown
--- a/include/buckthornrail/net/reachability.hpp
+++ b/include/buckthornrail/net/reachability.hpp
@@ -51,7 +51,7 @@
     /// @brief Like probe(), but ignores a cached Open result and also reports Open.
     void reprobe(const std::string& address);
     /// @brief Discards the cached result and any probe in flight. To be called when another process takes over the
-    /// address.
+    /// address, as both concern the previous one.
     void forget(const std::string& address) { m_probesByAddress.erase(address); }
     /// @brief Keeps an idle connection to an address open for `watchLifetime`. The address is probed when the
     /// connection ends, which detects a crashed process within a few milliseconds without polling.
