--- a/include/buckthornrail/configuration/configuration_store.hpp
+++ b/include/buckthornrail/configuration/configuration_store.hpp
@@ -83,8 +83,8 @@
     mutable std::string m_text; ///< cached text of m_tree; empty: not cached
 };
 
-/// @brief A receiver's copy of the configuration. Ignores updates to older versions. After an error it needs a whole
-/// document.
+/// @brief A receiver's copy of the configuration. Ignores updates to a version that is not higher than its own. After
+/// an error it needs a whole document.
 class configuration_view {
 public:
     /// @return true if the version has increased, false if the update is outdated; VersionConflict if the delta starts
--- a/include/buckthornrail/telemetry/log.hpp
+++ b/include/buckthornrail/telemetry/log.hpp
@@ -15,7 +15,7 @@
 
 /// Limits of the log's volume. Lines beyond them are counted and dropped.
 struct log_limits {
-    std::size_t linesPerSecond = 400; ///< of severity Info
+    std::size_t linesPerSecond = 400; ///< of all severities; beyond it, only lines of severity Info are dropped
     std::size_t pendingBytes = 256U << 10U; ///< lines that the reader of standard output has not accepted yet
 };
 
--- a/src/app/controller/controller.cpp
+++ b/src/app/controller/controller.cpp
@@ -283,7 +283,8 @@
             m_leases.erase(id);
             continue;
         }
-        // A new leader has received no heartbeats yet: with two leases, an instance has one whole lease to send one.
+        // A new leader has received no heartbeats yet. It waits for two leases, so that every instance has at least
+        // one whole lease in which its next heartbeat can arrive.
         const auto lease = m_leases.try_emplace(id, now + milliseconds(2 * m_settings.leaseMs)).first;
         if (now < lease->second)
             continue;
--- a/tools/stand_in_target.cpp
+++ b/tools/stand_in_target.cpp
@@ -45,7 +45,7 @@
     std::uint32_t reportLagMs = 0; ///< the load report is refreshed only when this time has passed
     std::uint32_t serviceMs = 2; ///< time for a service call
     std::uint32_t loadMs = 200; ///< time to load a version
-    bool checksFences = true; ///< false: carries out load orders with an old fencing number
+    bool checksFences = true; ///< false: carries out load orders with an outdated fencing token
     bool answersTwice = false; ///< repeats all tokens of an answer after the last one
     std::uint32_t answerLateMs = 0; ///< delay between the response head and the first token
     std::uint32_t cacheEventLagMs = 500; ///< age at which cache events become visible
@@ -125,7 +125,8 @@
         respond(exchange, 200, json::object());
     }
 
-    /// @brief Loads a version of a model. An order with an old fencing number is refused when fences are checked.
+    /// @brief Loads a version of a model. An order with an outdated fencing token is refused when fences
+    /// are checked.
     void loadVersion(const http_request& request, http_exchange& exchange)
     {
         const json body = json::parse(request.body, nullptr, false);
@@ -353,7 +354,7 @@
     const auto lag = numberArg("report-lag-ms", "Interval at which load reports are refreshed, in ms", 0);
     const auto serviceMs = numberArg("service-ms", "Time for a service call in ms", options.serviceMs);
     const auto loadMs = numberArg("load-ms", "Time to load a version in ms", options.loadMs);
-    TCLAP::SwitchArg ignoresFences("", "ignore-fences", "Carry out load orders with an old fencing number", line);
+    TCLAP::SwitchArg ignoresFences("", "ignore-fences", "Carry out load orders with an outdated fencing token", line);
     line.parse(argc, argv);
     options.loadMs = loadMs->getValue();
     options.checksFences = !ignoresFences.getValue();
