--- a/src/buckthornrail/configuration/configuration_store.cpp
+++ b/src/buckthornrail/configuration/configuration_store.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-constexpr std::size_t maxHistory = 256; ///< accepted changes that are kept for deltas
+constexpr std::size_t maxHistory = 256; ///< accepted changes that are kept, for deltas and for the operators' history
 constexpr std::size_t maxResults = 4096; ///< results that are kept for resent changes
 
 } // namespace
