--- a/src/buckthornrail/execution/chain_faults_test.cpp
+++ b/src/buckthornrail/execution/chain_faults_test.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// @brief Tests of split models under faults: each layer runs at most once per token and generation, in order.
 #include "buckthornrail/execution/chain_run.hpp"
-#include "support/promises.hpp"
+#include "support/invariants.hpp"
 #include "support/token_model.hpp"
 
 #include <catch2/catch.hpp>
@@ -62,7 +62,7 @@
         m_run->start(m_now);
         drive();
         const steady_time end = m_now + std::chrono::seconds(70);
-        while (m_now < end && !m_record.answered) {
+        while (m_now < end && !m_record.hasResponse) {
             m_now += milliseconds(10);
             while (!m_events.empty() && m_events.begin()->first <= m_now) {
                 const auto action = std::move(m_events.begin()->second);
@@ -181,7 +181,7 @@
         } else if (const auto* token = std::get_if<deliver_token>(&effect)) {
             m_record.text += token->text;
         } else if (const auto* last = std::get_if<finish_chain>(&effect)) {
-            m_record.answered = true;
+            m_record.hasResponse = true;
             m_record.code = last->result.code;
             m_record.ran = last->ran;
         }
@@ -264,7 +264,7 @@
 {
     auto all = test_support::checkLayers(world.executions(), layerCount);
     for (const auto& part :
-        { test_support::checkWhole({ caller }), test_support::checkNotRun({ caller }, world.executions()) })
+        { test_support::checkResponses({ caller }), test_support::checkNotExecuted({ caller }, world.executions()) })
         all.insert(all.end(), part.begin(), part.end());
     return all;
 }
@@ -288,7 +288,7 @@
                 const auto caller = world.runRequest(4);
                 INFO("fault " << static_cast<int>(fault) << " at " << step << " on " << victim);
                 REQUIRE(violationsOf(world, caller).empty());
-                REQUIRE(caller.answered);
+                REQUIRE(caller.hasResponse);
                 CHECK(caller.code == result_code::Ok);
                 completed += caller.code == result_code::Ok ? 1 : 0;
                 ++cases;
@@ -314,7 +314,7 @@
         world.victim = names[*rc::gen::inRange<std::size_t>(0, names.size())];
         const auto caller = world.runRequest(*rc::gen::inRange<std::uint32_t>(1, 6));
         RC_ASSERT(violationsOf(world, caller).empty());
-        RC_ASSERT(caller.answered);
+        RC_ASSERT(caller.hasResponse);
     });
 }
 
--- a/tests/demo/fleet_demo.cpp
+++ b/tests/demo/fleet_demo.cpp
@@ -20,8 +20,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr seconds patience { 15 };
-constexpr std::uint64_t events = 100; ///< of a stream: about a second
+constexpr seconds timeout { 15 };
+constexpr std::uint64_t eventCount = 100; ///< of a stream: about a second
 
 /// @brief Ends the demo unless something holds.
 void require(bool holds, const std::string& what)
@@ -32,22 +32,22 @@
     std::exit(EXIT_FAILURE);
 }
 
-std::string streamPath() { return "/stream/n" + std::to_string(events); }
+std::string streamPath() { return "/stream/n" + std::to_string(eventCount); }
 
 /// @brief A stream that is under way.
-std::future<caller_answer> beginStream(gateway_world& world, const std::string& gateway, const std::string& id)
+std::future<caller_answer> startStream(gateway_world& world, const std::string& gateway, const std::string& id)
 {
     return std::async(
-        std::launch::async, [&world, gateway, id] { return world.call(gateway, "POST", streamPath(), id, patience); });
+        std::launch::async, [&world, gateway, id] { return world.call(gateway, "POST", streamPath(), id, timeout); });
 }
 
-void showWhole(const std::string& id, const caller_answer& answer)
+void requireComplete(const std::string& id, const caller_answer& response)
 {
-    require(answer.body == gateway_world::streamBody(streamPath(), events), id + " did not get its whole answer");
-    std::cout << "  " << id << ": " << events << " events, each once and in order\n";
+    require(response.body == gateway_world::streamBody(streamPath(), eventCount), id + " did not get its whole answer");
+    std::cout << "  " << id << ": " << eventCount << " events, each once and in order\n";
 }
 
-void showSessions(gateway_world& world)
+void printSessions(gateway_world& world)
 {
     std::cout << "  leader " << world.leader() << "; sessions";
     for (const auto& name : world.registries())
@@ -56,7 +56,7 @@
 }
 
 /// @brief Kills a target that a stream runs on, once its path is chosen.
-void killUnder(gateway_world& world, const std::string& gateway, const std::string& id)
+void killTargetOf(gateway_world& world, const std::string& gateway, const std::string& id)
 {
     const auto pathOf = [&] {
         const std::string log = world.logOf(gateway);
@@ -78,55 +78,55 @@
 int main()
 {
     gateway_world world(3);
-    const auto begun = std::chrono::steady_clock::now();
+    const auto startedAt = std::chrono::steady_clock::now();
     require(world.start(), "the fleet did not start");
     std::cout
         << "== three registries, three gateways, 12 targets with layers in three failure domains, a plain service\n";
-    const auto isSpread = [&world] {
+    const auto isBalanced = [&world] {
         return std::all_of(world.registries().begin(), world.registries().end(),
             [&world](const auto& name) { return world.sessionsAt(name) == 1; });
     };
-    require(waitUntil(isSpread, patience), "sessions did not spread over the registries");
-    showSessions(world);
+    require(waitUntil(isBalanced, timeout), "sessions did not spread over the registries");
+    printSessions(world);
 
     std::cout << "== an answer through each gateway\n";
     for (const auto& gateway : world.gateways())
-        showWhole("demo-" + gateway, world.call(gateway, "POST", streamPath(), "demo-" + gateway, patience));
+        requireComplete("demo-" + gateway, world.call(gateway, "POST", streamPath(), "demo-" + gateway, timeout));
 
     std::cout << "== a target is killed under a stream\n";
-    auto stream = beginStream(world, world.gateways()[0], "demo-target-killed");
-    killUnder(world, world.gateways()[0], "demo-target-killed");
-    showWhole("demo-target-killed", stream.get());
+    auto stream = startStream(world, world.gateways()[0], "demo-target-killed");
+    killTargetOf(world, world.gateways()[0], "demo-target-killed");
+    requireComplete("demo-target-killed", stream.get());
 
     std::cout << "== the leader is killed under a stream, and a change is published\n";
-    stream = beginStream(world, world.gateways()[1], "demo-leader-killed");
+    stream = startStream(world, world.gateways()[1], "demo-leader-killed");
     const std::string leader = world.leader();
     world.killHard(leader);
     require(
-        waitUntil([&] { return world.publishAnywhere(2, "changed") == 200; }, patience), "no registry took a change");
+        waitUntil([&] { return world.publishAnywhere(2, "changed") == 200; }, timeout), "no registry took a change");
     for (const auto& gateway : world.gateways()) {
         const std::string id = "demo-changed-" + gateway;
         require(waitUntil([&] { return world.call(gateway, "GET", "/changed/x", id).status == 200; }, seconds(2)),
             "the change is not in force at " + gateway);
     }
     std::cout << "  acknowledged, and in force at all gateways\n";
-    showWhole("demo-leader-killed", stream.get());
+    requireComplete("demo-leader-killed", stream.get());
     world.startProcess(leader);
-    require(waitUntil([&] { return world.readVersion(leader) == 2U; }, patience), leader + " did not catch up");
-    showSessions(world);
+    require(waitUntil([&] { return world.readVersion(leader) == 2U; }, timeout), leader + " did not catch up");
+    printSessions(world);
 
     std::cout << "== a gateway is restarted under a stream\n";
     const std::string gateway = world.gateways()[2];
-    stream = beginStream(world, gateway, "demo-gateway-restarted");
+    stream = startStream(world, gateway, "demo-gateway-restarted");
     std::this_thread::sleep_for(milliseconds(200));
     world.signal(gateway, SIGTERM);
-    showWhole("demo-gateway-restarted", stream.get());
+    requireComplete("demo-gateway-restarted", stream.get());
     require(world.waitForExit(gateway, seconds(9)) == 0, gateway + " did not end in good order");
     world.startProcess(gateway);
-    require(waitUntil([&] { return world.readyStatus(gateway) == 200; }, patience), gateway + " did not come back");
+    require(waitUntil([&] { return world.readyStatus(gateway) == 200; }, timeout), gateway + " did not come back");
 
     std::this_thread::sleep_for(milliseconds(200)); // logs are written each 100 ms
-    std::cout << "took " << std::chrono::duration_cast<seconds>(std::chrono::steady_clock::now() - begun).count()
+    std::cout << "took " << std::chrono::duration_cast<seconds>(std::chrono::steady_clock::now() - startedAt).count()
               << " s\n"
               << "logs: " << world.keepFolder() << std::endl;
     return EXIT_SUCCESS;
--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -28,8 +28,8 @@
 {
     std::string text;
     const auto executions = system.executions();
-    for (const auto& part :
-        { checkWhole(callers), checkNotRun(callers, executions), checkOnce(executions), checkAttempts(executions) }) {
+    for (const auto& part : { checkResponses(callers), checkNotExecuted(callers, executions),
+             checkKeysRunOnce(executions), checkAttempts(executions) }) {
         for (const auto& line : part)
             text += line + "\n";
     }
@@ -41,8 +41,8 @@
 {
     std::map<std::string, int> counts;
     for (const auto& caller : callers) {
-        if (!caller.answered || caller.code != result_code::Ok)
-            ++counts[caller.answered ? std::string(buckthornrail::describe(caller.code).name) : "no answer"];
+        if (!caller.hasResponse || caller.code != result_code::Ok)
+            ++counts[caller.hasResponse ? std::string(buckthornrail::describe(caller.code).name) : "no answer"];
     }
     std::string text;
     for (const auto& [name, count] : counts)
--- a/tests/request_faults_test.cpp
+++ b/tests/request_faults_test.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// @brief Requests under faults: a matrix of every fault at every step, random schedules, and tests of the checkers.
-#include "support/request_world.hpp"
+#include "support/request_simulation.hpp"
 
 #include <catch2/catch.hpp>
 #include <iostream>
@@ -10,83 +10,89 @@
 
 namespace {
 
-using fate = request_world::fate;
+using message_action = request_simulation::message_action;
 
 /// A fault of the matrix, applied when a certain message is about to be sent.
 struct fault_case {
     const char* name;
-    fate (*apply)(request_world&);
+    message_action (*apply)(request_simulation&);
 };
 
 /// Schedules an action and delivers the message.
-fate deliverAndRun(void (*action)(request_world&), request_world& world)
+message_action deliverAndRun(void (*action)(request_simulation&), request_simulation& simulation)
 {
-    world.soon([&world, action] { action(world); });
-    return fate::Deliver;
+    simulation.post([&simulation, action] { action(simulation); });
+    return message_action::Deliver;
 }
 
 constexpr std::array faultTable {
-    fault_case { "message lost", [](request_world&) { return fate::Lose; } },
-    fault_case { "message repeated", [](request_world&) { return fate::Repeat; } },
-    fault_case { "message late", [](request_world&) { return fate::Delay; } },
+    fault_case { "message lost", [](request_simulation&) { return message_action::Drop; } },
+    fault_case { "message repeated", [](request_simulation&) { return message_action::Duplicate; } },
+    fault_case { "message late", [](request_simulation&) { return message_action::Delay; } },
     fault_case { "sidecar 0 killed",
-        [](request_world& w) { return deliverAndRun([](request_world& x) { x.killSidecar(0); }, w); } },
+        [](request_simulation& s) { return deliverAndRun([](request_simulation& x) { x.killSidecar(0); }, s); } },
     fault_case { "both sidecars killed",
-        [](request_world& w) {
+        [](request_simulation& s) {
             return deliverAndRun(
-                [](request_world& x) {
+                [](request_simulation& x) {
                     x.killSidecar(0);
                     x.killSidecar(1);
                 },
-                w);
+                s);
         } },
     fault_case { "sidecar 0 frozen",
-        [](request_world& w) { return deliverAndRun([](request_world& x) { x.freezeSidecar(0, true); }, w); } },
-    fault_case {
-        "entry 0 killed", [](request_world& w) { return deliverAndRun([](request_world& x) { x.killEntry(0); }, w); } },
-    fault_case {
-        "link closed", [](request_world& w) { return deliverAndRun([](request_world& x) { x.closeLink(0, 0); }, w); } },
+        [](request_simulation& s) {
+            return deliverAndRun([](request_simulation& x) { x.pauseSidecar(0, true); }, s);
+        } },
+    fault_case { "entry 0 killed",
+        [](request_simulation& s) { return deliverAndRun([](request_simulation& x) { x.killEntry(0); }, s); } },
+    fault_case { "link closed",
+        [](request_simulation& s) { return deliverAndRun([](request_simulation& x) { x.closeLink(0, 0); }, s); } },
     fault_case { "link silently cut",
-        [](request_world& w) { return deliverAndRun([](request_world& x) { x.cutLink(0, 0, true); }, w); } },
+        [](request_simulation& s) { return deliverAndRun([](request_simulation& x) { x.cutLink(0, 0, true); }, s); } },
     fault_case { "target 0 dies",
-        [](request_world& w) { return deliverAndRun([](request_world& x) { x.setMode(0, target_mode::Dies); }, w); } },
+        [](request_simulation& s) {
+            return deliverAndRun([](request_simulation& x) { x.setMode(0, target_mode::Fails); }, s);
+        } },
     fault_case { "target 0 stalls",
-        [](request_world& w) {
-            return deliverAndRun([](request_world& x) { x.setMode(0, target_mode::Stalls); }, w);
+        [](request_simulation& s) {
+            return deliverAndRun([](request_simulation& x) { x.setMode(0, target_mode::Stalls); }, s);
         } },
     fault_case { "target 0 refuses connections",
-        [](request_world& w) {
-            return deliverAndRun([](request_world& x) { x.setMode(0, target_mode::Refuses); }, w);
+        [](request_simulation& s) {
+            return deliverAndRun([](request_simulation& x) { x.setMode(0, target_mode::Refuses); }, s);
         } },
     fault_case { "sidecar 0 drains",
-        [](request_world& w) { return deliverAndRun([](request_world& x) { x.drainSidecar(0); }, w); } },
+        [](request_simulation& s) { return deliverAndRun([](request_simulation& x) { x.drainSidecar(0); }, s); } },
     fault_case { "claims lost",
-        [](request_world& w) { return deliverAndRun([](request_world& x) { x.loseClaims(true); }, w); } },
+        [](request_simulation& s) { return deliverAndRun([](request_simulation& x) { x.loseClaims(true); }, s); } },
     fault_case { "new configuration",
-        [](request_world& w) { return deliverAndRun([](request_world& x) { x.newConfiguration(); }, w); } },
+        [](request_simulation& s) {
+            return deliverAndRun([](request_simulation& x) { x.publishConfiguration(); }, s);
+        } },
 };
 
 /// The traffic of the matrix: a plain request, a streamed one, and one key sent three times through two entries.
-void sendTraffic(request_world& world)
+void sendTraffic(request_simulation& simulation)
 {
-    world.submit({ 0, "essay", "", 3, false, milliseconds(6000) });
-    world.submit({ 0, "hull", "", 3, true, milliseconds(6000) });
-    world.submit({ 0, "booking", "k1", 2, false, milliseconds(6000) });
-    world.submit({ 1, "booking", "k1", 2, false, milliseconds(6000) });
-    world.run(milliseconds(400));
-    world.submit({ 1, "booking", "k1", 2, false, milliseconds(6000) });
-    world.run(milliseconds(3000));
+    simulation.submit({ 0, "essay", "", 3, false, milliseconds(6000) });
+    simulation.submit({ 0, "hull", "", 3, true, milliseconds(6000) });
+    simulation.submit({ 0, "booking", "k1", 2, false, milliseconds(6000) });
+    simulation.submit({ 1, "booking", "k1", 2, false, milliseconds(6000) });
+    simulation.run(milliseconds(400));
+    simulation.submit({ 1, "booking", "k1", 2, false, milliseconds(6000) });
+    simulation.run(milliseconds(3000));
 }
 
-void endFaults(request_world& world)
+void endFaults(request_simulation& simulation)
 {
-    for (std::size_t at = 0; at < world.sidecars(); ++at) {
-        world.freezeSidecar(at, false);
-        world.setMode(at, target_mode::Works);
-        for (std::size_t entry = 0; entry < world.entries(); ++entry)
-            world.cutLink(entry, at, false);
+    for (std::size_t at = 0; at < simulation.sidecars(); ++at) {
+        simulation.pauseSidecar(at, false);
+        simulation.setMode(at, target_mode::Works);
+        for (std::size_t entry = 0; entry < simulation.entries(); ++entry)
+            simulation.cutLink(entry, at, false);
     }
-    world.loseClaims(false);
+    simulation.loseClaims(false);
 }
 
 std::string joinLines(const std::vector<std::string>& lines)
@@ -97,66 +103,67 @@
     return text;
 }
 
-/// Applies one random action to the world. @param draw selects the action and its arguments
-void applyRandomAction(request_world& world, std::uint32_t draw)
+/// Applies one random action to the simulation. @param draw selects the action and its arguments
+void applyRandomAction(request_simulation& simulation, std::uint32_t draw)
 {
-    const std::size_t sidecar = draw / 32 % world.sidecars();
-    const std::size_t entry = draw / 256 % world.entries();
+    const std::size_t sidecar = draw / 32 % simulation.sidecars();
+    const std::size_t entry = draw / 256 % simulation.entries();
     const std::string key = "k" + std::to_string(draw / 512 % 4);
     switch (draw % 16) {
     case 0:
-        world.killSidecar(sidecar);
+        simulation.killSidecar(sidecar);
         break;
     case 1:
-        world.freezeSidecar(sidecar, true);
+        simulation.pauseSidecar(sidecar, true);
         break;
     case 2:
-        world.freezeSidecar(sidecar, false);
+        simulation.pauseSidecar(sidecar, false);
         break;
     case 3:
-        world.killEntry(entry);
+        simulation.killEntry(entry);
         break;
     case 4:
-        world.closeLink(entry, sidecar);
+        simulation.closeLink(entry, sidecar);
         break;
     case 5:
-        world.cutLink(entry, sidecar, true);
+        simulation.cutLink(entry, sidecar, true);
         break;
     case 6:
-        world.cutLink(entry, sidecar, false);
+        simulation.cutLink(entry, sidecar, false);
         break;
     case 7:
-        world.setMode(sidecar, static_cast<target_mode>(draw / 2048 % 4));
+        simulation.setMode(sidecar, static_cast<target_mode>(draw / 2048 % 4));
         break;
     case 8:
-        world.loseClaims(draw / 2048 % 3 == 0);
+        simulation.loseClaims(draw / 2048 % 3 == 0);
         break;
     case 9:
-        world.newConfiguration();
+        simulation.publishConfiguration();
         break;
     case 10:
     case 11:
-        world.submit({ entry, "essay" + std::to_string(draw % 100), "", 1 + draw / 2048 % 5, draw % 3 == 0 });
+        simulation.submit({ entry, "essay" + std::to_string(draw % 100), "", 1 + draw / 2048 % 5, draw % 3 == 0 });
         break;
     default:
-        world.submit({ entry, "booking-" + key, key, 2, draw % 3 == 0 });
+        simulation.submit({ entry, "booking-" + key, key, 2, draw % 3 == 0 });
         break;
     }
-    world.run(milliseconds(draw / 65536 % 400));
+    simulation.run(milliseconds(draw / 65536 % 400));
 }
 
 /// @return whether a checker reports a violation in random schedules without a protection
-bool isViolationDetected(missing_protection missing)
+bool isViolationDetected(disabled_protection disabled)
 {
     for (std::uint64_t seed = 1; seed <= 400; ++seed) {
-        request_world world(2, 3, seed);
-        world.missing = missing;
+        request_simulation simulation(2, 3, seed);
+        simulation.disabled = disabled;
         std::mt19937_64 random(seed);
-        world.onMessage = [&random](std::size_t) { return random() % 20 == 0 ? fate::Delay : fate::Deliver; };
+        simulation.onMessage
+            = [&random](std::size_t) { return random() % 20 == 0 ? message_action::Delay : message_action::Deliver; };
         for (int at = 0; at < 25; ++at)
-            applyRandomAction(world, static_cast<std::uint32_t>(random()));
-        world.run(milliseconds(9000));
-        if (!world.violations().empty())
+            applyRandomAction(simulation, static_cast<std::uint32_t>(random()));
+        simulation.run(milliseconds(9000));
+        if (!simulation.violations().empty())
             return true;
     }
     return false;
@@ -166,24 +173,25 @@
 
 TEST_CASE("requests: fault matrix, every fault at every step", "[faults]")
 {
-    request_world faultless(2, 2, 1);
+    request_simulation faultless(2, 2, 1);
     sendTraffic(faultless);
     REQUIRE(faultless.violations().empty());
     std::size_t cases = 0;
     for (const auto& fault : faultTable) {
         for (std::uint64_t seed = 1; seed <= 3; ++seed) {
             for (std::size_t step = 0; step < faultless.messages() + 10; ++step) {
-                request_world world(2, 2, seed);
-                world.onMessage
-                    = [&](std::size_t number) { return number == step ? fault.apply(world) : fate::Deliver; };
-                sendTraffic(world);
-                endFaults(world);
-                world.run(milliseconds(7000));
+                request_simulation simulation(2, 2, seed);
+                simulation.onMessage = [&](std::size_t number) {
+                    return number == step ? fault.apply(simulation) : message_action::Deliver;
+                };
+                sendTraffic(simulation);
+                endFaults(simulation);
+                simulation.run(milliseconds(7000));
                 INFO(fault.name << " at message " << step << ", seed " << seed);
-                REQUIRE(joinLines(world.violations()).empty());
-                for (const auto& caller : world.callers()) {
+                REQUIRE(joinLines(simulation.violations()).empty());
+                for (const auto& caller : simulation.callers()) {
                     const bool entryDied = std::string(fault.name) == "entry 0 killed";
-                    REQUIRE((caller.answered || entryDied));
+                    REQUIRE((caller.hasResponse || entryDied));
                 }
                 ++cases;
             }
@@ -198,17 +206,17 @@
     for (const auto& first : faultTable) {
         for (const auto& second : faultTable) {
             for (std::size_t step = 0; step < 24; step += 3) {
-                request_world world(2, 2, step + 1);
-                world.onMessage = [&](std::size_t number) {
+                request_simulation simulation(2, 2, step + 1);
+                simulation.onMessage = [&](std::size_t number) {
                     if (number == step)
-                        return first.apply(world);
-                    return number == step + 2 ? second.apply(world) : fate::Deliver;
+                        return first.apply(simulation);
+                    return number == step + 2 ? second.apply(simulation) : message_action::Deliver;
                 };
-                sendTraffic(world);
-                endFaults(world);
-                world.run(milliseconds(7000));
+                sendTraffic(simulation);
+                endFaults(simulation);
+                simulation.run(milliseconds(7000));
                 INFO(first.name << " and " << second.name << " at message " << step);
-                REQUIRE(joinLines(world.violations()).empty());
+                REQUIRE(joinLines(simulation.violations()).empty());
                 ++cases;
             }
         }
@@ -221,40 +229,43 @@
     rc::prop("schedule", [](std::uint64_t seed) {
         const auto draws
             = *rc::gen::container<std::vector<std::uint32_t>>(rc::gen::inRange<std::uint32_t>(0, 1U << 30U));
-        request_world world(2, 3, seed);
+        request_simulation simulation(2, 3, seed);
         std::mt19937_64 random(seed);
-        world.onMessage = [&random](std::size_t) {
+        simulation.onMessage = [&random](std::size_t) {
             const auto draw = random() % 40;
-            return draw == 0 ? fate::Lose : draw == 1 ? fate::Repeat : draw == 2 ? fate::Delay : fate::Deliver;
+            return draw == 0 ? message_action::Drop
+                : draw == 1  ? message_action::Duplicate
+                : draw == 2  ? message_action::Delay
+                             : message_action::Deliver;
         };
         for (const auto draw : draws)
-            applyRandomAction(world, draw);
-        endFaults(world);
-        world.run(milliseconds(9000));
-        RC_ASSERT(joinLines(world.violations()) == "");
+            applyRandomAction(simulation, draw);
+        endFaults(simulation);
+        simulation.run(milliseconds(9000));
+        RC_ASSERT(joinLines(simulation.violations()) == "");
     });
 }
 
 TEST_CASE("requests: the checkers detect each missing protection", "[faults][checker]")
 {
-    CHECK_FALSE(isViolationDetected(missing_protection::None));
-    CHECK(isViolationDetected(missing_protection::Tombstones));
-    CHECK(isViolationDetected(missing_protection::Claims));
-    CHECK(isViolationDetected(missing_protection::Incarnations));
-    CHECK(isViolationDetected(missing_protection::Ownership));
-    CHECK(isViolationDetected(missing_protection::Digests));
+    CHECK_FALSE(isViolationDetected(disabled_protection::None));
+    CHECK(isViolationDetected(disabled_protection::Tombstones));
+    CHECK(isViolationDetected(disabled_protection::Claims));
+    CHECK(isViolationDetected(disabled_protection::Incarnations));
+    CHECK(isViolationDetected(disabled_protection::Ownership));
+    CHECK(isViolationDetected(disabled_protection::Digests));
 }
 
 TEST_CASE("requests: an idempotent answer continues after the last token when its target crashes", "[faults]")
 {
-    request_world world(1, 2, 5);
-    world.knowsOldLives = false;
-    world.setMode(0, target_mode::Dies);
-    world.setMode(1, target_mode::Works);
+    request_simulation simulation(1, 2, 5);
+    simulation.usesStaleIncarnations = false;
+    simulation.setMode(0, target_mode::Fails);
+    simulation.setMode(1, target_mode::Works);
     for (int at = 0; at < 6; ++at)
-        world.submit({ 0, "essay" + std::to_string(at), "", 5, at % 2 == 0, milliseconds(6000) });
-    world.run(milliseconds(6000));
-    for (const auto& caller : world.callers()) {
+        simulation.submit({ 0, "essay" + std::to_string(at), "", 5, at % 2 == 0, milliseconds(6000) });
+    simulation.run(milliseconds(6000));
+    for (const auto& caller : simulation.callers()) {
         CHECK(caller.code == result_code::Ok);
         CHECK(caller.text == caller.expected);
     }
@@ -262,31 +273,31 @@
 
 TEST_CASE("requests: a complete non-idempotent answer is returned again through another entry", "[faults]")
 {
-    request_world world(2, 2, 6);
-    world.knowsOldLives = false;
-    const auto first = world.submit({ 0, "booking", "k", 3 });
-    world.run(milliseconds(1000));
-    world.killEntry(0);
-    const auto again = world.submit({ 1, "booking", "k", 3 });
-    world.run(milliseconds(1000));
-    CHECK(world.callers()[first].code == result_code::Ok);
-    CHECK(world.callers()[again].code == result_code::Ok);
-    CHECK(world.callers()[again].text == world.callers()[first].expected);
-    CHECK(world.executions().size() == 1);
+    request_simulation simulation(2, 2, 6);
+    simulation.usesStaleIncarnations = false;
+    const auto first = simulation.submit({ 0, "booking", "k", 3 });
+    simulation.run(milliseconds(1000));
+    simulation.killEntry(0);
+    const auto again = simulation.submit({ 1, "booking", "k", 3 });
+    simulation.run(milliseconds(1000));
+    CHECK(simulation.callers()[first].code == result_code::Ok);
+    CHECK(simulation.callers()[again].code == result_code::Ok);
+    CHECK(simulation.callers()[again].text == simulation.callers()[first].expected);
+    CHECK(simulation.executions().size() == 1);
 }
 
 TEST_CASE("requests: a request of unknown outcome is reported as such and never run again", "[faults]")
 {
-    request_world world(2, 2, 7);
-    world.knowsOldLives = false;
-    world.submit({ 0, "booking", "k", 30 });
-    world.run(milliseconds(300));
-    REQUIRE(world.executions().size() == 1);
-    world.killEntry(0);
-    world.killSidecar(std::stoul(world.executions()[0].target));
-    const auto again = world.submit({ 1, "booking", "k", 30 });
-    world.run(milliseconds(3000));
-    CHECK(world.callers()[again].code == result_code::OutcomeUnknown);
-    CHECK(world.callers()[again].ran == ran_state::Unknown);
-    CHECK(world.executions().size() == 1);
+    request_simulation simulation(2, 2, 7);
+    simulation.usesStaleIncarnations = false;
+    simulation.submit({ 0, "booking", "k", 30 });
+    simulation.run(milliseconds(300));
+    REQUIRE(simulation.executions().size() == 1);
+    simulation.killEntry(0);
+    simulation.killSidecar(std::stoul(simulation.executions()[0].target));
+    const auto again = simulation.submit({ 1, "booking", "k", 30 });
+    simulation.run(milliseconds(3000));
+    CHECK(simulation.callers()[again].code == result_code::OutcomeUnknown);
+    CHECK(simulation.callers()[again].ran == ran_state::Unknown);
+    CHECK(simulation.executions().size() == 1);
 }
--- a/tests/soak/callers.hpp
+++ b/tests/soak/caller_pool.hpp
@@ -12,28 +12,28 @@
 namespace test_support {
 
 inline constexpr std::size_t callerThreads = 6;
-inline constexpr std::chrono::milliseconds callerPatience { 4000 };
+inline constexpr std::chrono::milliseconds callerTimeout { 4000 };
 
 /// One request and what its caller got.
 struct call_record {
     std::string requestId;
     std::string path;
-    caller_answer answer;
-    std::chrono::steady_clock::time_point answeredAt;
+    caller_answer response;
+    std::chrono::steady_clock::time_point receivedAt;
 };
 
 /// Callers that never stop while the soak runs.
-class callers {
+class caller_pool {
 public:
-    callers(gateway_world& world, std::uint64_t seed)
+    caller_pool(gateway_world& world, std::uint64_t seed)
         : m_world(world)
     {
         for (std::size_t at = 0; at < callerThreads; ++at)
             m_threads.emplace_back([this, at, seed] { run(at, seed); });
     }
-    callers(const callers&) = delete;
-    callers& operator=(const callers&) = delete;
-    ~callers() { stop(); }
+    caller_pool(const caller_pool&) = delete;
+    caller_pool& operator=(const caller_pool&) = delete;
+    ~caller_pool() { stop(); }
 
     std::vector<call_record> stop()
     {
@@ -57,12 +57,12 @@
                 : kind == 1                    ? "/unsafe/" + id
                                                : "/safe/" + id;
             const auto& gateway = m_world.gateways()[random() % m_world.gateways().size()];
-            auto answer = keepsConnections ? kept.call(gateway, "POST", path, id, callerPatience)
-                                           : m_world.call(gateway, "POST", path, id, callerPatience);
-            if (answer.status == 0)
+            auto response = keepsConnections ? kept.call(gateway, "POST", path, id, callerTimeout)
+                                             : m_world.call(gateway, "POST", path, id, callerTimeout);
+            if (response.status == 0)
                 std::this_thread::sleep_for(std::chrono::milliseconds(20)); // nobody listens
             const std::scoped_lock lock(m_mutex);
-            m_records.push_back({ id, path, std::move(answer), std::chrono::steady_clock::now() });
+            m_records.push_back({ id, path, std::move(response), std::chrono::steady_clock::now() });
         }
     }
 
--- /dev/null
+++ b/tests/soak/check_call.hpp
@@ -0,0 +1,37 @@
+/// @file
+/// @brief What holds for each call of a soak.
+#pragma once
+
+#include "soak/caller_pool.hpp"
+#include "soak/violation_log.hpp"
+
+namespace test_support {
+
+inline std::uint64_t eventCountOf(const std::string& path) { return std::stoull(path.substr(path.rfind('n') + 1)); }
+
+/// @brief Judges a call by what its caller got, and how often targets ran it.
+inline void checkCall(const call_record& record, std::size_t runs, violation_log& violations)
+{
+    const auto& response = record.response;
+    const std::string what
+        = record.requestId + " (" + record.path + ", status " + std::to_string(response.status) + ")";
+    if (record.path.starts_with("/unsafe/")) {
+        if (runs > 1)
+            violations.report(what + " ran " + std::to_string(runs) + " times");
+        const bool saysNotRun = response.status == 503 || response.status == 429 || response.status == 408;
+        if (saysNotRun && runs > 0)
+            violations.report(what + " was told not to have run, and ran");
+    }
+    if (response.status != 200)
+        return;
+    if (response.stamp.empty())
+        violations.report(what + " bears no target's mark");
+    const std::string expected = record.path.starts_with("/stream/")
+        ? gateway_world::streamBody(record.path, eventCountOf(record.path))
+        : stand_in_fleet::plainBody(record.path);
+    const bool isRight = response.isWhole ? response.body == expected : expected.starts_with(response.body);
+    if (!isRight)
+        violations.report(what + (response.isWhole ? " looks whole and isn't its own" : " begins with other bytes"));
+}
+
+} // namespace test_support
--- a/tests/soak/verdict.hpp
+++ b/tests/soak/violation_log.hpp
@@ -10,23 +10,23 @@
 namespace test_support {
 
 /// What is found to be wrong, told once each.
-class verdict {
+class violation_log {
 public:
-    void broken(const std::string& what)
+    void report(const std::string& what)
     {
         const std::scoped_lock lock(m_mutex);
-        m_broken.push_back(what);
+        m_entries.push_back(what);
         std::cout << "BROKEN " << what << std::endl;
     }
     [[nodiscard]] std::size_t count() const
     {
         const std::scoped_lock lock(m_mutex);
-        return m_broken.size();
+        return m_entries.size();
     }
 
 private:
     mutable std::mutex m_mutex;
-    std::vector<std::string> m_broken;
+    std::vector<std::string> m_entries;
 };
 
 } // namespace test_support
--- a/tests/support/cluster.cpp
+++ b/tests/support/cluster.cpp
@@ -246,7 +246,7 @@
     caller_record record;
     record.request = answer.requestId;
     record.expected = stand_in::expectedAnswer(prompt, tokens, layers);
-    record.answered = answer.status != 0;
+    record.hasResponse = answer.status != 0;
     record.ran = ran_state::Yes;
     if (answer.status != 200) {
         takeError(answer.body, record);
@@ -281,7 +281,7 @@
     caller_record record;
     record.request = answer.requestId;
     record.key = key;
-    record.answered = answer.status != 0;
+    record.hasResponse = answer.status != 0;
     record.ran = ran_state::Yes;
     if (answer.status == 201)
         record.text = answer.text;
--- a/tests/support/cluster.hpp
+++ b/tests/support/cluster.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "support/child_process.hpp"
-#include "support/promises.hpp"
+#include "support/invariants.hpp"
 #include "support/relay.hpp"
 
 #include <chrono>
--- a/tests/support/promises.cpp
+++ b/tests/support/invariants.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// @brief The checkers.
-#include "support/promises.hpp"
+#include "support/invariants.hpp"
 
 #include <map>
 #include <set>
@@ -10,11 +10,11 @@
 using buckthornrail::ran_state;
 using buckthornrail::result_code;
 
-std::vector<std::string> checkWhole(const std::vector<caller_record>& callers)
+std::vector<std::string> checkResponses(const std::vector<caller_record>& callers)
 {
     std::vector<std::string> violations;
     for (const auto& caller : callers) {
-        if (caller.answered && caller.code == result_code::Ok && caller.text != caller.expected)
+        if (caller.hasResponse && caller.code == result_code::Ok && caller.text != caller.expected)
             violations.push_back(caller.request + " was answered '" + caller.text + "', not '" + caller.expected + "'");
         if (!caller.expected.starts_with(caller.text))
             violations.push_back(caller.request + " was given '" + caller.text + "', which isn't its own answer");
@@ -22,7 +22,7 @@
     return violations;
 }
 
-std::vector<std::string> checkNotRun(
+std::vector<std::string> checkNotExecuted(
     const std::vector<caller_record>& callers, const std::vector<execution_record>& executions)
 {
     std::set<std::string> ran;
@@ -30,13 +30,13 @@
         ran.insert(execution.request);
     std::vector<std::string> violations;
     for (const auto& caller : callers) {
-        if (caller.answered && caller.ran == ran_state::No && ran.contains(caller.request))
+        if (caller.hasResponse && caller.ran == ran_state::No && ran.contains(caller.request))
             violations.push_back(caller.request + " was called not run, but ran");
     }
     return violations;
 }
 
-std::vector<std::string> checkOnce(const std::vector<execution_record>& executions)
+std::vector<std::string> checkKeysRunOnce(const std::vector<execution_record>& executions)
 {
     std::map<std::string, int> runs;
     for (const auto& execution : executions) {
--- a/tests/support/promises.hpp
+++ b/tests/support/invariants.hpp
@@ -28,7 +28,7 @@
 struct caller_record {
     std::string request;
     std::string key;
-    bool answered = false; ///< a final answer came
+    bool hasResponse = false; ///< a final answer came
     buckthornrail::result_code code = buckthornrail::result_code::Ok;
     buckthornrail::ran_state ran = buckthornrail::ran_state::No;
     std::string text;
@@ -37,12 +37,12 @@
 };
 
 /// @brief An answer that was called complete is the whole answer to its own request; a part of one is a beginning.
-std::vector<std::string> checkWhole(const std::vector<caller_record>& callers);
+std::vector<std::string> checkResponses(const std::vector<caller_record>& callers);
 /// @brief A request of which the caller was told that it was not run was not run anywhere.
-std::vector<std::string> checkNotRun(
+std::vector<std::string> checkNotExecuted(
     const std::vector<caller_record>& callers, const std::vector<execution_record>& executions);
 /// @brief A non-idempotent request ran at most once, whoever sent it again.
-std::vector<std::string> checkOnce(const std::vector<execution_record>& executions);
+std::vector<std::string> checkKeysRunOnce(const std::vector<execution_record>& executions);
 /// @brief No attempt ran twice.
 std::vector<std::string> checkAttempts(const std::vector<execution_record>& executions);
 /// @brief In each generation every layer ran at most once for each token, and in order; a token that came out ran all.
--- a/tests/support/request_world.cpp
+++ b/tests/support/request_simulation.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// @brief World of requests.
-#include "support/request_world.hpp"
+#include "support/request_simulation.hpp"
 
 #include "support/token_model.hpp"
 
@@ -17,7 +17,7 @@
 
 } // namespace
 
-request_world::request_world(std::size_t entries, std::size_t sidecars, std::uint64_t seed)
+request_simulation::request_simulation(std::size_t entries, std::size_t sidecars, std::uint64_t seed)
     : m_random(seed)
     , m_now(steady_time {} + std::chrono::hours(1))
     , m_entries(entries)
@@ -25,10 +25,10 @@
     , m_known(entries, 1)
 {
     for (std::size_t at = 0; at < sidecars; ++at)
-        renew(at);
+        restartSidecar(at);
 }
 
-std::size_t request_world::submit(const world_request& request)
+std::size_t request_simulation::submit(const simulated_request& request)
 {
     const std::string id = "r" + std::to_string(++m_lastRequest);
     caller one;
@@ -50,11 +50,11 @@
     auto& runs = m_entries[request.entry].runs;
     runs.emplace(id, open_run { request_run(wanted, {}, m_now), m_callers.size() - 1, "" });
     runs.at(id).run.start(m_now);
-    drive(request.entry, id);
+    processEffects(request.entry, id);
     return m_callers.size() - 1;
 }
 
-void request_world::run(milliseconds period)
+void request_simulation::run(milliseconds period)
 {
     const steady_time end = m_now + period;
     while (m_now < end) {
@@ -65,11 +65,11 @@
             action();
         }
         for (std::size_t at = 0; at < m_sidecars.size(); ++at) {
-            if (m_sidecars[at].frozen)
+            if (m_sidecars[at].paused)
                 continue;
             m_sidecars[at].core->gate().renewConfiguration(m_configuration, m_now + std::chrono::seconds(3));
             m_sidecars[at].core->tick(m_now);
-            drain(at);
+            processSidecarEffects(at);
         }
         for (std::size_t at = 0; at < m_entries.size(); ++at) {
             std::vector<std::string> ids;
@@ -77,44 +77,44 @@
                 ids.push_back(id);
             for (const auto& id : ids) {
                 m_entries[at].runs.at(id).run.tick(m_now);
-                drive(at, id);
+                processEffects(at, id);
             }
         }
     }
 }
 
-void request_world::killSidecar(std::size_t sidecar)
+void request_simulation::killSidecar(std::size_t sidecar)
 {
-    renew(sidecar);
+    restartSidecar(sidecar);
     for (std::size_t at = 0; at < m_entries.size(); ++at)
         closeLink(at, sidecar);
 }
 
-void request_world::freezeSidecar(std::size_t sidecar, bool frozen)
+void request_simulation::pauseSidecar(std::size_t sidecar, bool paused)
 {
     auto& one = m_sidecars[sidecar];
-    one.frozen = frozen;
-    if (frozen)
+    one.paused = paused;
+    if (paused)
         return;
-    for (const auto& action : std::exchange(one.heldBack, {}))
+    for (const auto& action : std::exchange(one.deferredEvents, {}))
         action();
-    drain(sidecar);
+    processSidecarEffects(sidecar);
 }
 
-void request_world::killEntry(std::size_t entry)
+void request_simulation::killEntry(std::size_t entry)
 {
     m_entries[entry].runs.clear();
     m_entries[entry].followers.clear();
-    ++m_entries[entry].life;
+    ++m_entries[entry].incarnation;
     for (std::size_t at = 0; at < m_sidecars.size(); ++at)
         closeLink(entry, at);
 }
 
-void request_world::closeLink(std::size_t entry, std::size_t sidecar)
+void request_simulation::closeLink(std::size_t entry, std::size_t sidecar)
 {
     const channel_number channel = channelOf(entry, sidecar);
     ++linkOf(entry, sidecar).epoch;
-    atSidecar(sidecar, [this, sidecar, channel] { m_sidecars[sidecar].core->channelLost(channel, m_now); });
+    runAtSidecar(sidecar, [this, sidecar, channel] { m_sidecars[sidecar].core->channelLost(channel, m_now); });
     std::vector<std::string> ids;
     for (const auto& [id, open] : m_entries[entry].runs)
         ids.push_back(id);
@@ -123,43 +123,43 @@
         if (found == m_entries[entry].runs.end())
             continue;
         found->second.run.linkLost(std::to_string(sidecar), m_now);
-        drive(entry, id);
+        processEffects(entry, id);
     }
 }
 
-void request_world::cutLink(std::size_t entry, std::size_t sidecar, bool cut)
+void request_simulation::cutLink(std::size_t entry, std::size_t sidecar, bool cut)
 {
     linkOf(entry, sidecar).cut = cut;
     if (!cut)
         closeLink(entry, sidecar);
 }
 
-void request_world::setMode(std::size_t sidecar, target_mode mode) { m_sidecars[sidecar].mode = mode; }
+void request_simulation::setMode(std::size_t sidecar, target_mode mode) { m_sidecars[sidecar].mode = mode; }
 
-void request_world::drainSidecar(std::size_t sidecar)
+void request_simulation::drainSidecar(std::size_t sidecar)
 {
     m_sidecars[sidecar].draining = true;
     m_sidecars[sidecar].core->gate().setDraining(true);
 }
 
-void request_world::newConfiguration()
+void request_simulation::publishConfiguration()
 {
     ++m_configuration;
     for (std::size_t at = 0; at < m_entries.size(); ++at) {
-        after(milliseconds(m_random() % 300), [this, at] {
+        schedule(milliseconds(m_random() % 300), [this, at] {
             m_known[at] = m_configuration;
             std::vector<std::string> ids;
             for (const auto& [id, open] : m_entries[at].runs)
                 ids.push_back(id);
             for (const auto& id : ids) {
                 m_entries[at].runs.at(id).run.configurationReceived(m_now);
-                drive(at, id);
+                processEffects(at, id);
             }
         });
     }
 }
 
-std::vector<caller_record> request_world::callers() const
+std::vector<caller_record> request_simulation::callers() const
 {
     std::vector<caller_record> records;
     for (const auto& one : m_callers)
@@ -167,19 +167,22 @@
     return records;
 }
 
-std::vector<std::string> request_world::violations() const
+std::vector<std::string> request_simulation::violations() const
 {
     std::vector<std::string> all;
-    const auto told = callers();
-    for (const auto& part :
-        { checkWhole(told), checkNotRun(told, m_executions), checkOnce(m_executions), checkAttempts(m_executions) })
+    const auto records = callers();
+    for (const auto& part : { checkResponses(records), checkNotExecuted(records, m_executions),
+             checkKeysRunOnce(m_executions), checkAttempts(m_executions) })
         all.insert(all.end(), part.begin(), part.end());
     return all;
 }
 
-void request_world::after(milliseconds delay, event action) { m_events.emplace(m_now + delay, std::move(action)); }
+void request_simulation::schedule(milliseconds delay, event action)
+{
+    m_events.emplace(m_now + delay, std::move(action));
+}
 
-void request_world::drive(std::size_t entry, const std::string& request)
+void request_simulation::processEffects(std::size_t entry, const std::string& request)
 {
     const auto found = m_entries[entry].runs.find(request);
     if (found == m_entries[entry].runs.end())
@@ -193,15 +196,15 @@
     }
 }
 
-void request_world::carryOut(std::size_t entry, open_run& open, const run_effect& effect)
+void request_simulation::carryOut(std::size_t entry, open_run& open, const run_effect& effect)
 {
     auto& caller = m_callers[open.caller];
     const auto sidecarOf = [](const chosen_target& target) { return std::stoul(target.instance); };
     std::visit(overloaded {
-                   [&](const choose_target& wish) {
+                   [&](const choose_target& request) {
                        std::vector<std::size_t> free;
                        for (std::size_t at = 0; at < m_sidecars.size(); ++at) {
-                           if (!wish.excluded.contains(std::to_string(at)))
+                           if (!request.excluded.contains(std::to_string(at)))
                                free.push_back(at);
                        }
                        if (free.empty()) {
@@ -211,10 +214,10 @@
                        const std::size_t chosen = free[m_random() % free.size()];
                        // Sometimes the entry's knowledge of the incarnation is out of date.
                        const auto known
-                           = m_sidecars[chosen].incarnation - (knowsOldLives && m_random() % 8 == 0 ? 1 : 0);
+                           = m_sidecars[chosen].incarnation - (usesStaleIncarnations && m_random() % 8 == 0 ? 1 : 0);
                        open.run.targetChosen({ std::to_string(chosen), known }, m_now);
                    },
-                   [&](const send_claim& wish) { claim(entry, open.run.request().id, wish); },
+                   [&](const send_claim& request) { sendClaim(entry, open.run.request().id, request); },
                    [&](const send_offer& offer) {
                        attempt_offer message;
                        message.attempt = offer.attempt;
@@ -231,8 +234,8 @@
                        sendToSidecar(entry, sidecarOf(offer.target), message);
                    },
                    [&](const send_revoke& revoke) {
-                       if (missing == missing_protection::Tombstones) {
-                           after(milliseconds(1), [this, entry, revoke] {
+                       if (disabled == disabled_protection::Tombstones) {
+                           schedule(milliseconds(1), [this, entry, revoke] {
                                receive(entry, revoke_reply { revoke.attempt, revoke_outcome::NotStarted });
                            });
                            return;
@@ -251,7 +254,7 @@
                    },
                    [&](const await_configuration&) {},
                    [&](const finish_run& last) {
-                       caller.record.answered = true;
+                       caller.record.hasResponse = true;
                        caller.record.code = last.result.code;
                        caller.record.ran = last.ran;
                        if (last.result.code == result_code::Ok)
@@ -261,12 +264,12 @@
         effect);
 }
 
-bool request_world::isForeign(const open_run& open, const attempt_id& attempt) const
+bool request_simulation::isForeign(const open_run& open, const attempt_id& attempt) const
 {
     return open.run.request().id != attempt.request;
 }
 
-void request_world::withAttempt(
+void request_simulation::forEachRun(
     std::size_t entry, const attempt_id& attempt, const std::function<void(request_run&)>& action)
 {
     std::vector<std::string> ids { attempt.request };
@@ -278,67 +281,67 @@
         if (found == m_entries[entry].runs.end())
             continue;
         action(found->second.run);
-        drive(entry, id);
+        processEffects(entry, id);
     }
 }
 
-void request_world::claim(std::size_t entry, const std::string& request, const send_claim& wish)
+void request_simulation::sendClaim(std::size_t entry, const std::string& request, const send_claim& wanted)
 {
     claim_command command;
     command.key = { "w", m_keys[request] };
     command.requestDigest = 1;
-    command.holder = wish.holder;
-    command.replaces = wish.replaces;
+    command.holder = wanted.holder;
+    command.replaces = wanted.replaces;
     command.wallSeconds = 1000;
     command.retainSeconds = 3600;
-    const auto life = m_entries[entry].life;
-    after(milliseconds(m_random() % 30), [this, entry, request, command, life] {
+    const auto incarnation = m_entries[entry].incarnation;
+    schedule(milliseconds(m_random() % 30), [this, entry, request, command, incarnation] {
         // The command may commit although its answer is lost.
         const bool commits = !m_losesClaims || m_random() % 2 == 0;
         auto result = commits ? m_claims.apply(command) : claim_result {};
-        if (missing == missing_protection::Claims)
+        if (disabled == disabled_protection::Claims)
             result = { claim_outcome::Granted, command.holder };
         if (m_losesClaims)
             return;
-        after(milliseconds(m_random() % 30), [this, entry, request, result, life] {
+        schedule(milliseconds(m_random() % 30), [this, entry, request, result, incarnation] {
             const auto found = m_entries[entry].runs.find(request);
-            if (life != m_entries[entry].life || found == m_entries[entry].runs.end())
+            if (incarnation != m_entries[entry].incarnation || found == m_entries[entry].runs.end())
                 return;
             found->second.run.claimAnswered(result, m_now);
-            drive(entry, request);
+            processEffects(entry, request);
         });
     });
 }
 
-void request_world::transport(std::size_t entry, std::size_t sidecar, const event& deliver)
+void request_simulation::transmit(std::size_t entry, std::size_t sidecar, const event& deliver)
 {
     const std::size_t number = m_messages++;
-    const fate fate = onMessage ? onMessage(number) : fate::Deliver;
-    if (linkOf(entry, sidecar).cut || fate == fate::Lose)
+    const message_action action = onMessage ? onMessage(number) : message_action::Deliver;
+    if (linkOf(entry, sidecar).cut || action == message_action::Drop)
         return;
     const auto epoch = linkOf(entry, sidecar).epoch;
     const auto guarded = [this, entry, sidecar, epoch, deliver] {
         if (linkOf(entry, sidecar).epoch == epoch && !linkOf(entry, sidecar).cut)
             deliver();
     };
-    after(milliseconds(fate == fate::Delay ? 900 : m_random() % 20), guarded);
-    if (fate == fate::Repeat)
-        after(milliseconds(m_random() % 200), guarded);
+    schedule(milliseconds(action == message_action::Delay ? 900 : m_random() % 20), guarded);
+    if (action == message_action::Duplicate)
+        schedule(milliseconds(m_random() % 200), guarded);
 }
 
-void request_world::sendToSidecar(std::size_t entry, std::size_t sidecar, const to_sidecar& message)
+void request_simulation::sendToSidecar(std::size_t entry, std::size_t sidecar, const to_sidecar& message)
 {
-    transport(entry, sidecar, [this, entry, sidecar, message] {
-        atSidecar(sidecar, [this, entry, sidecar, message] { receive(entry, sidecar, message); });
+    transmit(entry, sidecar, [this, entry, sidecar, message] {
+        runAtSidecar(sidecar, [this, entry, sidecar, message] { receive(entry, sidecar, message); });
     });
 }
 
-void request_world::receive(std::size_t entry, std::size_t sidecar, const to_sidecar& message)
+void request_simulation::receive(std::size_t entry, std::size_t sidecar, const to_sidecar& message)
 {
     auto& core = *m_sidecars[sidecar].core;
     const auto channel = channelOf(entry, sidecar);
     const auto known = [&](incarnation_number named) {
-        return missing == missing_protection::Incarnations ? m_sidecars[sidecar].incarnation : named;
+        return disabled == disabled_protection::Incarnations ? m_sidecars[sidecar].incarnation : named;
     };
     std::visit(overloaded {
                    [&](attempt_offer offer) {
@@ -357,38 +360,38 @@
         message);
 }
 
-void request_world::sendToEntry(std::size_t sidecar, channel_number channel, const sidecar_message& message)
+void request_simulation::sendToEntry(std::size_t sidecar, channel_number channel, const sidecar_message& message)
 {
     const std::size_t entry = channel / channelsPerEntry - 1;
     if (channel != channelOf(entry, sidecar))
         return; // of a link that has closed
-    transport(entry, sidecar, [this, entry, message] { receive(entry, message); });
+    transmit(entry, sidecar, [this, entry, message] { receive(entry, message); });
 }
 
-void request_world::receive(std::size_t entry, const sidecar_message& message)
+void request_simulation::receive(std::size_t entry, const sidecar_message& message)
 {
     std::visit(overloaded {
                    [&](const attempt_accepted& one) {
-                       withAttempt(entry, one.attempt, [&](request_run& run) { run.accepted(one.attempt, m_now); });
+                       forEachRun(entry, one.attempt, [&](request_run& run) { run.accepted(one.attempt, m_now); });
                    },
                    [&](const attempt_refused& one) {
-                       withAttempt(entry, one.attempt, [&](request_run& run) { run.refused(one, m_now); });
+                       forEachRun(entry, one.attempt, [&](request_run& run) { run.refused(one, m_now); });
                    },
                    [&](const attempt_started& one) {
-                       withAttempt(entry, one.attempt, [&](request_run& run) { run.started(one.attempt, m_now); });
+                       forEachRun(entry, one.attempt, [&](request_run& run) { run.started(one.attempt, m_now); });
                    },
                    [&](response_frame one) {
-                       if (missing == missing_protection::Ownership && !m_entries[entry].runs.empty()) {
+                       if (disabled == disabled_protection::Ownership && !m_entries[entry].runs.empty()) {
                            auto& open = m_entries[entry].runs.begin()->second;
                            if (isForeign(open, one.attempt))
                                open.buffered += one.bytes;
                        }
-                       withAttempt(entry, one.attempt, [&](request_run& run) { run.frame(one, m_now); });
+                       forEachRun(entry, one.attempt, [&](request_run& run) { run.frame(one, m_now); });
                    },
                    [&](const response_end& one) {
                        auto end = one;
-                       if (missing == missing_protection::Digests) {
-                           withAttempt(entry, one.attempt, [&](request_run& run) {
+                       if (disabled == disabled_protection::Digests) {
+                           forEachRun(entry, one.attempt, [&](request_run& run) {
                                // Claims that whatever has come is the whole answer.
                                end.frameCount = 0;
                                end.digest = response_digest().value();
@@ -396,20 +399,20 @@
                            });
                            return;
                        }
-                       withAttempt(entry, one.attempt, [&](request_run& run) { run.ended(one, m_now); });
+                       forEachRun(entry, one.attempt, [&](request_run& run) { run.ended(one, m_now); });
                    },
                    [&](const revoke_reply& one) {
-                       withAttempt(entry, one.attempt, [&](request_run& run) { run.revokeAnswered(one, m_now); });
+                       forEachRun(entry, one.attempt, [&](request_run& run) { run.revokeAnswered(one, m_now); });
                    },
                    [&](const attach_reply& one) {
-                       withAttempt(entry, one.attempt, [&](request_run& run) { run.attachAnswered(one, m_now); });
+                       forEachRun(entry, one.attempt, [&](request_run& run) { run.attachAnswered(one, m_now); });
                    },
                    [&](const load_report&) {},
                },
         message);
 }
 
-channel_number request_world::channelOf(std::size_t entry, std::size_t sidecar)
+channel_number request_simulation::channelOf(std::size_t entry, std::size_t sidecar)
 {
     return (entry + 1) * channelsPerEntry + linkOf(entry, sidecar).epoch;
 }
--- a/tests/support/request_world.hpp
+++ b/tests/support/request_simulation.hpp
@@ -4,7 +4,7 @@
 
 #include "buckthornrail/dispatch/request_run.hpp"
 #include "buckthornrail/dispatch/sidecar_core.hpp"
-#include "support/promises.hpp"
+#include "support/invariants.hpp"
 
 #include <functional>
 #include <map>
@@ -20,21 +20,21 @@
 enum class target_mode {
     Works,
     Stalls, ///< begins and never goes on
-    Dies, ///< begins, gives a token and breaks
+    Fails, ///< begins, gives a token and breaks
     Refuses, ///< accepts no connection
 };
 
 /// A protection to take out, so that a test can show that a checker notices.
-enum class missing_protection {
+enum class disabled_protection {
     None,
     Tombstones, ///< "not started" is said without asking the gate
     Claims, ///< every claim is granted
-    Incarnations, ///< what was meant for an earlier life is taken
+    Incarnations, ///< what was meant for an earlier incarnation is taken
     Ownership, ///< frames are taken for whatever request they arrive at
     Digests, ///< an end always says "complete"
 };
 
-struct world_request {
+struct simulated_request {
     std::size_t entry = 0;
     std::string prompt;
     std::string key; ///< not empty: non-idempotent
@@ -44,16 +44,16 @@
 };
 
 /// @brief The world. Time is virtual; everything is drawn from a seed.
-class request_world {
+class request_simulation {
 public:
-    request_world(std::size_t entries, std::size_t sidecars, std::uint64_t seed);
+    request_simulation(std::size_t entries, std::size_t sidecars, std::uint64_t seed);
 
     /// @return the caller's position in callers()
-    std::size_t submit(const world_request& request);
+    std::size_t submit(const simulated_request& request);
     void run(milliseconds period);
 
     void killSidecar(std::size_t sidecar); ///< it comes back as a new incarnation
-    void freezeSidecar(std::size_t sidecar, bool frozen);
+    void pauseSidecar(std::size_t sidecar, bool paused);
     void killEntry(std::size_t entry); ///< its callers get no answer; it comes back empty
     void closeLink(std::size_t entry, std::size_t sidecar);
     /// @brief Loses messages in silence until it is mended; then the link closes.
@@ -61,16 +61,16 @@
     void setMode(std::size_t sidecar, target_mode mode);
     void drainSidecar(std::size_t sidecar);
     void loseClaims(bool lose) { m_losesClaims = lose; }
-    void newConfiguration();
+    void publishConfiguration();
     /// @brief Does something before the next message arrives.
-    void soon(std::function<void()> action) { after(milliseconds(0), std::move(action)); }
+    void post(std::function<void()> action) { schedule(milliseconds(0), std::move(action)); }
 
     /// @brief Called with the number of each message before it is sent; may order a fault, or lose or repeat it.
-    enum class fate { Deliver, Lose, Repeat, Delay };
-    std::function<fate(std::size_t number)> onMessage;
+    enum class message_action { Deliver, Drop, Duplicate, Delay };
+    std::function<message_action(std::size_t number)> onMessage;
 
-    missing_protection missing = missing_protection::None;
-    bool knowsOldLives = true; ///< entries sometimes name an earlier incarnation
+    disabled_protection disabled = disabled_protection::None;
+    bool usesStaleIncarnations = true; ///< entries sometimes name an earlier incarnation
 
     [[nodiscard]] std::vector<caller_record> callers() const;
     [[nodiscard]] const std::vector<execution_record>& executions() const { return m_executions; }
@@ -85,7 +85,7 @@
 
     struct job {
         work_order work;
-        std::uint32_t given = 0;
+        std::uint32_t generated = 0;
         std::string text;
         bool cancelled = false;
     };
@@ -93,9 +93,9 @@
         std::unique_ptr<sidecar_core> core;
         incarnation_number incarnation = 0;
         target_mode mode = target_mode::Works;
-        bool frozen = false;
+        bool paused = false;
         bool draining = false;
-        std::vector<event> heldBack; ///< while frozen
+        std::vector<event> deferredEvents; ///< while paused
         std::map<attempt_id, job> jobs;
     };
     struct caller {
@@ -111,28 +111,28 @@
     struct entry_node {
         std::map<std::string, open_run> runs;
         std::multimap<std::string, std::string> followers;
-        std::uint64_t life = 0;
+        std::uint64_t incarnation = 0;
     };
     struct link_state {
         std::uint64_t epoch = 1;
         bool cut = false;
     };
 
-    void after(milliseconds delay, event action);
-    void drive(std::size_t entry, const std::string& request);
+    void schedule(milliseconds delay, event action);
+    void processEffects(std::size_t entry, const std::string& request);
     void carryOut(std::size_t entry, open_run& open, const run_effect& effect);
-    void withAttempt(std::size_t entry, const attempt_id& attempt, const std::function<void(request_run&)>& action);
-    void claim(std::size_t entry, const std::string& request, const send_claim& wish);
+    void forEachRun(std::size_t entry, const attempt_id& attempt, const std::function<void(request_run&)>& action);
+    void sendClaim(std::size_t entry, const std::string& request, const send_claim& wanted);
     void sendToSidecar(std::size_t entry, std::size_t sidecar, const to_sidecar& message);
     void receive(std::size_t entry, std::size_t sidecar, const to_sidecar& message);
     void sendToEntry(std::size_t sidecar, channel_number channel, const sidecar_message& message);
     void receive(std::size_t entry, const sidecar_message& message);
-    void transport(std::size_t entry, std::size_t sidecar, const event& deliver);
-    void drain(std::size_t sidecar);
+    void transmit(std::size_t entry, std::size_t sidecar, const event& deliver);
+    void processSidecarEffects(std::size_t sidecar);
     void startJob(std::size_t sidecar, const start_work& work);
-    void advance(std::size_t sidecar, incarnation_number life, const attempt_id& attempt);
-    void atSidecar(std::size_t sidecar, const event& action);
-    void renew(std::size_t sidecar);
+    void advanceJob(std::size_t sidecar, incarnation_number incarnation, const attempt_id& attempt);
+    void runAtSidecar(std::size_t sidecar, const event& action);
+    void restartSidecar(std::size_t sidecar);
     link_state& linkOf(std::size_t entry, std::size_t sidecar) { return m_links[{ entry, sidecar }]; }
     [[nodiscard]] channel_number channelOf(std::size_t entry, std::size_t sidecar);
     [[nodiscard]] bool isForeign(const open_run& open, const attempt_id& attempt) const;
--- a/tests/support/request_world_sidecars.cpp
+++ b/tests/support/request_simulation_sidecars.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// @brief The world's sidecars: what they carry out, and their targets' jobs.
-#include "support/request_world.hpp"
+#include "support/request_simulation.hpp"
 
 #include "support/token_model.hpp"
 
@@ -11,18 +11,18 @@
 
 } // namespace
 
-void request_world::atSidecar(std::size_t sidecar, const event& action)
+void request_simulation::runAtSidecar(std::size_t sidecar, const event& action)
 {
     auto& one = m_sidecars[sidecar];
-    if (one.frozen) {
-        one.heldBack.push_back(action);
+    if (one.paused) {
+        one.deferredEvents.push_back(action);
         return;
     }
     action();
-    drain(sidecar);
+    processSidecarEffects(sidecar);
 }
 
-void request_world::drain(std::size_t sidecar)
+void request_simulation::processSidecarEffects(std::size_t sidecar)
 {
     auto& one = m_sidecars[sidecar];
     while (const auto effect = one.core->nextEffect()) {
@@ -35,14 +35,14 @@
     }
 }
 
-void request_world::startJob(std::size_t sidecar, const start_work& work)
+void request_simulation::startJob(std::size_t sidecar, const start_work& work)
 {
     auto& one = m_sidecars[sidecar];
     if (one.mode == target_mode::Refuses) {
-        after(milliseconds(5), [this, sidecar, life = one.incarnation, attempt = work.attempt] {
-            if (m_sidecars[sidecar].incarnation != life)
+        schedule(milliseconds(5), [this, sidecar, incarnation = one.incarnation, attempt = work.attempt] {
+            if (m_sidecars[sidecar].incarnation != incarnation)
                 return;
-            atSidecar(sidecar, [this, sidecar, attempt] {
+            runAtSidecar(sidecar, [this, sidecar, attempt] {
                 m_sidecars[sidecar].core->ended(attempt, { result_code::TargetNotReady, "", "", true }, m_now);
             });
         });
@@ -55,33 +55,34 @@
     execution.key = m_keys[work.attempt.request];
     m_executions.push_back(execution);
     one.jobs[work.attempt] = { work.work, 0, work.work.prompt, false };
-    after(tokenTime,
-        [this, sidecar, life = one.incarnation, attempt = work.attempt] { advance(sidecar, life, attempt); });
+    schedule(tokenTime, [this, sidecar, incarnation = one.incarnation, attempt = work.attempt] {
+        advanceJob(sidecar, incarnation, attempt);
+    });
 }
 
-void request_world::advance(std::size_t sidecar, incarnation_number life, const attempt_id& attempt)
+void request_simulation::advanceJob(std::size_t sidecar, incarnation_number incarnation, const attempt_id& attempt)
 {
     auto& one = m_sidecars[sidecar];
-    if (one.incarnation != life)
+    if (one.incarnation != incarnation)
         return;
     auto& job = one.jobs.at(attempt);
     const auto end = [&](const work_outcome& outcome) {
-        atSidecar(
+        runAtSidecar(
             sidecar, [this, sidecar, attempt, outcome] { m_sidecars[sidecar].core->ended(attempt, outcome, m_now); });
     };
     if (job.cancelled) {
         end({ result_code::Cancelled, "", "", false });
         return;
     }
-    if (one.mode == target_mode::Stalls && job.given > 0) {
-        after(tokenTime, [this, sidecar, life, attempt] { advance(sidecar, life, attempt); });
+    if (one.mode == target_mode::Stalls && job.generated > 0) {
+        schedule(tokenTime, [this, sidecar, incarnation, attempt] { advanceJob(sidecar, incarnation, attempt); });
         return;
     }
-    if (one.mode == target_mode::Dies && job.given > 0) {
+    if (one.mode == target_mode::Fails && job.generated > 0) {
         end({ result_code::TargetFailed, "", "", false });
         return;
     }
-    if (job.given >= job.work.maxTokens) {
+    if (job.generated >= job.work.maxTokens) {
         end({ result_code::Ok, "", "length", false });
         return;
     }
@@ -89,15 +90,15 @@
     frame.attempt = attempt;
     frame.bytes = nextToken(job.text);
     job.text += frame.bytes;
-    ++job.given;
-    atSidecar(sidecar, [this, sidecar, frame] { m_sidecars[sidecar].core->frame(frame); });
-    after(tokenTime, [this, sidecar, life, attempt] { advance(sidecar, life, attempt); });
+    ++job.generated;
+    runAtSidecar(sidecar, [this, sidecar, frame] { m_sidecars[sidecar].core->frame(frame); });
+    schedule(tokenTime, [this, sidecar, incarnation, attempt] { advanceJob(sidecar, incarnation, attempt); });
 }
 
-void request_world::renew(std::size_t sidecar)
+void request_simulation::restartSidecar(std::size_t sidecar)
 {
     auto& one = m_sidecars[sidecar];
-    one.incarnation = m_lastIncarnation += 2; // one below it names an earlier life
+    one.incarnation = m_lastIncarnation += 2; // one below it names an earlier incarnation
     gate_options options;
     options.incarnation = one.incarnation;
     options.slots = 2;
@@ -107,8 +108,8 @@
     one.core->gate().setReady(true);
     one.core->gate().setDraining(one.draining);
     one.jobs.clear();
-    one.frozen = false;
-    one.heldBack.clear();
+    one.paused = false;
+    one.deferredEvents.clear();
 }
 
 } // namespace test_support
--- a/tools/measure.cpp
+++ b/tools/measure.cpp
@@ -184,7 +184,7 @@
     for (const auto& [when, record] : records) {
         if (when < begin)
             continue;
-        const bool good = record.answered && record.code == buckthornrail::result_code::Ok;
+        const bool good = record.hasResponse && record.code == buckthornrail::result_code::Ok;
         if (good && !seenGood)
             result.firstGoodMs = ms(when);
         seenGood = seenGood || good;
