--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -276,12 +276,12 @@
         if (!reserve("pushback" + std::to_string(target)))
             return;
         if (m_pushbackRandom() % 3 == 0)
-            requestRest(target);
+            requestBackoff(target);
         else
             limitRate(target);
     }
 
-    void requestRest(std::size_t target)
+    void requestBackoff(std::size_t target)
     {
         m_world.fleet().setRest(target, milliseconds(500 + m_pushbackRandom() % 1500));
         beginFault("target " + std::to_string(target) + " asks for rest", milliseconds(2000), [this, target] {
