--- a/tests/demo/fleet_demo.cpp
+++ b/tests/demo/fleet_demo.cpp
@@ -1,8 +1,8 @@
 /// @file
-/// @brief Shows gateways and registries at work: real processes on loopback before stand-in targets that hold layers.
+/// @brief Demonstrates gateways and registries: real processes on loopback with stand-in targets that hold layers.
 ///
-/// Streams answers, kills a target in mid-stream and the registry that leads, publishes a change, restarts a gateway
-/// under a stream, and leaves the processes' logs for `ctl explain`. Any promise that isn't kept fails the program.
+/// Streams responses, kills a target during a stream and the leading registry, publishes a change, restarts a gateway
+/// during a stream, and keeps the logs of the processes for `ctl explain`. Fails if an expectation isn't met.
 #include "support/gateway_world.hpp"
 
 #include <algorithm>
@@ -21,9 +21,9 @@
 using std::chrono::seconds;
 
 constexpr seconds timeout { 15 };
-constexpr std::uint64_t eventCount = 100; ///< of a stream: about a second
+constexpr std::uint64_t eventCount = 100; ///< per stream; takes about 1 s
 
-/// @brief Ends the demo unless something holds.
+/// @brief Ends the demo with an error unless a condition holds.
 void require(bool holds, const std::string& what)
 {
     if (holds)
@@ -34,7 +34,7 @@
 
 std::string streamPath() { return "/stream/n" + std::to_string(eventCount); }
 
-/// @brief A stream that is under way.
+/// @brief Requests a stream in another thread.
 std::future<caller_answer> startStream(gateway_world& world, const std::string& gateway, const std::string& id)
 {
     return std::async(
@@ -43,7 +43,8 @@
 
 void requireComplete(const std::string& id, const caller_answer& response)
 {
-    require(response.body == gateway_world::streamBody(streamPath(), eventCount), id + " did not get its whole answer");
+    require(response.body == gateway_world::streamBody(streamPath(), eventCount),
+        id + " didn't receive its complete response");
     std::cout << "  " << id << ": " << eventCount << " events, each once and in order\n";
 }
 
@@ -55,7 +56,7 @@
     std::cout << "\n";
 }
 
-/// @brief Kills a target that a stream runs on, once its path is chosen.
+/// @brief Kills a target on the path of a stream, as soon as the gateway has logged the path.
 void killTargetOf(gateway_world& world, const std::string& gateway, const std::string& id)
 {
     const auto pathOf = [&] {
@@ -68,7 +69,7 @@
     const std::string path = pathOf();
     const auto member = std::find_if(world.engines().begin(), world.engines().end(),
         [&](std::size_t engine) { return path.find(world.fleet().idOf(engine) + "=") != std::string::npos; });
-    require(member != world.engines().end(), "no target of the path is known: " + path);
+    require(member != world.engines().end(), "the path has no known target: " + path);
     std::cout << "  target " << world.fleet().idOf(*member) << " is killed\n";
     world.fleet().kill(*member);
 }
@@ -79,53 +80,54 @@
 {
     gateway_world world(3);
     const auto startedAt = std::chrono::steady_clock::now();
-    require(world.start(), "the fleet did not start");
+    require(world.start(), "the fleet didn't start");
     std::cout
         << "== three registries, three gateways, 12 targets with layers in three failure domains, a plain service\n";
     const auto isBalanced = [&world] {
         return std::all_of(world.registries().begin(), world.registries().end(),
             [&world](const auto& name) { return world.sessionsAt(name) == 1; });
     };
-    require(waitUntil(isBalanced, timeout), "sessions did not spread over the registries");
+    require(waitUntil(isBalanced, timeout), "sessions weren't balanced over the registries");
     printSessions(world);
 
-    std::cout << "== an answer through each gateway\n";
+    std::cout << "== a response through each gateway\n";
     for (const auto& gateway : world.gateways())
         requireComplete("demo-" + gateway, world.call(gateway, "POST", streamPath(), "demo-" + gateway, timeout));
 
-    std::cout << "== a target is killed under a stream\n";
+    std::cout << "== a target is killed during a stream\n";
     auto stream = startStream(world, world.gateways()[0], "demo-target-killed");
     killTargetOf(world, world.gateways()[0], "demo-target-killed");
     requireComplete("demo-target-killed", stream.get());
 
-    std::cout << "== the leader is killed under a stream, and a change is published\n";
+    std::cout << "== the leader is killed during a stream, and a change is published\n";
     stream = startStream(world, world.gateways()[1], "demo-leader-killed");
     const std::string leader = world.leader();
     world.killHard(leader);
-    require(
-        waitUntil([&] { return world.publishAnywhere(2, "changed") == 200; }, timeout), "no registry took a change");
+    require(waitUntil([&] { return world.publishAnywhere(2, "changed") == 200; }, timeout),
+        "no registry accepted the change");
     for (const auto& gateway : world.gateways()) {
         const std::string id = "demo-changed-" + gateway;
         require(waitUntil([&] { return world.call(gateway, "GET", "/changed/x", id).status == 200; }, seconds(2)),
-            "the change is not in force at " + gateway);
+            "the change isn't active at " + gateway);
     }
-    std::cout << "  acknowledged, and in force at all gateways\n";
+    std::cout << "  acknowledged, and active at all gateways\n";
     requireComplete("demo-leader-killed", stream.get());
     world.startProcess(leader);
-    require(waitUntil([&] { return world.readVersion(leader) == 2U; }, timeout), leader + " did not catch up");
+    require(waitUntil([&] { return world.readVersion(leader) == 2U; }, timeout), leader + " didn't catch up");
     printSessions(world);
 
-    std::cout << "== a gateway is restarted under a stream\n";
+    std::cout << "== a gateway is restarted during a stream\n";
     const std::string gateway = world.gateways()[2];
     stream = startStream(world, gateway, "demo-gateway-restarted");
     std::this_thread::sleep_for(milliseconds(200));
     world.signal(gateway, SIGTERM);
     requireComplete("demo-gateway-restarted", stream.get());
-    require(world.waitForExit(gateway, seconds(9)) == 0, gateway + " did not end in good order");
+    require(world.waitForExit(gateway, seconds(9)) == 0, gateway + " didn't exit cleanly");
     world.startProcess(gateway);
-    require(waitUntil([&] { return world.readyStatus(gateway) == 200; }, timeout), gateway + " did not come back");
+    require(
+        waitUntil([&] { return world.readyStatus(gateway) == 200; }, timeout), gateway + " didn't become ready again");
 
-    std::this_thread::sleep_for(milliseconds(200)); // logs are written each 100 ms
+    std::this_thread::sleep_for(milliseconds(200)); // logs are written every 100 ms
     std::cout << "took " << std::chrono::duration_cast<seconds>(std::chrono::steady_clock::now() - startedAt).count()
               << " s\n"
               << "logs: " << world.keepFolder() << std::endl;
--- a/tests/request_faults_test.cpp
+++ b/tests/request_faults_test.cpp
@@ -40,7 +40,7 @@
                 },
                 s);
         } },
-    fault_case { "sidecar 0 frozen",
+    fault_case { "sidecar 0 paused",
         [](request_simulation& s) {
             return deliverAndRun([](request_simulation& x) { x.pauseSidecar(0, true); }, s);
         } },
@@ -50,7 +50,7 @@
         [](request_simulation& s) { return deliverAndRun([](request_simulation& x) { x.closeLink(0, 0); }, s); } },
     fault_case { "link silently cut",
         [](request_simulation& s) { return deliverAndRun([](request_simulation& x) { x.cutLink(0, 0, true); }, s); } },
-    fault_case { "target 0 dies",
+    fault_case { "target 0 fails",
         [](request_simulation& s) {
             return deliverAndRun([](request_simulation& x) { x.setMode(0, target_mode::Fails); }, s);
         } },
--- a/tests/soak/caller_pool.hpp
+++ b/tests/soak/caller_pool.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Callers of the soak: some open a connection for each request, some use theirs until it is gone.
+/// @brief Callers of the soak test: some open a connection for each request, others reuse theirs until it closes.
 #pragma once
 
 #include "support/gateway_world.hpp"
@@ -14,7 +14,7 @@
 inline constexpr std::size_t callerThreads = 6;
 inline constexpr std::chrono::milliseconds callerTimeout { 4000 };
 
-/// One request and what its caller got.
+/// One request and its response.
 struct call_record {
     std::string requestId;
     std::string path;
@@ -22,7 +22,7 @@
     std::chrono::steady_clock::time_point receivedAt;
 };
 
-/// Callers that never stop while the soak runs.
+/// @brief Threads that send requests without pause until stopped.
 class caller_pool {
 public:
     caller_pool(gateway_world& world, std::uint64_t seed)
@@ -35,6 +35,7 @@
     caller_pool& operator=(const caller_pool&) = delete;
     ~caller_pool() { stop(); }
 
+    /// @return all calls so far
     std::vector<call_record> stop()
     {
         m_stopping = true;
@@ -60,7 +61,7 @@
             auto response = keepsConnections ? kept.call(gateway, "POST", path, id, callerTimeout)
                                              : m_world.call(gateway, "POST", path, id, callerTimeout);
             if (response.status == 0)
-                std::this_thread::sleep_for(std::chrono::milliseconds(20)); // nobody listens
+                std::this_thread::sleep_for(std::chrono::milliseconds(20)); // no process is listening
             const std::scoped_lock lock(m_mutex);
             m_records.push_back({ id, path, std::move(response), std::chrono::steady_clock::now() });
         }
--- a/tests/soak/check_call.hpp
+++ b/tests/soak/check_call.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What holds for each call of a soak.
+/// @brief Invariants of a single call in a soak test.
 #pragma once
 
 #include "soak/caller_pool.hpp"
@@ -9,7 +9,8 @@
 
 inline std::uint64_t eventCountOf(const std::string& path) { return std::stoull(path.substr(path.rfind('n') + 1)); }
 
-/// @brief Judges a call by what its caller got, and how often targets ran it.
+/// @brief Checks the response to a call.
+/// @param runs how often targets executed the call
 inline void checkCall(const call_record& record, std::size_t runs, violation_log& violations)
 {
     const auto& response = record.response;
@@ -20,18 +21,20 @@
             violations.report(what + " ran " + std::to_string(runs) + " times");
         const bool saysNotRun = response.status == 503 || response.status == 429 || response.status == 408;
         if (saysNotRun && runs > 0)
-            violations.report(what + " was told not to have run, and ran");
+            violations.report(what + " was reported as not run, but ran");
     }
     if (response.status != 200)
         return;
     if (response.stamp.empty())
-        violations.report(what + " bears no target's mark");
+        violations.report(what + " has no server stamp");
     const std::string expected = record.path.starts_with("/stream/")
         ? gateway_world::streamBody(record.path, eventCountOf(record.path))
         : stand_in_fleet::plainBody(record.path);
     const bool isRight = response.isWhole ? response.body == expected : expected.starts_with(response.body);
     if (!isRight)
-        violations.report(what + (response.isWhole ? " looks whole and isn't its own" : " begins with other bytes"));
+        violations.report(what
+            + (response.isWhole ? " is complete, but isn't the response to its request"
+                                : " isn't a prefix of the response to its request"));
 }
 
 } // namespace test_support
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -1,9 +1,8 @@
 /// @file
-/// @brief A randomized soak over real processes: faults from outside in series that overlap, promises checked
-/// meanwhile.
+/// @brief Randomized soak test with real processes: injects overlapping faults and checks the invariants meanwhile.
 ///
-/// soak --seed N [--seconds S] [--gateways G] [--engines E] [--pushback]. Ends 0 when every promise held; else it
-/// prints what broke and leaves the logs.
+/// soak --seed N [--seconds S] [--gateways G] [--engines E] [--pushback]. Exits with 0 if no invariant
+/// was violated, with 1 after a violation (it is printed, and the logs are kept), with 2 after an error.
 #include "soak/check_call.hpp"
 #include "support/limit_promise.hpp"
 
@@ -24,14 +23,15 @@
 using std::chrono::seconds;
 using clock_type = std::chrono::steady_clock;
 
-constexpr seconds recoveryTimeout { 15 }; ///< after the last fault everything works again
-constexpr milliseconds propagationTimeout { 2500 }; ///< after its acknowledgement no read shows an older document
-constexpr seconds shutdownTimeout { 9 }; ///< from SIGTERM to the end of a process
-/// After enough registries are back: an election, and the next heartbeat of a gateway that knows no document.
+constexpr seconds recoveryTimeout { 15 }; ///< from the end of the last fault until all processes serve again
+/// From the acknowledgement of a document until no registry returns an older one.
+constexpr milliseconds propagationTimeout { 2500 };
+constexpr seconds shutdownTimeout { 9 }; ///< from SIGTERM until the process exits
+/// From the return of a quorum: an election, and the next heartbeat of a gateway that has no document.
 constexpr seconds quorumRecoveryTime { 3 };
-constexpr std::uint64_t throttledLinkRate = 150'000; ///< bytes a second: a large document takes a second or two
+constexpr std::uint64_t throttledLinkRate = 150'000; ///< bytes per second; a large document takes 1 to 2 s
 
-/// A fault that is under way, and how it ends.
+/// A fault in progress and the action that ends it.
 struct active_fault {
     clock_type::time_point end;
     std::string description;
@@ -54,7 +54,7 @@
     bool run()
     {
         if (!m_world.start()) {
-            m_violations.report("the system did not start");
+            m_violations.report("the system didn't start");
             return false;
         }
         if (m_seed % 2 == 0)
@@ -81,7 +81,7 @@
 private:
     using fault_action = void (soak_run::*)();
 
-    /// @brief Remembers times in which too few registries are left for a quorum.
+    /// @brief Records periods in which too few registries run for a quorum.
     void recordQuorumOutage()
     {
         const auto& all = m_world.registries();
@@ -95,7 +95,7 @@
         }
     }
 
-    /// @brief Whether a call met a gateway that could know no document: it started while there was no quorum to ask.
+    /// @brief Whether a gateway refused a call because it had started without a quorum to get a document from.
     [[nodiscard]] bool lacksDocument(const call_record& record) const
     {
         if (record.response.status != 503 || record.response.body.find("\"no_configuration\"") == std::string::npos)
@@ -179,12 +179,12 @@
         m_world.signal(name, SIGTERM);
         const auto deadline = clock_type::now() + shutdownTimeout;
         beginFault("stopping " + name, shutdownTimeout, [this, name, deadline] {
-            // The soak may end, and with it this fault, before the process has had its time.
+            // The end of the soak test also ends this fault, possibly before the shutdown timeout.
             const auto left = std::max<clock_type::duration>(deadline - clock_type::now(), milliseconds(0));
             const int status
                 = m_world.waitForExit(name, std::chrono::duration_cast<milliseconds>(left) + milliseconds(500));
             if (status != 0)
-                m_violations.report(name + " did not end in good order after SIGTERM: " + std::to_string(status));
+                m_violations.report(name + " didn't exit cleanly after SIGTERM: status " + std::to_string(status));
             if (status == -1)
                 m_world.killHard(name);
             m_world.startProcess(name);
@@ -204,7 +204,7 @@
         });
     }
 
-    /// Lives that follow each other at once; some seeds' targets keep their ids.
+    /// Restarts a target several times in quick succession; with even seeds, targets keep their ids.
     void restartTarget()
     {
         const std::size_t target = randomTarget();
@@ -217,10 +217,10 @@
             else
                 m_world.fleet().restart(target);
         }
-        std::cout << "! restarted target " << target << (changesAddress ? " elsewhere" : "") << std::endl;
+        std::cout << "! restarted target " << target << (changesAddress ? " at another address" : "") << std::endl;
     }
 
-    /// What another writer may send under a target's id, or a new one.
+    /// Sends malformed records, as another writer may, under the id of a target or a new one.
     void sendMalformedRecords()
     {
         const std::string registry = m_world.registries()[m_random() % m_world.registries().size()];
@@ -233,11 +233,11 @@
                 body = "{\"service\":7,\"state\":[],\"address\":null}";
             const int status = m_world.sendRecord(registry, "PUT", id, body);
             if (status == 200)
-                m_violations.report(registry + " took the record " + body);
+                m_violations.report(registry + " accepted the malformed record " + body);
         }
         if (!m_world.targetState(registry, "i-broken").empty())
-            m_violations.report(registry + " has a target out of a broken record");
-        std::cout << "! wrote broken records to " << registry << std::endl;
+            m_violations.report(registry + " created a target from a malformed record");
+        std::cout << "! sent malformed records to " << registry << std::endl;
     }
 
     void pauseTarget()
@@ -246,7 +246,7 @@
         if (!reserve("target" + std::to_string(target)))
             return;
         m_world.fleet().setFrozen(target, true);
-        beginFault("froze target " + std::to_string(target), randomDuration(), [this, target] {
+        beginFault("paused target " + std::to_string(target), randomDuration(), [this, target] {
             m_world.fleet().setFrozen(target, false);
             m_reserved.erase("target" + std::to_string(target));
         });
@@ -258,13 +258,14 @@
         if (!reserve("target" + std::to_string(target)))
             return;
         m_world.fleet().setFaults(target, { 0.1, 0.1, 0.1, 0.1, 3 });
-        beginFault("spoilt target " + std::to_string(target), randomDuration(), [this, target] {
+        beginFault("faulty responses from target " + std::to_string(target), randomDuration(), [this, target] {
             m_world.fleet().setFaults(target, {});
             m_reserved.erase("target" + std::to_string(target));
         });
     }
 
-    /// Targets ask to be treated otherwise. Draws of its own: the other faults of a seed stay as they are without it.
+    /// Lets a target request a backoff or name a rate limit. Has its own random generator, so that --pushback doesn't
+    /// change the other faults of a seed.
     void pushBack()
     {
         if (m_pushbackRandom() % 4 != 0)
@@ -284,7 +285,7 @@
     void requestBackoff(std::size_t target)
     {
         m_world.fleet().setRest(target, milliseconds(500 + m_pushbackRandom() % 1500));
-        beginFault("target " + std::to_string(target) + " asks for rest", milliseconds(2000), [this, target] {
+        beginFault("target " + std::to_string(target) + " requests a backoff", milliseconds(2000), [this, target] {
             m_world.fleet().setRest(target, std::nullopt);
             m_reserved.erase("pushback" + std::to_string(target));
         });
@@ -294,7 +295,8 @@
     {
         const double perSecond = static_cast<double>(1 + m_pushbackRandom() % 50) / 10;
         m_world.fleet().setLimit(target, perSecond);
-        beginFault("target " + std::to_string(target) + " takes " + std::to_string(perSecond) + " a second",
+        beginFault("target " + std::to_string(target) + " names a limit of " + std::to_string(perSecond)
+                + " requests per second",
             limitSettling + milliseconds(2000 + m_pushbackRandom() % 6000),
             [this, target, perSecond, from = clock_type::now() + limitSettling] {
                 checkLimit(target, perSecond, from);
@@ -307,8 +309,8 @@
     {
         const auto most = mostInWindow(m_world.fleet().arrivalsAt(target), from);
         if (static_cast<double>(most) > allowedUnder(perSecond))
-            m_violations.report("target " + std::to_string(target) + " takes " + std::to_string(perSecond)
-                + " a second and got " + std::to_string(most) + " in 4 s");
+            m_violations.report("target " + std::to_string(target) + " named a limit of " + std::to_string(perSecond)
+                + " requests per second and got " + std::to_string(most) + " in 4 s");
     }
 
     void impairLinks()
@@ -320,7 +322,7 @@
             return;
         const std::size_t mode = m_random() % modes.size();
         m_world.linkRelay(name).setMode(modes[mode]);
-        beginFault("harmed the links of " + name + ", way " + std::to_string(mode), randomDuration(), [this, name] {
+        beginFault("impaired the links of " + name + ", mode " + std::to_string(mode), randomDuration(), [this, name] {
             m_world.linkRelay(name).setMode(relay_mode::Pass);
             m_reserved.erase("link" + name);
         });
@@ -332,7 +334,7 @@
         if (!reserve("link" + name))
             return;
         m_world.linkRelay(name).setRate(throttledLinkRate);
-        beginFault("slowed the links of " + name, randomDuration(), [this, name] {
+        beginFault("throttled the links of " + name, randomDuration(), [this, name] {
             m_world.linkRelay(name).setRate(0);
             m_reserved.erase("link" + name);
         });
@@ -345,8 +347,8 @@
         std::cout << "! reset the links of " << name << std::endl;
     }
 
-    /// One disk at a time, and not again before the members have had time to make the copy good: what survives is
-    /// promised for the loss of one.
+    /// Loses one disk at a time, and the next one only after the other members have had time to restore the copy:
+    /// data is guaranteed to survive the loss of one disk only.
     void loseDisk()
     {
         const std::string name = m_world.registries()[m_random() % m_world.registries().size()];
@@ -376,7 +378,8 @@
             [this](const std::string& name) { return m_world.readVersion(name).has_value(); });
     }
 
-    /// Publishes now and then, and reads: no read may show less than what was acknowledged a while ago.
+    /// Publishes a document or reads the version. No read may return an older version than was acknowledged before the
+    /// propagation timeout.
     void publishOrRead()
     {
         const std::string registry = m_world.registries()[m_random() % m_world.registries().size()];
@@ -386,7 +389,7 @@
             options.extraRoute = "v" + std::to_string(version);
             if (m_random() % 4 == 0) {
                 options.fillers = 500;
-                options.fillerLength = 300; // 100 KB that no compression makes shorter
+                options.fillerLength = 300; // 100 KB even when compressed
             }
             if (m_world.publish(version, registry, options) == 200)
                 m_acknowledged.emplace_back(clock_type::now(), version);
@@ -400,8 +403,8 @@
         }
         const auto read = m_world.readVersion(registry);
         if (read && *read < least)
-            m_violations.report(registry + " reads version " + std::to_string(*read) + " after " + std::to_string(least)
-                + " was acknowledged");
+            m_violations.report(registry + " returned version " + std::to_string(*read) + " after "
+                + std::to_string(least) + " was acknowledged");
     }
 
     void checkRecovery()
@@ -412,7 +415,8 @@
         const auto reads = [&](const std::string& name) { return m_world.readVersion(name).value_or(0) >= newest; };
         for (const auto& name : m_world.registries()) {
             if (!waitUntil([&] { return reads(name); }, recoveryTimeout))
-                m_violations.report(name + " does not read version " + std::to_string(newest) + " after all is well");
+                m_violations.report(
+                    name + " doesn't return version " + std::to_string(newest) + " after all faults have ended");
         }
         std::size_t number = 0;
         const auto serves = [&](const std::string& gateway) {
@@ -422,7 +426,7 @@
         };
         for (const auto& name : m_world.gateways()) {
             if (!waitUntil([&] { return serves(name); }, recoveryTimeout))
-                m_violations.report(name + " does not serve after all is well");
+                m_violations.report(name + " doesn't serve requests after all faults have ended");
         }
     }
 
@@ -443,7 +447,7 @@
                 continue;
             ++withoutDocument;
             if (runs[record.requestId] > 0)
-                m_violations.report(record.requestId + " was told that there is no document, and ran");
+                m_violations.report(record.requestId + " was refused for lack of a document, but ran");
         }
         std::cout << "calls " << records.size();
         for (const auto& [status, count] : statuses)
@@ -462,10 +466,10 @@
     gateway_world m_world;
     violation_log m_violations;
     std::vector<active_fault> m_activeFaults;
-    std::set<std::string> m_reserved; ///< processes and targets that a fault is on
+    std::set<std::string> m_reserved; ///< processes, targets and links with an active fault
     clock_type::time_point m_nextDiskLoss {};
     std::uint64_t m_version = 1;
-    /// Times without a quorum of registries, each until one may have been found again.
+    /// Periods without a quorum of registries, each extended by the recovery time.
     std::vector<std::pair<clock_type::time_point, clock_type::time_point>> m_quorumOutages;
     std::deque<std::pair<clock_type::time_point, std::uint64_t>> m_acknowledged;
 };
@@ -475,12 +479,13 @@
 int main(int argc, char** argv)
 {
     try {
-        TCLAP::CmdLine line("Disturbs real processes at random and checks the promises.", ' ', "1");
-        TCLAP::ValueArg<std::uint64_t> seed("", "seed", "Of the faults and the calls", true, 1, "number", line);
-        TCLAP::ValueArg<unsigned> duration("", "seconds", "Time with faults", false, 15, "number", line);
-        TCLAP::ValueArg<unsigned> gateways("", "gateways", "How many", false, 3, "number", line);
-        TCLAP::ValueArg<unsigned> engines("", "engines", "Layered targets in each domain", false, 4, "number", line);
-        TCLAP::SwitchArg pushback("", "pushback", "Targets also name limits and ask for rest", line);
+        TCLAP::CmdLine line("Injects random faults into real processes and checks the invariants.", ' ', "1");
+        TCLAP::ValueArg<std::uint64_t> seed("", "seed", "Seed of the faults and the calls", true, 1, "number", line);
+        TCLAP::ValueArg<unsigned> duration("", "seconds", "Duration of the faults", false, 15, "number", line);
+        TCLAP::ValueArg<unsigned> gateways("", "gateways", "Number of gateways", false, 3, "number", line);
+        TCLAP::ValueArg<unsigned> engines(
+            "", "engines", "Targets with layers in each failure domain", false, 4, "number", line);
+        TCLAP::SwitchArg pushback("", "pushback", "Targets also name rate limits and request backoffs", line);
         line.parse(argc, argv);
         std::cout << "soak: seed " << seed.getValue() << std::endl;
         const bool held = soak_run(
--- a/tests/soak/violation_log.hpp
+++ b/tests/soak/violation_log.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What a soak finds to be wrong.
+/// @brief Violations that a soak test finds.
 #pragma once
 
 #include <iostream>
@@ -9,7 +9,7 @@
 
 namespace test_support {
 
-/// What is found to be wrong, told once each.
+/// @brief Prints and counts violations. Thread-safe.
 class violation_log {
 public:
     void report(const std::string& what)
--- a/tests/support/invariants.cpp
+++ b/tests/support/invariants.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The checkers.
+/// @brief Checkers of the invariants.
 #include "support/invariants.hpp"
 
 #include <map>
@@ -15,9 +15,11 @@
     std::vector<std::string> violations;
     for (const auto& caller : callers) {
         if (caller.hasResponse && caller.code == result_code::Ok && caller.text != caller.expected)
-            violations.push_back(caller.request + " was answered '" + caller.text + "', not '" + caller.expected + "'");
+            violations.push_back(
+                caller.request + " received the response '" + caller.text + "', expected '" + caller.expected + "'");
         if (!caller.expected.starts_with(caller.text))
-            violations.push_back(caller.request + " was given '" + caller.text + "', which isn't its own answer");
+            violations.push_back(
+                caller.request + " received '" + caller.text + "', which isn't a prefix of its own response");
     }
     return violations;
 }
@@ -31,7 +33,7 @@
     std::vector<std::string> violations;
     for (const auto& caller : callers) {
         if (caller.hasResponse && caller.ran == ran_state::No && ran.contains(caller.request))
-            violations.push_back(caller.request + " was called not run, but ran");
+            violations.push_back(caller.request + " was reported as not run, but was executed");
     }
     return violations;
 }
@@ -46,7 +48,7 @@
     std::vector<std::string> violations;
     for (const auto& [key, count] : runs) {
         if (count > 1)
-            violations.push_back("key " + key + " ran " + std::to_string(count) + " times");
+            violations.push_back("key " + key + " was executed " + std::to_string(count) + " times");
     }
     return violations;
 }
@@ -57,14 +59,14 @@
     std::vector<std::string> violations;
     for (const auto& execution : executions) {
         if (!execution.isStep && !seen.emplace(execution.request, execution.attempt).second)
-            violations.push_back(execution.request + "/" + std::to_string(execution.attempt) + " ran twice");
+            violations.push_back(execution.request + "/" + std::to_string(execution.attempt) + " was executed twice");
     }
     return violations;
 }
 
 std::vector<std::string> checkLayers(const std::vector<execution_record>& executions, std::uint32_t layerCount)
 {
-    // The next (token, layer) that each generation of each request has to run.
+    // The next expected (token, layer) of each generation of each request.
     std::map<std::pair<std::string, std::uint32_t>, std::pair<std::uint32_t, std::uint32_t>> next;
     std::vector<std::string> violations;
     for (const auto& execution : executions) {
@@ -75,7 +77,7 @@
             + std::to_string(execution.token) + " layer " + std::to_string(execution.firstLayer);
         if (execution.token != token || execution.firstLayer != layer)
             violations.push_back(
-                place + " ran where token " + std::to_string(token) + " layer " + std::to_string(layer) + " was next");
+                place + " ran, expected token " + std::to_string(token) + " layer " + std::to_string(layer));
         layer = execution.endLayer;
         if (layer < layerCount)
             continue;
--- a/tests/support/invariants.hpp
+++ b/tests/support/invariants.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief The brief's promises on requests, one checker each. Shared by the worlds in one process and by the tests
-/// over real processes: both judge by what targets executed and what callers were told.
+/// @brief Invariants of requests, with one checker each. Simulations and tests of real processes share them: both
+/// compare what the targets executed with the responses that callers received.
 #pragma once
 
 #include "buckthornrail/core/result_code.hpp"
@@ -11,12 +11,12 @@
 
 namespace test_support {
 
-/// A line of a target's execution log: one run of a request, or one step of a chain.
+/// An entry of a target's execution log: one execution of a request, or one step of a chain.
 struct execution_record {
     std::string target;
-    std::string request; ///< as the entry named it
+    std::string request; ///< id that the entry assigned
     std::uint32_t attempt = 0;
-    std::string key; ///< of a non-idempotent request
+    std::string key; ///< idempotency key; empty: the request is idempotent
     bool isStep = false;
     std::uint32_t generation = 0;
     std::uint32_t token = 0;
@@ -24,28 +24,30 @@
     std::uint32_t endLayer = 0;
 };
 
-/// What a caller saw of one request.
+/// What a caller received for one request.
 struct caller_record {
     std::string request;
     std::string key;
-    bool hasResponse = false; ///< a final answer came
+    bool hasResponse = false; ///< a final response was received
     buckthornrail::result_code code = buckthornrail::result_code::Ok;
     buckthornrail::ran_state ran = buckthornrail::ran_state::No;
     std::string text;
-    std::string expected; ///< the whole answer to this request
+    std::string expected; ///< the complete response to this request
     std::uint32_t generation = 0; ///< chains: the last generation
 };
 
-/// @brief An answer that was called complete is the whole answer to its own request; a part of one is a beginning.
+/// @brief A response that is reported as complete is the whole response to its own request; a partial one is a prefix
+/// of it.
 std::vector<std::string> checkResponses(const std::vector<caller_record>& callers);
-/// @brief A request of which the caller was told that it was not run was not run anywhere.
+/// @brief A request that is reported as not run was not executed by any target.
 std::vector<std::string> checkNotExecuted(
     const std::vector<caller_record>& callers, const std::vector<execution_record>& executions);
-/// @brief A non-idempotent request ran at most once, whoever sent it again.
+/// @brief Each idempotency key was executed at most once, no matter who sent its request again.
 std::vector<std::string> checkKeysRunOnce(const std::vector<execution_record>& executions);
-/// @brief No attempt ran twice.
+/// @brief No attempt was executed twice.
 std::vector<std::string> checkAttempts(const std::vector<execution_record>& executions);
-/// @brief In each generation every layer ran at most once for each token, and in order; a token that came out ran all.
+/// @brief In each generation, every layer ran at most once for each token and in order, and a token ran through all
+/// layers before the next one began.
 std::vector<std::string> checkLayers(const std::vector<execution_record>& executions, std::uint32_t layerCount);
 
 } // namespace test_support
--- a/tests/support/request_simulation.cpp
+++ b/tests/support/request_simulation.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief World of requests.
+/// @brief Simulation of requests: entries, claims and the network.
 #include "support/request_simulation.hpp"
 
 #include "support/token_model.hpp"
@@ -212,7 +212,7 @@
                            return;
                        }
                        const std::size_t chosen = free[m_random() % free.size()];
-                       // Sometimes the entry's knowledge of the incarnation is out of date.
+                       // An entry sometimes knows only an outdated incarnation.
                        const auto known
                            = m_sidecars[chosen].incarnation - (usesStaleIncarnations && m_random() % 8 == 0 ? 1 : 0);
                        open.run.targetChosen({ std::to_string(chosen), known }, m_now);
@@ -296,7 +296,7 @@
     command.retainSeconds = 3600;
     const auto incarnation = m_entries[entry].incarnation;
     schedule(milliseconds(m_random() % 30), [this, entry, request, command, incarnation] {
-        // The command may commit although its answer is lost.
+        // A command whose reply is lost may still commit.
         const bool commits = !m_losesClaims || m_random() % 2 == 0;
         auto result = commits ? m_claims.apply(command) : claim_result {};
         if (disabled == disabled_protection::Claims)
@@ -364,7 +364,7 @@
 {
     const std::size_t entry = channel / channelsPerEntry - 1;
     if (channel != channelOf(entry, sidecar))
-        return; // of a link that has closed
+        return; // the link has closed since
     transmit(entry, sidecar, [this, entry, message] { receive(entry, message); });
 }
 
@@ -392,7 +392,7 @@
                        auto end = one;
                        if (disabled == disabled_protection::Digests) {
                            forEachRun(entry, one.attempt, [&](request_run& run) {
-                               // Claims that whatever has come is the whole answer.
+                               // Makes the received part pass for the complete response.
                                end.frameCount = 0;
                                end.digest = response_digest().value();
                                run.ended(end, m_now);
--- a/tests/support/request_simulation.hpp
+++ b/tests/support/request_simulation.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Entries, sidecars, targets, claims and callers in one process, over a network with faults.
+/// @brief Simulation of entries, sidecars, targets, claims and callers in one process, over a network with faults.
 #pragma once
 
 #include "buckthornrail/dispatch/request_run.hpp"
@@ -16,61 +16,63 @@
 using namespace buckthornrail;
 using namespace buckthornrail::dispatch;
 
-/// How a target treats work from now on.
+/// How a target handles its work.
 enum class target_mode {
     Works,
-    Stalls, ///< begins and never goes on
-    Fails, ///< begins, gives a token and breaks
+    Stalls, ///< sends one token, then nothing more
+    Fails, ///< sends one token, then fails
     Refuses, ///< accepts no connection
 };
 
-/// A protection to take out, so that a test can show that a checker notices.
+/// A protection to disable, to test that a checker detects the violations that follow.
 enum class disabled_protection {
     None,
-    Tombstones, ///< "not started" is said without asking the gate
+    Tombstones, ///< a revocation is answered "not started" without asking the sidecar
     Claims, ///< every claim is granted
-    Incarnations, ///< what was meant for an earlier incarnation is taken
-    Ownership, ///< frames are taken for whatever request they arrive at
-    Digests, ///< an end always says "complete"
+    Incarnations, ///< sidecars accept messages for an earlier incarnation
+    Ownership, ///< an entry also adds each frame to a request that it doesn't belong to
+    Digests, ///< every end passes for that of a complete response
 };
 
 struct simulated_request {
-    std::size_t entry = 0;
+    std::size_t entry = 0; ///< index of the entry that receives it
     std::string prompt;
-    std::string key; ///< not empty: non-idempotent
+    std::string key; ///< idempotency key; empty: the request is idempotent
     std::uint32_t tokens = 4;
     bool streams = false;
     milliseconds timeout { 8000 };
 };
 
-/// @brief The world. Time is virtual; everything is drawn from a seed.
+/// @brief Runs requests in virtual time. All random choices depend on the seed only.
 class request_simulation {
 public:
     request_simulation(std::size_t entries, std::size_t sidecars, std::uint64_t seed);
 
-    /// @return the caller's position in callers()
+    /// @return index of the request's caller in callers()
     std::size_t submit(const simulated_request& request);
-    void run(milliseconds period);
+    void run(milliseconds period); ///< advances the virtual time
 
-    void killSidecar(std::size_t sidecar); ///< it comes back as a new incarnation
-    void pauseSidecar(std::size_t sidecar, bool paused);
-    void killEntry(std::size_t entry); ///< its callers get no answer; it comes back empty
+    void killSidecar(std::size_t sidecar); ///< restarts at once as a new incarnation
+    void pauseSidecar(std::size_t sidecar, bool paused); ///< events are deferred until it resumes
+    void killEntry(std::size_t entry); ///< its callers get no response; it restarts without state
     void closeLink(std::size_t entry, std::size_t sidecar);
-    /// @brief Loses messages in silence until it is mended; then the link closes.
+    /// @brief Drops messages silently while the link is cut; when it is restored, the link closes.
     void cutLink(std::size_t entry, std::size_t sidecar, bool cut);
     void setMode(std::size_t sidecar, target_mode mode);
     void drainSidecar(std::size_t sidecar);
+    /// @brief While set, claims get no reply, and about half of them aren't applied.
     void loseClaims(bool lose) { m_losesClaims = lose; }
-    void publishConfiguration();
-    /// @brief Does something before the next message arrives.
+    void publishConfiguration(); ///< entries receive it up to 300 ms later
+    /// @brief Schedules an action to run before the next message arrives.
     void post(std::function<void()> action) { schedule(milliseconds(0), std::move(action)); }
 
-    /// @brief Called with the number of each message before it is sent; may order a fault, or lose or repeat it.
+    /// @brief How the network handles a message.
     enum class message_action { Deliver, Drop, Duplicate, Delay };
+    /// @brief Called with the number of each message before it is sent; may also inject other faults.
     std::function<message_action(std::size_t number)> onMessage;
 
     disabled_protection disabled = disabled_protection::None;
-    bool usesStaleIncarnations = true; ///< entries sometimes name an earlier incarnation
+    bool usesStaleIncarnations = true; ///< one in eight targets is chosen with an outdated incarnation
 
     [[nodiscard]] std::vector<caller_record> callers() const;
     [[nodiscard]] const std::vector<execution_record>& executions() const { return m_executions; }
@@ -95,7 +97,7 @@
         target_mode mode = target_mode::Works;
         bool paused = false;
         bool draining = false;
-        std::vector<event> deferredEvents; ///< while paused
+        std::vector<event> deferredEvents; ///< run when the sidecar resumes
         std::map<attempt_id, job> jobs;
     };
     struct caller {
@@ -144,12 +146,12 @@
     std::vector<sidecar_node> m_sidecars;
     std::map<std::pair<std::size_t, std::size_t>, link_state> m_links;
     std::vector<caller> m_callers;
-    std::map<std::string, std::string> m_keys; ///< of requests
+    std::map<std::string, std::string> m_keys; ///< by request
     std::vector<execution_record> m_executions;
     claim_table m_claims;
     bool m_losesClaims = false;
     configuration_version m_configuration = 1;
-    std::vector<configuration_version> m_known; ///< by entry
+    std::vector<configuration_version> m_known; ///< newest configuration that each entry has received
     std::size_t m_messages = 0;
     std::uint64_t m_lastRequest = 0;
     std::uint64_t m_lastIncarnation = 0;
--- a/tests/support/request_simulation_sidecars.cpp
+++ b/tests/support/request_simulation_sidecars.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The world's sidecars: what they carry out, and their targets' jobs.
+/// @brief Simulated sidecars: their effects and the jobs of their targets.
 #include "support/request_simulation.hpp"
 
 #include "support/token_model.hpp"
@@ -98,7 +98,7 @@
 void request_simulation::restartSidecar(std::size_t sidecar)
 {
     auto& one = m_sidecars[sidecar];
-    one.incarnation = m_lastIncarnation += 2; // one below it names an earlier incarnation
+    one.incarnation = m_lastIncarnation += 2; // the number below it serves as an outdated incarnation
     gate_options options;
     options.incarnation = one.incarnation;
     options.slots = 2;
