--- a/src/buckthornrail/execution/chain_faults_test.cpp
+++ b/src/buckthornrail/execution/chain_faults_test.cpp
@@ -13,10 +13,10 @@
 
 using namespace buckthornrail;
 using namespace buckthornrail::execution;
-using test_support::answerTo;
 using test_support::caller_record;
 using test_support::execution_record;
 using test_support::nextToken;
+using test_support::responseTo;
 
 namespace {
 
@@ -58,7 +58,7 @@
         m_run = std::make_unique<chain_run>(request, chain_run_options {});
         m_record = {};
         m_record.request = "r1";
-        m_record.expected = answerTo("prompt", tokens);
+        m_record.expected = responseTo("prompt", tokens);
         m_run->start(m_now);
         drive();
         const steady_time end = m_now + std::chrono::seconds(70);
--- a/tests/gateway_process_test.cpp
+++ b/tests/gateway_process_test.cpp
@@ -84,7 +84,7 @@
         // A member of a chain in the failure domain of the first gateway.
         const std::size_t victim = world.engines()[silent ? 5 : 1];
         if (silent)
-            world.fleet().setFrozen(victim, true);
+            world.fleet().setUnresponsive(victim, true);
         else
             world.fleet().kill(victim);
         for (auto& caller : callers)
@@ -275,7 +275,7 @@
     const std::size_t dead = world.plainTargets()[1];
     const std::string leader = world.leader();
     world.fleet().setAnnouncing(unannounced, false);
-    world.fleet().setFrozen(dead, true);
+    world.fleet().setUnresponsive(dead, true);
     CHECK(waitUntil([&] { return world.targetState(leader, world.fleet().idOf(dead)) == "lost"; }, waitTimeout));
     std::this_thread::sleep_for(seconds(2));
     CHECK(world.targetState(leader, world.fleet().idOf(unannounced)) == "ready");
--- a/tests/incident_rest_test.cpp
+++ b/tests/incident_rest_test.cpp
@@ -40,7 +40,7 @@
 /// @return requests that arrived at a target during the backoff that it asked for, from its first refusal on
 std::ptrdiff_t requestsDuringBackoff(gateway_world& world, std::size_t target)
 {
-    const auto refusedAt = world.fleet().restAskedAt(target);
+    const auto refusedAt = world.fleet().firstRefusalAt(target);
     REQUIRE(refusedAt);
     return requestsBetween(world, target, *refusedAt + inFlightTime, *refusedAt + retryAfter);
 }
@@ -66,10 +66,10 @@
     busy_callers callers(world, method, path);
     std::this_thread::sleep_for(seconds(1));
     const auto target = std::string(path) == "/safe/x" ? world.plainTargets().front() : busiestFirst(world);
-    world.fleet().setRest(target, retryAfter);
-    REQUIRE(waitUntil([&] { return world.fleet().restAskedAt(target).has_value(); }, waitTimeout));
+    world.fleet().setRetryAfter(target, retryAfter);
+    REQUIRE(waitUntil([&] { return world.fleet().firstRefusalAt(target).has_value(); }, waitTimeout));
     std::this_thread::sleep_for(retryAfter - milliseconds(100));
-    world.fleet().setRest(target, std::nullopt);
+    world.fleet().setRetryAfter(target, std::nullopt);
     const auto backoffEnd = clock_type::now() + milliseconds(200);
     std::this_thread::sleep_for(seconds(2));
     callers.stop();
@@ -96,8 +96,8 @@
         });
     }
     std::this_thread::sleep_for(milliseconds(200));
-    world.fleet().setRest(target, retryAfter);
-    REQUIRE(waitUntil([&] { return world.fleet().restAskedAt(target).has_value(); }, waitTimeout));
+    world.fleet().setRetryAfter(target, retryAfter);
+    REQUIRE(waitUntil([&] { return world.fleet().firstRefusalAt(target).has_value(); }, waitTimeout));
     std::this_thread::sleep_for(retryAfter);
     callers.stop();
     for (auto& stream : streams)
@@ -111,7 +111,7 @@
     gateway_world world(1);
     REQUIRE(world.start());
     for (const auto target : world.plainTargets())
-        world.fleet().setRest(target, retryAfter);
+        world.fleet().setRetryAfter(target, retryAfter);
     const auto startedAt = clock_type::now();
     busy_callers callers(world, "GET", "/safe/x");
     std::this_thread::sleep_for(retryAfter);
@@ -133,15 +133,15 @@
     REQUIRE(world.start());
     const auto target = world.engines().front();
     world.fleet().restart(target);
-    world.fleet().setRest(target, retryAfter);
-    REQUIRE(waitUntil([&] { return world.fleet().restAskedAt(target).has_value(); }, waitTimeout));
-    const auto refusedAt = *world.fleet().restAskedAt(target);
+    world.fleet().setRetryAfter(target, retryAfter);
+    REQUIRE(waitUntil([&] { return world.fleet().firstRefusalAt(target).has_value(); }, waitTimeout));
+    const auto refusedAt = *world.fleet().firstRefusalAt(target);
     std::this_thread::sleep_until(refusedAt + retryAfter);
     const auto calls = countBetween(
-        world.fleet().callsAt(target), [](const auto at) { return at; }, refusedAt + inFlightTime,
+        world.fleet().controlCallsAt(target), [](const auto at) { return at; }, refusedAt + inFlightTime,
         refusedAt + retryAfter);
     checkAtMost(world, calls, maxDuringBackoff);
-    world.fleet().setRest(target, std::nullopt);
+    world.fleet().setRetryAfter(target, std::nullopt);
     CHECK(waitUntil([&] { return world.fleet().hasChain("d1"); }, waitTimeout));
     CHECK(world.targetState(world.leader(), world.fleet().idOf(target)) == "ready");
 }
@@ -156,7 +156,7 @@
     busy_callers callers(world, method, path);
     std::this_thread::sleep_for(seconds(1));
     const auto target = std::string(path) == "/safe/x" ? world.plainTargets().front() : busiestFirst(world);
-    world.fleet().setSaysLeaving(target, true);
+    world.fleet().setReportsLeaving(target, true);
     const auto announcedAt = clock_type::now();
     std::this_thread::sleep_for(drainTime + seconds(3));
     callers.stop();
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -244,9 +244,9 @@
         const std::size_t target = anyTarget();
         if (!claim("target" + std::to_string(target)))
             return;
-        m_world.fleet().setFrozen(target, true);
+        m_world.fleet().setUnresponsive(target, true);
         begin("froze target " + std::to_string(target), anyTime(), [this, target] {
-            m_world.fleet().setFrozen(target, false);
+            m_world.fleet().setUnresponsive(target, false);
             m_claimed.erase("target" + std::to_string(target));
         });
     }
@@ -282,9 +282,9 @@
 
     void rest(std::size_t target)
     {
-        m_world.fleet().setRest(target, milliseconds(500 + m_pushbackRandom() % 1500));
+        m_world.fleet().setRetryAfter(target, milliseconds(500 + m_pushbackRandom() % 1500));
         begin("target " + std::to_string(target) + " asks for rest", milliseconds(2000), [this, target] {
-            m_world.fleet().setRest(target, std::nullopt);
+            m_world.fleet().setRetryAfter(target, std::nullopt);
             m_claimed.erase("pushback" + std::to_string(target));
         });
     }
--- a/tests/support/child_process.cpp
+++ b/tests/support/child_process.cpp
@@ -23,12 +23,12 @@
 std::string freeAddress(const std::string& ip)
 {
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
-    const int isReused = 1;
+    const int reuseAddress = 1;
     sockaddr_in address {};
     address.sin_family = AF_INET;
     ::inet_pton(AF_INET, ip.c_str(), &address.sin_addr);
     socklen_t size = sizeof address;
-    const bool isBound = ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &isReused, sizeof isReused) == 0
+    const bool isBound = ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &reuseAddress, sizeof reuseAddress) == 0
         && ::bind(fd, reinterpret_cast<sockaddr*>(&address), size) == 0
         && ::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size) == 0;
     if (!isBound)
@@ -61,17 +61,17 @@
     return pid;
 }
 
-int waitForProcess(pid_t pid, std::chrono::milliseconds patience)
+int waitForProcess(pid_t pid, std::chrono::milliseconds timeout)
 {
     int status = 0;
-    if (!waitUntil([&] { return ::waitpid(pid, &status, WNOHANG) == pid; }, patience))
+    if (!waitUntil([&] { return ::waitpid(pid, &status, WNOHANG) == pid; }, timeout))
         return -1;
     return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
 }
 
-bool waitUntil(const std::function<bool()>& condition, std::chrono::milliseconds patience)
+bool waitUntil(const std::function<bool()>& condition, std::chrono::milliseconds timeout)
 {
-    const auto deadline = std::chrono::steady_clock::now() + patience;
+    const auto deadline = std::chrono::steady_clock::now() + timeout;
     while (!condition()) {
         if (std::chrono::steady_clock::now() >= deadline)
             return false;
--- a/tests/support/child_process.hpp
+++ b/tests/support/child_process.hpp
@@ -21,10 +21,10 @@
 pid_t spawnProcess(const std::vector<std::string>& command, const std::string& log);
 
 /// @return the exit status, -1 when it didn't end in time, -signal when a signal ended it
-int waitForProcess(pid_t pid, std::chrono::milliseconds patience);
+int waitForProcess(pid_t pid, std::chrono::milliseconds timeout);
 
 /// @brief Polls until a condition holds. @return false when it did not in time
-bool waitUntil(const std::function<bool()>& condition, std::chrono::milliseconds patience);
+bool waitUntil(const std::function<bool()>& condition, std::chrono::milliseconds timeout);
 
 /// @brief A whole file; empty when there is none.
 std::string readFile(const std::string& file);
--- a/tests/support/failing_device.hpp
+++ b/tests/support/failing_device.hpp
@@ -40,9 +40,10 @@
     tl::expected<void, failure> replaceSynced(const std::string& name, const std::string& bytes) override
     {
         // The half-written file is the new one beside it: the old one stands until the rename.
-        const bool torn = isDue() && (fault == device_fault::CrashHalfWritten || fault == device_fault::DiskFull);
-        if (torn) {
-            down = true;
+        const bool isHalfWritten
+            = isFaultDue() && (fault == device_fault::CrashHalfWritten || fault == device_fault::DiskFull);
+        if (isHalfWritten) {
+            isCrashed = true;
             return error();
         }
         return write(name, "", bytes);
@@ -51,15 +52,15 @@
     /// @brief The machine comes up again with what lasted.
     void restart()
     {
-        down = false;
+        isCrashed = false;
         fault = device_fault::None;
     }
 
     std::map<std::string, std::string> files;
-    bool down = false;
+    bool isCrashed = false;
 
 private:
-    [[nodiscard]] bool isDue() const { return fault != device_fault::None && writesUntilFault == 0; }
+    [[nodiscard]] bool isFaultDue() const { return fault != device_fault::None && writesUntilFault == 0; }
 
     static tl::unexpected<failure> error()
     {
@@ -68,15 +69,15 @@
 
     tl::expected<void, failure> write(const std::string& name, const std::string& before, const std::string& bytes)
     {
-        if (down)
+        if (isCrashed)
             return error();
         const std::string old = before;
-        if (!isDue()) {
+        if (!isFaultDue()) {
             --writesUntilFault;
             files[name] = old + bytes;
             return {};
         }
-        down = true;
+        isCrashed = true;
         if (fault == device_fault::CrashHalfWritten || fault == device_fault::DiskFull)
             files[name] = old + bytes.substr(0, bytes.size() / 2);
         if (fault == device_fault::CrashAfterSync)
--- a/tests/support/request_world.cpp
+++ b/tests/support/request_world.cpp
@@ -34,7 +34,7 @@
     caller one;
     one.record.request = id;
     one.record.key = request.key;
-    one.record.expected = answerTo(request.prompt, request.tokens);
+    one.record.expected = responseTo(request.prompt, request.tokens);
     one.prompt = request.prompt;
     one.tokens = request.tokens;
     m_callers.push_back(one);
--- a/tests/support/stand_in_fleet.cpp
+++ b/tests/support/stand_in_fleet.cpp
@@ -5,31 +5,31 @@
 namespace test_support {
 namespace {
 
-constexpr milliseconds heartbeatPeriod { 200 };
-constexpr milliseconds heartbeatPatience { 500 };
+constexpr milliseconds heartbeatInterval { 200 };
+constexpr milliseconds heartbeatTimeout { 500 };
 
 } // namespace
 
 void stand_in_fleet::implementation::start(target& one)
 {
-    one.life = ++lives;
+    one.incarnation = ++lastIncarnation;
     if (!keepsIds || one.id.empty())
-        one.id = "i-" + std::to_string(one.number) + "-" + std::to_string(one.life);
+        one.id = "i-" + std::to_string(one.number) + "-" + std::to_string(one.incarnation);
     const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
     const auto nowMs = static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(sinceEpoch).count());
     one.startedMs = keepsIds ? std::max(one.startedMs + 1, nowMs) : 0;
-    one.first = one.end = 0;
-    one.sequence = one.orders = one.fence = 0;
+    one.firstLayer = one.endLayer = 0;
+    one.heartbeatSequence = one.revision = one.fencingToken = 0;
     one.isUp = true;
-    one.isFrozen = one.isDraining = one.drainAcknowledged = one.isBusy = false;
+    one.isUnresponsive = one.isDraining = one.isDrainAcknowledged = one.isLoading = false;
     one.listener = std::make_unique<net::tcp_listener>(loop, [this, &one](net::channel_pointer channel) {
         auto opened = std::make_shared<target_session>(*this, one, std::move(channel));
         one.sessions.insert(opened);
         opened->begin();
     });
     one.listener->listen(one.address);
-    beat(one);
-    scheduleBeat(one.number, one.life);
+    sendHeartbeat(one);
+    scheduleHeartbeat(one.number, one.incarnation);
 }
 
 void stand_in_fleet::implementation::stop(target& one)
@@ -43,60 +43,60 @@
 
 void stand_in_fleet::implementation::crash(target& one, const std::string& requestId, const std::string& path)
 {
-    if (std::exchange(one.crashedLife, one.life) == one.life)
+    if (std::exchange(one.crashedIncarnation, one.incarnation) == one.incarnation)
         return; // two copies of the request at one target end it once
     crashes.push_back({ requestId, path, one.id });
     // After the session that asks for it has returned: it ends with the target.
-    loop.post([this, &one, life = one.life] {
-        if (isEnding || one.life != life)
+    loop.post([this, &one, incarnation = one.incarnation] {
+        if (isEnding || one.incarnation != incarnation)
             return;
         stop(one);
-        loop.runAt(now() + restartAfter, [this, &one, life] {
-            if (!isEnding && one.life == life && !one.isUp)
+        loop.runAt(now() + restartDelay, [this, &one, incarnation] {
+            if (!isEnding && one.incarnation == incarnation && !one.isUp)
                 start(one);
         });
     });
 }
 
-void stand_in_fleet::implementation::scheduleBeat(std::size_t number, std::size_t life)
+void stand_in_fleet::implementation::scheduleHeartbeat(std::size_t number, std::size_t incarnation)
 {
-    loop.runAt(now() + heartbeatPeriod, [this, number, life] {
+    loop.runAt(now() + heartbeatInterval, [this, number, incarnation] {
         auto& one = *targets[number];
-        if (isEnding || one.life != life || !one.isUp)
+        if (isEnding || one.incarnation != incarnation || !one.isUp)
             return;
-        beat(one);
-        scheduleBeat(number, life);
+        sendHeartbeat(one);
+        scheduleHeartbeat(number, incarnation);
     });
 }
 
 json stand_in_fleet::implementation::announcement(const target& one)
 {
     json body { { "service", one.service }, { "address", one.address }, { "zone", one.domain }, { "slots", 192 },
-        { "state", one.isDraining ? "draining" : "ready" }, { "seq", one.sequence } };
+        { "state", one.isDraining ? "draining" : "ready" }, { "seq", one.heartbeatSequence } };
     if (one.startedMs > 0)
         body["born"] = one.startedMs;
     if (!one.accelerator.empty())
         body["kind"] = one.accelerator;
-    if (one.end > 0)
-        body["layers"] = { { "from", one.first }, { "target", one.end } };
+    if (one.endLayer > 0)
+        body["layers"] = { { "from", one.firstLayer }, { "target", one.endLayer } };
     return body;
 }
 
-void stand_in_fleet::implementation::beat(target& one)
+void stand_in_fleet::implementation::sendHeartbeat(target& one)
 {
-    if (one.isFrozen || !one.announces)
+    if (one.isUnresponsive || !one.announces)
         return;
-    ++one.sequence;
+    ++one.heartbeatSequence;
     const std::string body = announcement(one).dump();
-    const std::string& control = controls[(one.sequence + one.number) % controls.size()];
+    const std::string& control = controls[(one.heartbeatSequence + one.number) % controls.size()];
     net::http_call::start(loop, control, { { "PUT", "/instances/" + one.id, { { "Host", "control" } } }, body },
-        now() + heartbeatPatience,
-        [this, number = one.number, life = one.life, wasDraining = one.isDraining](
+        now() + heartbeatTimeout,
+        [this, number = one.number, incarnation = one.incarnation, wasDraining = one.isDraining](
             net::call_outcome outcome, const net::whole_response& response) {
             auto& same = *targets[number];
             const bool isAcknowledged = outcome == net::call_outcome::Answered && response.head.status == 200;
-            if (same.life == life && wasDraining && isAcknowledged)
-                same.drainAcknowledged = true;
+            if (same.incarnation == incarnation && wasDraining && isAcknowledged)
+                same.isDrainAcknowledged = true;
         });
 }
 
@@ -107,40 +107,40 @@
 
 stand_in_fleet::~stand_in_fleet()
 {
-    auto& own = *m_implementation;
-    own.ask([&own] {
-        own.isEnding = true;
-        for (auto& one : own.targets)
-            own.stop(*one);
+    auto& fleet = *m_implementation;
+    fleet.runOnLoop([&fleet] {
+        fleet.isEnding = true;
+        for (auto& one : fleet.targets)
+            fleet.stop(*one);
     });
-    own.loop.post([&own] { own.loop.stop(); });
-    own.thread.join();
+    fleet.loop.post([&fleet] { fleet.loop.stop(); });
+    fleet.thread.join();
 }
 
 std::size_t stand_in_fleet::add(const std::string& service, const std::string& domain, const std::string& accelerator)
 {
-    auto& own = *m_implementation;
-    return own.ask([&] {
+    auto& fleet = *m_implementation;
+    return fleet.runOnLoop([&] {
         auto one = std::make_unique<implementation::target>();
-        one->number = own.targets.size();
+        one->number = fleet.targets.size();
         one->service = service;
         one->domain = domain;
         one->accelerator = accelerator;
         one->address = freeAddress();
-        own.targets.push_back(std::move(one));
-        own.start(*own.targets.back());
-        return own.targets.size() - 1;
+        fleet.targets.push_back(std::move(one));
+        fleet.start(*fleet.targets.back());
+        return fleet.targets.size() - 1;
     });
 }
 
 void stand_in_fleet::kill(std::size_t target)
 {
-    m_implementation->ask([&] { m_implementation->stop(*m_implementation->targets.at(target)); });
+    m_implementation->runOnLoop([&] { m_implementation->stop(*m_implementation->targets.at(target)); });
 }
 
 void stand_in_fleet::restart(std::size_t target)
 {
-    m_implementation->ask([&] {
+    m_implementation->runOnLoop([&] {
         auto& one = *m_implementation->targets.at(target);
         if (one.isUp)
             m_implementation->stop(one);
@@ -150,7 +150,7 @@
 
 void stand_in_fleet::restartElsewhere(std::size_t target)
 {
-    m_implementation->ask([&] {
+    m_implementation->runOnLoop([&] {
         auto& one = *m_implementation->targets.at(target);
         if (one.isUp)
             m_implementation->stop(one);
@@ -161,75 +161,75 @@
 
 void stand_in_fleet::keepIds()
 {
-    m_implementation->ask([&] { m_implementation->keepsIds = true; });
+    m_implementation->runOnLoop([&] { m_implementation->keepsIds = true; });
 }
 
 std::string stand_in_fleet::announcementOf(std::size_t target) const
 {
-    return m_implementation->ask(
+    return m_implementation->runOnLoop(
         [&] { return implementation::announcement(*m_implementation->targets.at(target)).dump(); });
 }
 
-void stand_in_fleet::setFrozen(std::size_t target, bool frozen)
+void stand_in_fleet::setUnresponsive(std::size_t target, bool unresponsive)
 {
-    m_implementation->ask([&] { m_implementation->targets.at(target)->isFrozen = frozen; });
+    m_implementation->runOnLoop([&] { m_implementation->targets.at(target)->isUnresponsive = unresponsive; });
 }
 
 void stand_in_fleet::drain(std::size_t target)
 {
-    m_implementation->ask([&] {
+    m_implementation->runOnLoop([&] {
         auto& one = *m_implementation->targets.at(target);
         one.isDraining = true;
-        m_implementation->beat(one);
+        m_implementation->sendHeartbeat(one);
     });
 }
 
 void stand_in_fleet::setAnnouncing(std::size_t target, bool announces)
 {
-    m_implementation->ask([&] { m_implementation->targets.at(target)->announces = announces; });
+    m_implementation->runOnLoop([&] { m_implementation->targets.at(target)->announces = announces; });
 }
 
 std::string stand_in_fleet::idOf(std::size_t target) const
 {
-    return m_implementation->ask([&] { return m_implementation->targets.at(target)->id; });
+    return m_implementation->runOnLoop([&] { return m_implementation->targets.at(target)->id; });
 }
 
 void stand_in_fleet::setFaults(std::size_t target, const target_faults& faults)
 {
-    m_implementation->ask([&] { m_implementation->targets.at(target)->faults = faults; });
+    m_implementation->runOnLoop([&] { m_implementation->targets.at(target)->faults = faults; });
 }
 
-void stand_in_fleet::setRest(std::size_t target, std::optional<std::chrono::milliseconds> rest)
+void stand_in_fleet::setRetryAfter(std::size_t target, std::optional<std::chrono::milliseconds> retryAfter)
 {
-    m_implementation->ask([&] {
-        m_implementation->targets.at(target)->rest = rest;
-        m_implementation->targets.at(target)->restAskedAt.reset();
+    m_implementation->runOnLoop([&] {
+        m_implementation->targets.at(target)->retryAfter = retryAfter;
+        m_implementation->targets.at(target)->firstRefusalAt.reset();
     });
 }
 
-void stand_in_fleet::setSaysLeaving(std::size_t target, bool says)
+void stand_in_fleet::setReportsLeaving(std::size_t target, bool reports)
 {
-    m_implementation->ask([&] { m_implementation->targets.at(target)->saysLeaving = says; });
+    m_implementation->runOnLoop([&] { m_implementation->targets.at(target)->reportsLeaving = reports; });
 }
 
-std::vector<std::chrono::steady_clock::time_point> stand_in_fleet::callsAt(std::size_t target) const
+std::vector<std::chrono::steady_clock::time_point> stand_in_fleet::controlCallsAt(std::size_t target) const
 {
-    return m_implementation->ask([&] { return m_implementation->targets.at(target)->calls; });
+    return m_implementation->runOnLoop([&] { return m_implementation->targets.at(target)->controlCalls; });
 }
 
-std::optional<std::chrono::steady_clock::time_point> stand_in_fleet::restAskedAt(std::size_t target) const
+std::optional<std::chrono::steady_clock::time_point> stand_in_fleet::firstRefusalAt(std::size_t target) const
 {
-    return m_implementation->ask([&] { return m_implementation->targets.at(target)->restAskedAt; });
+    return m_implementation->runOnLoop([&] { return m_implementation->targets.at(target)->firstRefusalAt; });
 }
 
 void stand_in_fleet::setLimit(std::size_t target, std::optional<double> perSecond)
 {
-    m_implementation->ask([&] { m_implementation->targets.at(target)->limit = perSecond; });
+    m_implementation->runOnLoop([&] { m_implementation->targets.at(target)->limit = perSecond; });
 }
 
 std::vector<std::string> stand_in_fleet::arrivals() const
 {
-    return m_implementation->ask([this] {
+    return m_implementation->runOnLoop([this] {
         std::vector<std::string> ids;
         for (const auto& one : m_implementation->arrivals)
             ids.push_back(one.requestId);
@@ -239,7 +239,7 @@
 
 std::vector<fleet_arrival> stand_in_fleet::arrivalsAt(std::size_t target) const
 {
-    return m_implementation->ask([&] {
+    return m_implementation->runOnLoop([&] {
         std::vector<fleet_arrival> found;
         for (const auto& one : m_implementation->arrivals) {
             if (one.target == m_implementation->targets.at(target)->id)
@@ -251,20 +251,20 @@
 
 std::vector<fleet_run> stand_in_fleet::runs() const
 {
-    return m_implementation->ask([this] { return m_implementation->runs; });
+    return m_implementation->runOnLoop([this] { return m_implementation->runs; });
 }
 
 std::vector<fleet_crash> stand_in_fleet::crashes() const
 {
-    return m_implementation->ask([this] { return m_implementation->crashes; });
+    return m_implementation->runOnLoop([this] { return m_implementation->crashes; });
 }
 
 bool stand_in_fleet::hasChain(const std::string& domain) const
 {
-    return m_implementation->ask([&] {
+    return m_implementation->runOnLoop([&] {
         std::set<std::uint32_t> held;
         for (const auto& one : m_implementation->targets) {
-            for (auto layer = one->first; one->isUp && one->domain == domain && layer < one->end; ++layer)
+            for (auto layer = one->firstLayer; one->isUp && one->domain == domain && layer < one->endLayer; ++layer)
                 held.insert(layer);
         }
         return held.size() == layers;
@@ -273,7 +273,7 @@
 
 bool stand_in_fleet::isDrainAcknowledged(std::size_t target) const
 {
-    return m_implementation->ask([&] { return m_implementation->targets.at(target)->drainAcknowledged; });
+    return m_implementation->runOnLoop([&] { return m_implementation->targets.at(target)->isDrainAcknowledged; });
 }
 
 std::string stand_in_fleet::plainBody(const std::string& path) { return "answer to " + path; }
--- a/tests/support/stand_in_fleet.hpp
+++ b/tests/support/stand_in_fleet.hpp
@@ -16,11 +16,11 @@
 
 /// Faults that a target shows until told otherwise.
 struct target_faults {
-    double failShare = 0; ///< of requests answered with status 500
-    double cutShare = 0; ///< of requests whose answer breaks off
-    double garbleShare = 0; ///< of requests answered with another request's id
-    double refuseShare = 0; ///< of requests refused truthfully
-    int slowFactor = 1; ///< times the time between events
+    double failureRate = 0; ///< of requests answered with status 500
+    double truncationRate = 0; ///< of requests whose answer breaks off
+    double wrongIdRate = 0; ///< of requests answered with another request's id
+    double refusalRate = 0; ///< of requests refused truthfully
+    int slowdownFactor = 1; ///< times the time between events
 };
 
 /// One run of a request at a target, as the target saw it.
@@ -29,7 +29,7 @@
     std::string target;
     std::string path;
     std::string workspace;
-    bool wasWhole = false; ///< its answer went out to the end
+    bool isComplete = false; ///< its answer went out to the end
 };
 
 /// A request's arrival at a target that takes it first.
@@ -68,7 +68,7 @@
     /// @brief What a target would announce now.
     [[nodiscard]] std::string announcementOf(std::size_t target) const;
     /// @brief Silent in all directions, though connections stand.
-    void setFrozen(std::size_t target, bool frozen);
+    void setUnresponsive(std::size_t target, bool unresponsive);
     /// @brief Says that it leaves, and takes nothing new from then on.
     void drain(std::size_t target);
     /// @brief Whether it announces itself any more; it serves all the same.
@@ -76,9 +76,9 @@
     [[nodiscard]] std::string idOf(std::size_t target) const;
     void setFaults(std::size_t target, const target_faults& faults);
     /// @brief A target turns everything away, also questions and orders, and asks for rest for so long each time.
-    void setRest(std::size_t target, std::optional<std::chrono::milliseconds> rest);
+    void setRetryAfter(std::size_t target, std::optional<std::chrono::milliseconds> retryAfter);
     /// @brief A target says in its answers that it leaves; it announces itself as ready, and serves, all the same.
-    void setSaysLeaving(std::size_t target, bool says);
+    void setReportsLeaving(std::size_t target, bool reports);
     /// @brief A target names in its answers how many requests a second it takes; it takes more all the same.
     void setLimit(std::size_t target, std::optional<double> perSecond);
 
@@ -91,9 +91,9 @@
     /// @brief The same for one target, with times.
     [[nodiscard]] std::vector<fleet_arrival> arrivalsAt(std::size_t target) const;
     /// @brief When questions and orders came to a target.
-    [[nodiscard]] std::vector<std::chrono::steady_clock::time_point> callsAt(std::size_t target) const;
+    [[nodiscard]] std::vector<std::chrono::steady_clock::time_point> controlCallsAt(std::size_t target) const;
     /// @brief When a target first turned something away since it rests; nothing: it hasn't.
-    [[nodiscard]] std::optional<std::chrono::steady_clock::time_point> restAskedAt(std::size_t target) const;
+    [[nodiscard]] std::optional<std::chrono::steady_clock::time_point> firstRefusalAt(std::size_t target) const;
     /// @brief Layers held by living engines of a domain, without gap from 0 to the end.
     [[nodiscard]] bool hasChain(const std::string& domain) const;
     /// @brief Targets that a controller has acknowledged as draining.
--- a/tests/support/stand_in_session.hpp
+++ b/tests/support/stand_in_session.hpp
@@ -20,38 +20,38 @@
 using namespace buckthornrail;
 using nlohmann::json;
 
-inline constexpr milliseconds eventPeriod { 8 };
-inline constexpr milliseconds plainWork { 5 };
-inline constexpr milliseconds stallTime {
+inline constexpr milliseconds eventInterval { 8 };
+inline constexpr milliseconds plainResponseTime { 5 };
+inline constexpr milliseconds stallTimeout {
     700
 }; ///< a stream whose member is gone stands still so long, then breaks off
 inline constexpr milliseconds loadTime { 30 };
 /// A request that ends its target has come: its prompt is read first.
-inline constexpr milliseconds crashAfter { 100 };
-inline constexpr milliseconds restartAfter { 600 }; ///< a target that crashed is gone
-inline constexpr std::string_view crashMark = "/crash";
+inline constexpr milliseconds crashDelay { 100 };
+inline constexpr milliseconds restartDelay { 600 }; ///< a target that crashed is gone
+inline constexpr std::string_view crashMarker = "/crash";
 
 inline steady_time now() { return buckthornrail::boot_clock::now(); }
 
-inline std::uint64_t numberAfter(std::string_view text, std::string_view mark, std::uint64_t otherwise)
+inline std::uint64_t numberAfter(std::string_view text, std::string_view marker, std::uint64_t fallback)
 {
-    const auto at = text.find(mark);
+    const auto at = text.find(marker);
     if (at == std::string_view::npos)
-        return otherwise;
-    std::uint64_t number = otherwise;
-    std::from_chars(text.data() + at + mark.size(), text.data() + text.size(), number);
+        return fallback;
+    std::uint64_t number = fallback;
+    std::from_chars(text.data() + at + marker.size(), text.data() + text.size(), number);
     return number;
 }
 
-struct part_of_path {
+struct path_part {
     std::string address;
     std::uint32_t first = 0;
     std::uint32_t end = 0;
 };
 
-inline std::vector<part_of_path> readPath(std::string_view text)
+inline std::vector<path_part> parsePath(std::string_view text)
 {
-    std::vector<part_of_path> parts;
+    std::vector<path_part> parts;
     while (!text.empty()) {
         const auto comma = text.find(',');
         const std::string part(text.substr(0, comma));
@@ -67,30 +67,30 @@
     struct target {
         std::size_t number = 0;
         std::string id;
-        std::size_t life = 0; ///< tells lives apart that have the same id
-        std::size_t crashedLife = 0; ///< the last one that a request has ended
+        std::size_t incarnation = 0; ///< tells lives apart that have the same id
+        std::size_t crashedIncarnation = 0; ///< the last one that a request has ended
         std::uint64_t startedMs = 0; ///< told only by targets that keep their ids
         std::string service;
         std::string domain;
         std::string accelerator;
         std::string address;
-        std::uint32_t first = 0;
-        std::uint32_t end = 0;
-        std::uint64_t sequence = 0;
-        std::uint64_t orders = 0;
-        std::uint64_t fence = 0;
+        std::uint32_t firstLayer = 0;
+        std::uint32_t endLayer = 0; ///< one past the last; 0: nothing is loaded
+        std::uint64_t heartbeatSequence = 0;
+        std::uint64_t revision = 0;
+        std::uint64_t fencingToken = 0;
         bool isUp = false;
-        bool isFrozen = false;
+        bool isUnresponsive = false;
         bool announces = true;
         bool isDraining = false;
-        bool drainAcknowledged = false;
-        bool isBusy = false;
+        bool isDrainAcknowledged = false;
+        bool isLoading = false;
         target_faults faults;
         std::optional<double> limit; ///< requests a second that it names
-        std::optional<milliseconds> rest;
-        std::optional<std::chrono::steady_clock::time_point> restAskedAt;
-        bool saysLeaving = false;
-        std::vector<std::chrono::steady_clock::time_point> calls; ///< questions and orders
+        std::optional<milliseconds> retryAfter;
+        std::optional<std::chrono::steady_clock::time_point> firstRefusalAt;
+        bool reportsLeaving = false;
+        std::vector<std::chrono::steady_clock::time_point> controlCalls; ///< questions and orders
         std::unique_ptr<net::tcp_listener> listener;
         std::set<std::shared_ptr<class target_session>> sessions;
         std::map<std::string, std::string> stalled; ///< address at fault by request id
@@ -102,7 +102,7 @@
         thread = std::thread([this] { loop.run(); });
     }
 
-    template <typename Function> auto ask(Function function)
+    template <typename Function> auto runOnLoop(Function function)
     {
         using result = decltype(function());
         std::promise<result> promise;
@@ -121,8 +121,8 @@
     void stop(target& one);
     /// Ends a target under a request; it starts again after a while.
     void crash(target& one, const std::string& requestId, const std::string& path);
-    void scheduleBeat(std::size_t number, std::size_t life);
-    void beat(target& one);
+    void scheduleHeartbeat(std::size_t number, std::size_t incarnation);
+    void sendHeartbeat(target& one);
     static json announcement(const target& one);
     target* at(const std::string& address)
     {
@@ -132,7 +132,7 @@
         }
         return nullptr;
     }
-    bool drawn(double share) { return std::uniform_real_distribution<double>(0, 1)(random) < share; }
+    bool drawFault(double rate) { return std::uniform_real_distribution<double>(0, 1)(random) < rate; }
 
     std::vector<std::string> controls;
     link::event_loop loop;
@@ -142,7 +142,7 @@
     std::vector<fleet_arrival> arrivals;
     std::vector<fleet_crash> crashes;
     std::mt19937_64 random { 7 };
-    std::size_t lives = 0;
+    std::size_t lastIncarnation = 0;
     bool keepsIds = false;
     bool isEnding = false;
 };
@@ -171,18 +171,18 @@
             nullptr,
             [weak](net::channel_end) {
                 if (const auto self = weak.lock())
-                    self->leave();
+                    self->finish();
             } });
     }
 
     void reset()
     {
         m_channel->abort(true);
-        leave();
+        finish();
     }
 
 private:
-    void leave()
+    void finish()
     {
         m_timer.cancel();
         m_target.stalled.erase(m_requestId);
@@ -191,51 +191,51 @@
 
     void onBytes(std::string_view bytes)
     {
-        if (m_parser.put(bytes) != http1::parse_state::Done || m_begun || m_target.isFrozen)
+        if (m_parser.put(bytes) != http1::parse_state::Done || m_hasRequest || m_target.isUnresponsive)
             return;
-        m_begun = true;
+        m_hasRequest = true;
         const auto& head = m_parser.head();
-        const bool isCall = head.target == "/report" || head.target == "/order";
-        if (isCall)
-            m_target.calls.push_back(std::chrono::steady_clock::now());
-        if (isCall && m_target.rest) {
-            turnAway();
+        const bool isControlCall = head.target == "/report" || head.target == "/order";
+        if (isControlCall)
+            m_target.controlCalls.push_back(std::chrono::steady_clock::now());
+        if (isControlCall && m_target.retryAfter) {
+            refuseWithRetryAfter();
             return;
         }
         if (head.target == "/report") {
-            answer(200, report(), {});
+            respond(200, report(), {});
             return;
         }
         m_requestId = http1::valueOf(head.fields, "X-Buckthornrail-Attempt-Id").value_or("");
         const auto expected = http1::valueOf(head.fields, "X-Buckthornrail-Expect-Instance");
         if (expected && *expected != m_target.id) {
-            answer(421, "", {});
+            respond(421, "", {});
             return;
         }
         if (head.target == "/order") {
-            order(m_parser.takeBody());
+            applyOrder(m_parser.takeBody());
             return;
         }
         m_fleet.arrivals.push_back({ m_requestId, m_target.id, std::chrono::steady_clock::now() });
-        if (m_target.rest) {
-            turnAway();
+        if (m_target.retryAfter) {
+            refuseWithRetryAfter();
             return;
         }
-        if (m_target.isDraining || m_fleet.drawn(m_target.faults.refuseShare)) {
-            answer(503, "", { { "X-Buckthornrail-Not-Executed", "1" } });
+        if (m_target.isDraining || m_fleet.drawFault(m_target.faults.refusalRate)) {
+            respond(503, "", { { "X-Buckthornrail-Not-Executed", "1" } });
             return;
         }
         serve();
     }
 
-    void turnAway()
+    void refuseWithRetryAfter()
     {
-        if (!m_target.restAskedAt)
-            m_target.restAskedAt = std::chrono::steady_clock::now();
+        if (!m_target.firstRefusalAt)
+            m_target.firstRefusalAt = std::chrono::steady_clock::now();
         constexpr double msPerSecond = 1000;
-        answer(503, "",
+        respond(503, "",
             { { "X-Buckthornrail-Not-Executed", "1" },
-                { "Retry-After", std::to_string(static_cast<double>(m_target.rest->count()) / msPerSecond) } });
+                { "Retry-After", std::to_string(static_cast<double>(m_target.retryAfter->count()) / msPerSecond) } });
     }
 
     std::string report() const
@@ -243,38 +243,38 @@
         json stalled = json::array();
         for (const auto& [id, address] : m_target.stalled)
             stalled.push_back({ { "id", id }, { "address", address } });
-        json out { { "born", m_target.startedMs }, { "busy", m_target.isBusy }, { "seq", m_target.orders },
+        json out { { "born", m_target.startedMs }, { "busy", m_target.isLoading }, { "seq", m_target.revision },
             { "stalled", stalled } };
-        if (m_target.end > 0)
-            out["layers"] = { { "from", m_target.first }, { "target", m_target.end } };
+        if (m_target.endLayer > 0)
+            out["layers"] = { { "from", m_target.firstLayer }, { "target", m_target.endLayer } };
         return out.dump();
     }
 
-    void order(const std::string& body)
+    void applyOrder(const std::string& body)
     {
         const json in = json::parse(body, nullptr, false);
-        const auto fence = in.value("fencing-token", std::uint64_t { 0 });
-        if (fence < m_target.fence) {
-            answer(412, "", {});
+        const auto fencingToken = in.value("fencing-token", std::uint64_t { 0 });
+        if (fencingToken < m_target.fencingToken) {
+            respond(412, "", {});
             return;
         }
-        if (m_target.isBusy || in.value("expected-revision", std::uint64_t { 0 }) != m_target.orders) {
-            answer(409, "", {});
+        if (m_target.isLoading || in.value("expected-revision", std::uint64_t { 0 }) != m_target.revision) {
+            respond(409, "", {});
             return;
         }
-        m_target.fence = fence;
-        ++m_target.orders;
-        m_target.isBusy = true;
-        m_target.first = m_target.end = 0;
+        m_target.fencingToken = fencingToken;
+        ++m_target.revision;
+        m_target.isLoading = true;
+        m_target.firstLayer = m_target.endLayer = 0;
         auto* one = &m_target;
-        m_fleet.loop.runAt(now() + loadTime, [one, in, life = one->life] {
-            if (one->life != life)
+        m_fleet.loop.runAt(now() + loadTime, [one, in, incarnation = one->incarnation] {
+            if (one->incarnation != incarnation)
                 return;
-            one->isBusy = false;
-            one->first = in.value("from", 0U);
-            one->end = in.value("target", 0U);
+            one->isLoading = false;
+            one->firstLayer = in.value("from", 0U);
+            one->endLayer = in.value("target", 0U);
         });
-        answer(202, "{}", {});
+        respond(202, "{}", {});
     }
 
     void serve()
@@ -283,97 +283,97 @@
         m_path = head.target;
         const bool isStream = !m_target.accelerator.empty();
         if (isStream) {
-            m_parts = readPath(http1::valueOf(head.fields, "X-Buckthornrail-Hop-Count").value_or(""));
+            m_parts = parsePath(http1::valueOf(head.fields, "X-Buckthornrail-Hop-Count").value_or(""));
             std::uint32_t next = 0;
             for (const auto& part : m_parts) {
                 const auto* member = m_fleet.at(part.address);
                 const bool holds = member != nullptr && member->isUp && !member->isDraining && part.first == next
-                    && member->first <= part.first && part.end <= member->end;
+                    && member->firstLayer <= part.first && part.end <= member->endLayer;
                 if (!holds) {
-                    answer(503, "", { { "X-Buckthornrail-Not-Executed", "1" }, { "At-Server", part.address } });
+                    respond(503, "", { { "X-Buckthornrail-Not-Executed", "1" }, { "At-Server", part.address } });
                     return;
                 }
                 next = part.end;
             }
             if (next != stand_in_fleet::layers) {
-                answer(400, "", {});
+                respond(400, "", {});
                 return;
             }
         }
-        m_run = m_fleet.runs.size();
+        m_runIndex = m_fleet.runs.size();
         m_fleet.runs.push_back({ m_requestId, m_target.id, m_path,
             std::string(http1::valueOf(head.fields, "X-Buckthornrail-Tenant").value_or("")), false });
-        m_isGarbled = m_fleet.drawn(m_target.faults.garbleShare);
-        const bool fails = m_fleet.drawn(m_target.faults.failShare);
-        m_isCut = m_fleet.drawn(m_target.faults.cutShare);
-        if (m_path.find(crashMark) != std::string::npos) {
-            wait(crashAfter, [this] { m_fleet.crash(m_target, m_requestId, m_path); });
+        m_hasWrongId = m_fleet.drawFault(m_target.faults.wrongIdRate);
+        const bool fails = m_fleet.drawFault(m_target.faults.failureRate);
+        m_isTruncated = m_fleet.drawFault(m_target.faults.truncationRate);
+        if (m_path.find(crashMarker) != std::string::npos) {
+            runAfter(crashDelay, [this] { m_fleet.crash(m_target, m_requestId, m_path); });
         } else if (fails) {
-            wait(plainWork, [this] { answer(500, "failed", marked()); });
+            runAfter(plainResponseTime, [this] { respond(500, "failed", responseFields()); });
         } else if (!isStream) {
-            wait(plainWork, [this] { answerPlain(); });
+            runAfter(plainResponseTime, [this] { respondPlain(); });
         } else {
-            m_events = numberAfter(m_path, "/n", 3);
+            m_eventCount = numberAfter(m_path, "/n", 3);
             if (const auto last = http1::valueOf(head.fields, "Last-Event-Id"))
-                m_next = static_cast<std::uint64_t>(std::stoull(std::string(*last))) + 1;
-            auto fields = marked();
+                m_nextEventId = static_cast<std::uint64_t>(std::stoull(std::string(*last))) + 1;
+            auto fields = responseFields();
             fields.push_back({ "Content-Type", "text/event-stream" });
             addPushback(fields);
             m_channel->write(http1::formatChunkedHead({ 200, "OK", fields }, true));
-            nextEvent();
+            scheduleEvent();
         }
     }
 
-    void answerPlain()
+    void respondPlain()
     {
         const std::string body = stand_in_fleet::plainBody(m_path);
-        if (m_isCut) {
-            m_channel->write(http1::formatResponse({ 200, "OK", marked() }, body, true).substr(0, 60));
+        if (m_isTruncated) {
+            m_channel->write(http1::formatResponse({ 200, "OK", responseFields() }, body, true).substr(0, 60));
             reset();
             return;
         }
-        m_fleet.runs[m_run].wasWhole = true;
-        answer(200, body, marked());
+        m_fleet.runs[m_runIndex].isComplete = true;
+        respond(200, body, responseFields());
     }
 
-    void nextEvent()
+    void scheduleEvent()
     {
-        wait(eventPeriod * m_target.faults.slowFactor, [this] {
+        runAfter(eventInterval * m_target.faults.slowdownFactor, [this] {
             for (const auto& part : m_parts) {
                 const auto* member = m_fleet.at(part.address);
-                if (member != nullptr && member->isUp && !member->isFrozen)
+                if (member != nullptr && member->isUp && !member->isUnresponsive)
                     continue;
                 m_target.stalled[m_requestId] = part.address;
-                if (m_stallEnd == steady_time {})
-                    m_stallEnd = now() + stallTime;
-                if (now() >= m_stallEnd)
+                if (m_stallDeadline == steady_time {})
+                    m_stallDeadline = now() + stallTimeout;
+                if (now() >= m_stallDeadline)
                     reset();
                 else
-                    nextEvent();
+                    scheduleEvent();
                 return;
             }
-            if (m_next > m_events) {
-                m_fleet.runs[m_run].wasWhole = true;
+            if (m_nextEventId > m_eventCount) {
+                m_fleet.runs[m_runIndex].isComplete = true;
                 m_channel->write(http1::lastChunk);
                 m_channel->closeAfterWrite();
-                leave();
+                finish();
                 return;
             }
-            const std::string event = stand_in_fleet::eventBytes(m_path, m_next);
-            if (m_isCut && m_next * 2 > m_events) {
+            const std::string event = stand_in_fleet::eventBytes(m_path, m_nextEventId);
+            if (m_isTruncated && m_nextEventId * 2 > m_eventCount) {
                 m_channel->write(http1::formatChunk(event.substr(0, event.size() / 2)));
                 reset();
                 return;
             }
-            ++m_next;
+            ++m_nextEventId;
             m_channel->write(http1::formatChunk(event));
-            nextEvent();
+            scheduleEvent();
         });
     }
 
-    std::vector<http1::field> marked() const
+    std::vector<http1::field> responseFields() const
     {
-        return { { "X-Buckthornrail-Attempt-Id", m_isGarbled ? "another" : m_requestId },
+        return { { "X-Buckthornrail-Attempt-Id", m_hasWrongId ? "another" : m_requestId },
             { "X-Buckthornrail-Server-Stamp", "stamp." + m_target.id } };
     }
 
@@ -381,28 +381,28 @@
     {
         if (m_target.limit)
             fields.push_back({ "Server-Limit", std::to_string(*m_target.limit) });
-        if (m_target.saysLeaving)
+        if (m_target.reportsLeaving)
             fields.push_back({ "Server-Leaving", "1" });
     }
 
-    void answer(int status, const std::string& body, std::vector<http1::field> fields)
+    void respond(int status, const std::string& body, std::vector<http1::field> fields)
     {
         addPushback(fields);
         m_channel->write(http1::formatResponse({ status, "Status", std::move(fields) }, body, true));
         m_channel->closeAfterWrite();
-        leave();
+        finish();
     }
 
     /// Goes on after a time, unless the target is frozen then; it comes back to it later.
-    void wait(milliseconds time, std::function<void()> then)
+    void runAfter(milliseconds time, std::function<void()> then)
     {
         const std::weak_ptr<target_session> weak = weak_from_this();
         m_timer.set(now() + time, [weak, time, then = std::move(then)] {
             const auto self = weak.lock();
             if (!self)
                 return;
-            if (self->m_target.isFrozen)
-                self->wait(time, then);
+            if (self->m_target.isUnresponsive)
+                self->runAfter(time, then);
             else
                 then();
         });
@@ -413,16 +413,16 @@
     net::channel_pointer m_channel;
     http1::request_parser m_parser;
     net::loop_timer m_timer;
-    bool m_begun = false;
-    bool m_isGarbled = false;
-    bool m_isCut = false;
+    bool m_hasRequest = false;
+    bool m_hasWrongId = false;
+    bool m_isTruncated = false;
     std::string m_requestId;
     std::string m_path;
-    std::vector<part_of_path> m_parts;
-    std::size_t m_run = 0;
-    std::uint64_t m_events = 0;
-    std::uint64_t m_next = 1;
-    steady_time m_stallEnd {};
+    std::vector<path_part> m_parts;
+    std::size_t m_runIndex = 0;
+    std::uint64_t m_eventCount = 0;
+    std::uint64_t m_nextEventId = 1;
+    steady_time m_stallDeadline {};
 };
 
 } // namespace test_support
--- a/tests/support/suspended_clock.cpp
+++ b/tests/support/suspended_clock.cpp
@@ -11,24 +11,24 @@
 
 constexpr std::int64_t nanosecondsPerSecond = 1'000'000'000;
 /// The programs look at their clocks many times a second: a longer gap was a stop.
-constexpr std::int64_t shortestStop = nanosecondsPerSecond;
+constexpr std::int64_t minSuspension = nanosecondsPerSecond;
 
-std::atomic<std::int64_t> lastLook { 0 };
-std::atomic<std::int64_t> stoodStill { 0 };
+std::atomic<std::int64_t> lastReading { 0 };
+std::atomic<std::int64_t> suspendedTime { 0 };
 
 } // namespace
 
 extern "C" int clock_gettime(clockid_t clock, timespec* time) noexcept
 {
-    const long outcome = ::syscall(SYS_clock_gettime, clock, time);
-    if (outcome != 0 || clock != CLOCK_MONOTONIC)
-        return static_cast<int>(outcome);
+    const long result = ::syscall(SYS_clock_gettime, clock, time);
+    if (result != 0 || clock != CLOCK_MONOTONIC)
+        return static_cast<int>(result);
     const std::int64_t now = time->tv_sec * nanosecondsPerSecond + time->tv_nsec;
-    const std::int64_t before = lastLook.exchange(now);
-    if (before != 0 && now - before > shortestStop)
-        stoodStill += now - before;
-    const std::int64_t shown = now - stoodStill;
-    time->tv_sec = shown / nanosecondsPerSecond;
-    time->tv_nsec = shown % nanosecondsPerSecond;
+    const std::int64_t previous = lastReading.exchange(now);
+    if (previous != 0 && now - previous > minSuspension)
+        suspendedTime += now - previous;
+    const std::int64_t adjusted = now - suspendedTime;
+    time->tv_sec = adjusted / nanosecondsPerSecond;
+    time->tv_nsec = adjusted % nanosecondsPerSecond;
     return 0;
 }
--- a/tests/support/token_model.hpp
+++ b/tests/support/token_model.hpp
@@ -14,16 +14,16 @@
     return " t" + std::to_string(std::hash<std::string>()(text) % 1000);
 }
 
-/// @brief The whole answer to a prompt.
-inline std::string answerTo(std::string prompt, std::uint32_t tokens)
+/// @brief The whole response to a prompt.
+inline std::string responseTo(std::string prompt, std::uint32_t tokens)
 {
-    std::string answer;
+    std::string response;
     for (std::uint32_t at = 0; at < tokens; ++at) {
         const std::string token = nextToken(prompt);
-        answer += token;
+        response += token;
         prompt += token;
     }
-    return answer;
+    return response;
 }
 
 } // namespace test_support
--- a/tests/suspended_machine_test.cpp
+++ b/tests/suspended_machine_test.cpp
@@ -60,7 +60,7 @@
     REQUIRE(world.start());
     const std::string gateway = world.gateways().front();
     for (const auto target : world.plainTargets())
-        world.fleet().setFrozen(target, true);
+        world.fleet().setUnresponsive(target, true);
     using clock = std::chrono::steady_clock;
     auto held = std::async(std::launch::async, [&] {
         const auto answer = world.call(gateway, "POST", "/unsafe/x", "held", seconds(4));
@@ -75,7 +75,7 @@
     CHECK(status == 504);
     CHECK(at - wokenAt < milliseconds(400) + maxWakeDelay);
     for (const auto target : world.plainTargets())
-        world.fleet().setFrozen(target, false);
+        world.fleet().setUnresponsive(target, false);
     CHECK(waitUntil([&] { return allGatewaysServe(world); }, waitTimeout));
 }
 
