--- a/tests/support/stand_in_fleet.cpp
+++ b/tests/support/stand_in_fleet.cpp
@@ -14,7 +14,7 @@
 {
     one.incarnation = ++lastIncarnation;
     if (!keepsIds || one.id.empty())
-        one.id = "i-" + std::to_string(one.number) + "-" + std::to_string(one.incarnation);
+        one.id = "i-" + std::to_string(one.index) + "-" + std::to_string(one.incarnation);
     const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
     const auto nowMs = static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(sinceEpoch).count());
     one.startedMs = keepsIds ? std::max(one.startedMs + 1, nowMs) : 0;
@@ -23,22 +23,22 @@
     one.isUp = true;
     one.isUnresponsive = one.isDraining = one.isDrainAcknowledged = one.isLoading = false;
     one.listener = std::make_unique<net::tcp_listener>(loop, [this, &one](net::channel_pointer channel) {
-        auto opened = std::make_shared<target_session>(*this, one, std::move(channel));
-        one.sessions.insert(opened);
-        opened->begin();
+        auto session = std::make_shared<target_session>(*this, one, std::move(channel));
+        one.sessions.insert(session);
+        session->begin();
     });
     one.listener->listen(one.address);
     sendHeartbeat(one);
-    scheduleHeartbeat(one.number, one.incarnation);
+    scheduleHeartbeat(one.index, one.incarnation);
 }
 
 void stand_in_fleet::implementation::stop(target& one)
 {
     one.isUp = false;
     one.listener.reset();
-    const auto open = one.sessions;
-    for (const auto& each : open)
-        each->reset();
+    const auto openSessions = one.sessions;
+    for (const auto& session : openSessions)
+        session->reset();
 }
 
 void stand_in_fleet::implementation::crash(target& one, const std::string& requestId, const std::string& path)
@@ -48,24 +48,24 @@
     crashes.push_back({ requestId, path, one.id });
     // After the session that asks for it has returned: it ends with the target.
     loop.post([this, &one, incarnation = one.incarnation] {
-        if (isEnding || one.incarnation != incarnation)
+        if (isShuttingDown || one.incarnation != incarnation)
             return;
         stop(one);
         loop.runAt(now() + restartDelay, [this, &one, incarnation] {
-            if (!isEnding && one.incarnation == incarnation && !one.isUp)
+            if (!isShuttingDown && one.incarnation == incarnation && !one.isUp)
                 start(one);
         });
     });
 }
 
-void stand_in_fleet::implementation::scheduleHeartbeat(std::size_t number, std::size_t incarnation)
+void stand_in_fleet::implementation::scheduleHeartbeat(std::size_t index, std::size_t incarnation)
 {
-    loop.runAt(now() + heartbeatInterval, [this, number, incarnation] {
-        auto& one = *targets[number];
-        if (isEnding || one.incarnation != incarnation || !one.isUp)
+    loop.runAt(now() + heartbeatInterval, [this, index, incarnation] {
+        auto& one = *targets[index];
+        if (isShuttingDown || one.incarnation != incarnation || !one.isUp)
             return;
         sendHeartbeat(one);
-        scheduleHeartbeat(number, incarnation);
+        scheduleHeartbeat(index, incarnation);
     });
 }
 
@@ -88,20 +88,21 @@
         return;
     ++one.heartbeatSequence;
     const std::string body = announcement(one).dump();
-    const std::string& control = controls[(one.heartbeatSequence + one.number) % controls.size()];
-    net::http_call::start(loop, control, { { "PUT", "/instances/" + one.id, { { "Host", "control" } } }, body },
-        now() + heartbeatTimeout,
-        [this, number = one.number, incarnation = one.incarnation, wasDraining = one.isDraining](
+    const std::string& controllerAddress
+        = controllerAddresses[(one.heartbeatSequence + one.index) % controllerAddresses.size()];
+    net::http_call::start(loop, controllerAddress,
+        { { "PUT", "/instances/" + one.id, { { "Host", "control" } } }, body }, now() + heartbeatTimeout,
+        [this, index = one.index, incarnation = one.incarnation, wasDraining = one.isDraining](
             net::call_outcome outcome, const net::whole_response& response) {
-            auto& same = *targets[number];
+            auto& sender = *targets[index];
             const bool isAcknowledged = outcome == net::call_outcome::Answered && response.head.status == 200;
-            if (same.incarnation == incarnation && wasDraining && isAcknowledged)
-                same.isDrainAcknowledged = true;
+            if (sender.incarnation == incarnation && wasDraining && isAcknowledged)
+                sender.isDrainAcknowledged = true;
         });
 }
 
-stand_in_fleet::stand_in_fleet(std::vector<std::string> controls)
-    : m_implementation(std::make_unique<implementation>(std::move(controls)))
+stand_in_fleet::stand_in_fleet(std::vector<std::string> controllerAddresses)
+    : m_implementation(std::make_unique<implementation>(std::move(controllerAddresses)))
 {
 }
 
@@ -109,7 +110,7 @@
 {
     auto& fleet = *m_implementation;
     fleet.runOnLoop([&fleet] {
-        fleet.isEnding = true;
+        fleet.isShuttingDown = true;
         for (auto& one : fleet.targets)
             fleet.stop(*one);
     });
@@ -122,7 +123,7 @@
     auto& fleet = *m_implementation;
     return fleet.runOnLoop([&] {
         auto one = std::make_unique<implementation::target>();
-        one->number = fleet.targets.size();
+        one->index = fleet.targets.size();
         one->service = service;
         one->domain = domain;
         one->accelerator = accelerator;
--- a/tests/support/stand_in_fleet.hpp
+++ b/tests/support/stand_in_fleet.hpp
@@ -49,8 +49,8 @@
 /// @brief Runs all targets on a thread of its own. Functions may be called from any thread.
 class stand_in_fleet {
 public:
-    /// @param controls addresses where targets announce themselves
-    explicit stand_in_fleet(std::vector<std::string> controls);
+    /// @param controllerAddresses addresses where targets announce themselves
+    explicit stand_in_fleet(std::vector<std::string> controllerAddresses);
     stand_in_fleet(const stand_in_fleet&) = delete;
     stand_in_fleet& operator=(const stand_in_fleet&) = delete;
     ~stand_in_fleet();
--- a/tests/support/stand_in_session.hpp
+++ b/tests/support/stand_in_session.hpp
@@ -65,7 +65,7 @@
 
 struct stand_in_fleet::implementation {
     struct target {
-        std::size_t number = 0;
+        std::size_t index = 0;
         std::string id;
         std::size_t incarnation = 0; ///< tells lives apart that have the same id
         std::size_t crashedIncarnation = 0; ///< the last one that a request has ended
@@ -97,7 +97,7 @@
     };
 
     explicit implementation(std::vector<std::string> addresses)
-        : controls(std::move(addresses))
+        : controllerAddresses(std::move(addresses))
     {
         thread = std::thread([this] { loop.run(); });
     }
@@ -121,10 +121,10 @@
     void stop(target& one);
     /// Ends a target under a request; it starts again after a while.
     void crash(target& one, const std::string& requestId, const std::string& path);
-    void scheduleHeartbeat(std::size_t number, std::size_t incarnation);
+    void scheduleHeartbeat(std::size_t index, std::size_t incarnation);
     void sendHeartbeat(target& one);
     static json announcement(const target& one);
-    target* at(const std::string& address)
+    target* findByAddress(const std::string& address)
     {
         for (auto& one : targets) {
             if (one->address == address)
@@ -134,7 +134,7 @@
     }
     bool drawFault(double rate) { return std::uniform_real_distribution<double>(0, 1)(random) < rate; }
 
-    std::vector<std::string> controls;
+    std::vector<std::string> controllerAddresses;
     link::event_loop loop;
     std::thread thread;
     std::vector<std::unique_ptr<target>> targets;
@@ -144,7 +144,7 @@
     std::mt19937_64 random { 7 };
     std::size_t lastIncarnation = 0;
     bool keepsIds = false;
-    bool isEnding = false;
+    bool isShuttingDown = false;
 };
 
 /// One connection to a target, for one request.
@@ -243,22 +243,22 @@
         json stalled = json::array();
         for (const auto& [id, address] : m_target.stalled)
             stalled.push_back({ { "id", id }, { "address", address } });
-        json out { { "born", m_target.startedMs }, { "busy", m_target.isLoading }, { "seq", m_target.revision },
+        json state { { "born", m_target.startedMs }, { "busy", m_target.isLoading }, { "seq", m_target.revision },
             { "stalled", stalled } };
         if (m_target.endLayer > 0)
-            out["layers"] = { { "from", m_target.firstLayer }, { "target", m_target.endLayer } };
-        return out.dump();
+            state["layers"] = { { "from", m_target.firstLayer }, { "target", m_target.endLayer } };
+        return state.dump();
     }
 
     void applyOrder(const std::string& body)
     {
-        const json in = json::parse(body, nullptr, false);
-        const auto fencingToken = in.value("fencing-token", std::uint64_t { 0 });
+        const json request = json::parse(body, nullptr, false);
+        const auto fencingToken = request.value("fencing-token", std::uint64_t { 0 });
         if (fencingToken < m_target.fencingToken) {
             respond(412, "", {});
             return;
         }
-        if (m_target.isLoading || in.value("expected-revision", std::uint64_t { 0 }) != m_target.revision) {
+        if (m_target.isLoading || request.value("expected-revision", std::uint64_t { 0 }) != m_target.revision) {
             respond(409, "", {});
             return;
         }
@@ -267,12 +267,12 @@
         m_target.isLoading = true;
         m_target.firstLayer = m_target.endLayer = 0;
         auto* one = &m_target;
-        m_fleet.loop.runAt(now() + loadTime, [one, in, incarnation = one->incarnation] {
+        m_fleet.loop.runAt(now() + loadTime, [one, request, incarnation = one->incarnation] {
             if (one->incarnation != incarnation)
                 return;
             one->isLoading = false;
-            one->firstLayer = in.value("from", 0U);
-            one->endLayer = in.value("target", 0U);
+            one->firstLayer = request.value("from", 0U);
+            one->endLayer = request.value("target", 0U);
         });
         respond(202, "{}", {});
     }
@@ -284,18 +284,18 @@
         const bool isStream = !m_target.accelerator.empty();
         if (isStream) {
             m_parts = parsePath(http1::valueOf(head.fields, "X-Buckthornrail-Hop-Count").value_or(""));
-            std::uint32_t next = 0;
+            std::uint32_t nextLayer = 0;
             for (const auto& part : m_parts) {
-                const auto* member = m_fleet.at(part.address);
-                const bool holds = member != nullptr && member->isUp && !member->isDraining && part.first == next
-                    && member->firstLayer <= part.first && part.end <= member->endLayer;
-                if (!holds) {
+                const auto* member = m_fleet.findByAddress(part.address);
+                const bool isAvailable = member != nullptr && member->isUp && !member->isDraining
+                    && part.first == nextLayer && member->firstLayer <= part.first && part.end <= member->endLayer;
+                if (!isAvailable) {
                     respond(503, "", { { "X-Buckthornrail-Not-Executed", "1" }, { "At-Server", part.address } });
                     return;
                 }
-                next = part.end;
+                nextLayer = part.end;
             }
-            if (next != stand_in_fleet::layers) {
+            if (nextLayer != stand_in_fleet::layers) {
                 respond(400, "", {});
                 return;
             }
@@ -340,7 +340,7 @@
     {
         runAfter(eventInterval * m_target.faults.slowdownFactor, [this] {
             for (const auto& part : m_parts) {
-                const auto* member = m_fleet.at(part.address);
+                const auto* member = m_fleet.findByAddress(part.address);
                 if (member != nullptr && member->isUp && !member->isUnresponsive)
                     continue;
                 m_target.stalled[m_requestId] = part.address;
