--- a/tests/support/child_process.cpp
+++ b/tests/support/child_process.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Processes and free ports.
+/// @brief Starts and waits for processes, and reserves ports.
 #include "support/child_process.hpp"
 
 #include <arpa/inet.h>
@@ -32,9 +32,9 @@
         && ::bind(fd, reinterpret_cast<sockaddr*>(&address), size) == 0
         && ::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size) == 0;
     if (!isBound)
-        throw std::runtime_error("no free port on " + ip);
-    // The socket stays bound, without listening, until this process ends: others on this machine get other ports, also
-    // for connections of their own, and a listener that allows reuse may still bind.
+        throw std::runtime_error("cannot reserve a port on " + ip);
+    // The socket stays bound, without listening, until this process exits. The kernel gives other processes other
+    // ports, also for outgoing connections, while a listener that sets SO_REUSEADDR can still bind this one.
     return ip + ":" + std::to_string(ntohs(address.sin_port));
 }
 
@@ -50,13 +50,13 @@
     posix_spawn_file_actions_init(&files);
     posix_spawn_file_actions_addopen(&files, 2, log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
     posix_spawn_file_actions_adddup2(&files, 2, 1);
-    // A stand-in's listener that a child inherits goes on listening once the stand-in has closed it: whoever connects
-    // is taken and never answered.
+    // Closes inherited descriptors. A stand-in's listener that a child holds would keep listening after the stand-in
+    // closed it: connections would be accepted and never get a response.
     constexpr int firstInherited = 3;
     posix_spawn_file_actions_addclosefrom_np(&files, firstInherited);
     pid_t pid = 0;
     if (posix_spawn(&pid, command.front().c_str(), &files, nullptr, arguments.data(), environ) != 0)
-        throw std::runtime_error("can't start " + command.front());
+        throw std::runtime_error("cannot start " + command.front());
     posix_spawn_file_actions_destroy(&files);
     return pid;
 }
--- a/tests/support/failing_device.hpp
+++ b/tests/support/failing_device.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A storage device in memory that fails on purpose at a chosen operation.
+/// @brief Storage device in memory that injects a fault at a chosen write.
 #pragma once
 
 #include "buckthornrail/storage/storage_device.hpp"
@@ -10,21 +10,21 @@
 
 using namespace buckthornrail;
 
-/// What happens at the chosen write.
+/// Fault injected at the chosen write. Synced data survives a restart.
 enum class device_fault {
     None,
-    CrashBeforeWrite, ///< nothing reaches the disk
-    CrashHalfWritten, ///< half of the bytes reach it
-    CrashBeforeSync, ///< all bytes were written, none lasts
-    CrashAfterSync, ///< all bytes last, the caller never hears of it
-    DiskFull, ///< an error, with half of the bytes on the disk
+    CrashBeforeWrite, ///< no bytes are stored
+    CrashHalfWritten, ///< half of the bytes are stored
+    CrashBeforeSync, ///< all bytes are written, but lost for lack of a sync
+    CrashAfterSync, ///< all bytes are stored, but the call reports an error
+    DiskFull, ///< the call reports an error, and half of the bytes are stored
 };
 
-/// @brief Keeps what would last. After a crash every call fails until restart().
+/// @brief Keeps the data that survives a crash. After a fault every write fails until restart().
 class failing_device : public storage::storage_device {
 public:
     device_fault fault = device_fault::None;
-    int writesUntilFault = 0; ///< the fault falls on the write that finds 0 here
+    int writesUntilFault = 0; ///< how many more writes succeed before the fault
 
     tl::expected<std::optional<std::string>, failure> read(const std::string& name) override
     {
@@ -39,7 +39,7 @@
 
     tl::expected<void, failure> replaceSynced(const std::string& name, const std::string& bytes) override
     {
-        // The half-written file is the new one beside it: the old one stands until the rename.
+        // A real device writes a new file and renames it, so a partial write leaves the old file intact.
         const bool isHalfWritten
             = isFaultDue() && (fault == device_fault::CrashHalfWritten || fault == device_fault::DiskFull);
         if (isHalfWritten) {
@@ -49,7 +49,7 @@
         return write(name, "", bytes);
     }
 
-    /// @brief The machine comes up again with what lasted.
+    /// @brief Clears the fault and makes the stored data available again, as after a restart of the machine.
     void restart()
     {
         isCrashed = false;
@@ -64,7 +64,7 @@
 
     static tl::unexpected<failure> error()
     {
-        return tl::make_unexpected(failure { result_code::StorageFailed, "ordered fault" });
+        return tl::make_unexpected(failure { result_code::StorageFailed, "injected fault" });
     }
 
     tl::expected<void, failure> write(const std::string& name, const std::string& before, const std::string& bytes)
--- a/tests/support/stand_in_fleet.cpp
+++ b/tests/support/stand_in_fleet.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Behaviour of the stand-in targets.
+/// @brief Lifecycle, heartbeats and fault settings of the stand-in targets.
 #include "support/stand_in_session.hpp"
 
 namespace test_support {
@@ -44,9 +44,9 @@
 void stand_in_fleet::implementation::crash(target& one, const std::string& requestId, const std::string& path)
 {
     if (std::exchange(one.crashedIncarnation, one.incarnation) == one.incarnation)
-        return; // two copies of the request at one target end it once
+        return; // two attempts of the request at one target crash it once
     crashes.push_back({ requestId, path, one.id });
-    // After the session that asks for it has returned: it ends with the target.
+    // Posted, because terminating the target also ends the session that called this.
     loop.post([this, &one, incarnation = one.incarnation] {
         if (isShuttingDown || one.incarnation != incarnation)
             return;
--- a/tests/support/stand_in_fleet.hpp
+++ b/tests/support/stand_in_fleet.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Stand-in targets that speak the platform's wire: layered engines and plain services, with faults to order.
+/// @brief Stand-in targets that speak the platform's protocol: engines that hold layers, and plain services, both with
+/// fault injection.
 #pragma once
 
 #include "buckthornrail/net/tcp.hpp"
@@ -14,97 +15,99 @@
 
 namespace test_support {
 
-/// Faults that a target shows until told otherwise.
+/// Faults that a target injects until they are replaced. Rates are probabilities from 0 to 1, drawn for each request.
 struct target_faults {
-    double failureRate = 0; ///< of requests answered with status 500
-    double truncationRate = 0; ///< of requests whose answer breaks off
-    double wrongIdRate = 0; ///< of requests answered with another request's id
-    double refusalRate = 0; ///< of requests refused truthfully
-    int slowdownFactor = 1; ///< times the time between events
+    double failureRate = 0; ///< the response has status 500
+    double truncationRate = 0; ///< the connection is reset within the response
+    double wrongIdRate = 0; ///< the response carries another attempt's id
+    double refusalRate = 0; ///< the request is refused with status 503, and not executed
+    int slowdownFactor = 1; ///< multiplies the time between events
 };
 
-/// One run of a request at a target, as the target saw it.
+/// One execution of a request, as recorded by the target.
 struct fleet_run {
     std::string requestId;
     std::string target;
     std::string path;
     std::string workspace;
-    bool isComplete = false; ///< its answer went out to the end
+    bool isComplete = false; ///< a successful response was sent to its end
 };
 
-/// A request's arrival at a target that takes it first.
+/// Arrival of a request at the first target of its chain.
 struct fleet_arrival {
     std::string requestId;
     std::string target;
     std::chrono::steady_clock::time_point at;
 };
 
-/// A target's end under a request whose path holds "/crash".
+/// A target's crash, caused by a request whose path contains "/crash".
 struct fleet_crash {
     std::string requestId;
     std::string path;
     std::string target;
 };
 
-/// @brief Runs all targets on a thread of its own. Functions may be called from any thread.
+/// @brief Runs all targets on one thread. Member functions may be called from any other thread.
 class stand_in_fleet {
 public:
-    /// @param controllerAddresses addresses where targets announce themselves
+    /// @param controllerAddresses where the targets send their heartbeats, in turn
     explicit stand_in_fleet(std::vector<std::string> controllerAddresses);
     stand_in_fleet(const stand_in_fleet&) = delete;
     stand_in_fleet& operator=(const stand_in_fleet&) = delete;
     ~stand_in_fleet();
 
-    /// @brief Adds a target. @param accelerator empty for a plain service @return its number
+    /// @brief Starts a target. @param accelerator empty for a plain service @return its index
     std::size_t add(const std::string& service, const std::string& domain, const std::string& accelerator);
-    /// @brief The process is gone: connections are reset, nothing listens.
+    /// @brief Simulates the death of the process: connections are reset and nothing listens.
     void kill(std::size_t target);
-    /// @brief A new life at the same address, with nothing loaded.
+    /// @brief Starts a new incarnation at the same address, with no layers loaded.
     void restart(std::size_t target);
-    /// @brief The same at another address.
+    /// @brief Starts a new incarnation at another address, with no layers loaded.
     void restartElsewhere(std::size_t target);
-    /// @brief From its next life on a target keeps its id, and says when each life started.
+    /// @brief From its next start on, each target keeps its id and announces when each incarnation started.
     void keepIds();
-    /// @brief What a target would announce now.
+    /// @return the body of the announcement that a target would send now, JSON
     [[nodiscard]] std::string announcementOf(std::size_t target) const;
-    /// @brief Silent in all directions, though connections stand.
+    /// @brief While unresponsive, a target sends neither responses nor heartbeats, but keeps its connections open.
     void setUnresponsive(std::size_t target, bool unresponsive);
-    /// @brief Says that it leaves, and takes nothing new from then on.
+    /// @brief Announces that a target is draining; it refuses new requests from then on.
     void drain(std::size_t target);
-    /// @brief Whether it announces itself any more; it serves all the same.
+    /// @brief Whether a target sends heartbeats. It serves requests either way.
     void setAnnouncing(std::size_t target, bool announces);
     [[nodiscard]] std::string idOf(std::size_t target) const;
     void setFaults(std::size_t target, const target_faults& faults);
-    /// @brief A target turns everything away, also questions and orders, and asks for rest for so long each time.
+    /// @brief While set, a target refuses all requests, reports and orders, with this time as Retry-After.
     void setRetryAfter(std::size_t target, std::optional<std::chrono::milliseconds> retryAfter);
-    /// @brief A target says in its answers that it leaves; it announces itself as ready, and serves, all the same.
+    /// @brief Whether a target's responses carry Server-Leaving. It still announces itself as ready, and serves.
     void setReportsLeaving(std::size_t target, bool reports);
-    /// @brief A target names in its answers how many requests a second it takes; it takes more all the same.
+    /// @brief Sets the limit in requests per second that a target's responses carry as Server-Limit. It isn't enforced.
     void setLimit(std::size_t target, std::optional<double> perSecond);
 
     [[nodiscard]] std::vector<fleet_run> runs() const;
-    /// @brief Targets that a request has ended so far, in order. A request whose path holds "/crash" ends its target
-    /// soon after it has begun there; the target starts again, empty, after a while.
+    /// @brief Crashes so far, in order. A request whose path contains "/crash" crashes its target 100 ms after it has
+    /// started there. The target restarts 600 ms later, with no layers loaded.
     [[nodiscard]] std::vector<fleet_crash> crashes() const;
-    /// @brief Ids of the requests that came to targets, once for each arrival, also of those that were refused.
+    /// @return the attempt id of each request that arrived at a target, including refused requests except those meant
+    /// for another instance
     [[nodiscard]] std::vector<std::string> arrivals() const;
-    /// @brief The same for one target, with times.
+    /// @brief The same arrivals for a target under its current id.
     [[nodiscard]] std::vector<fleet_arrival> arrivalsAt(std::size_t target) const;
-    /// @brief When questions and orders came to a target.
+    /// @return when report requests and orders arrived at a target
     [[nodiscard]] std::vector<std::chrono::steady_clock::time_point> controlCallsAt(std::size_t target) const;
-    /// @brief When a target first turned something away since it rests; nothing: it hasn't.
+    /// @return when a target first refused something after the last call of setRetryAfter(); empty: it hasn't yet
     [[nodiscard]] std::optional<std::chrono::steady_clock::time_point> firstRefusalAt(std::size_t target) const;
-    /// @brief Layers held by living engines of a domain, without gap from 0 to the end.
+    /// @brief Whether the running engines of a failure domain hold all layers together.
     [[nodiscard]] bool hasChain(const std::string& domain) const;
-    /// @brief Targets that a controller has acknowledged as draining.
+    /// @brief Whether a controller has acknowledged an announcement of a target as draining.
     [[nodiscard]] bool isDrainAcknowledged(std::size_t target) const;
-    /// @brief Body that a plain service gives, and data of an event of a stream.
+    /// @return the body of a plain service's response
     static std::string plainBody(const std::string& path);
+    /// @return an event of an engine's stream as sent, with its id and data
     static std::string eventBytes(const std::string& path, std::uint64_t id);
 
     static constexpr std::uint32_t layers = 16;
 
-    struct implementation; ///< for the targets' sessions
+    struct implementation; ///< public for target_session
 
 private:
     std::unique_ptr<implementation> m_implementation;
--- a/tests/support/stand_in_session.hpp
+++ b/tests/support/stand_in_session.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The stand-in targets' state, and one connection to one of them. For stand_in_fleet.cpp alone.
+/// @brief State of the stand-in targets, and a connection to one of them. Private to stand_in_fleet.cpp.
 #pragma once
 
 #include "buckthornrail/net/http_service.hpp"
@@ -22,17 +22,17 @@
 
 inline constexpr milliseconds eventInterval { 8 };
 inline constexpr milliseconds plainResponseTime { 5 };
-inline constexpr milliseconds stallTimeout {
-    700
-}; ///< a stream whose member is gone stands still so long, then breaks off
+/// An engine resets a stream when a member of its chain has been unavailable for this long.
+inline constexpr milliseconds stallTimeout { 700 };
 inline constexpr milliseconds loadTime { 30 };
-/// A request that ends its target has come: its prompt is read first.
+/// From the start of a request that crashes its target until the crash, as if its prompt were processed first.
 inline constexpr milliseconds crashDelay { 100 };
-inline constexpr milliseconds restartDelay { 600 }; ///< a target that crashed is gone
+inline constexpr milliseconds restartDelay { 600 }; ///< from a target's crash until it starts again
 inline constexpr std::string_view crashMarker = "/crash";
 
 inline steady_time now() { return buckthornrail::boot_clock::now(); }
 
+/// @return the number that follows a marker in a text; without the marker or a number, the fallback
 inline std::uint64_t numberAfter(std::string_view text, std::string_view marker, std::uint64_t fallback)
 {
     const auto at = text.find(marker);
@@ -43,12 +43,14 @@
     return number;
 }
 
+/// A member of a chain and the layers that it executes.
 struct path_part {
     std::string address;
     std::uint32_t first = 0;
     std::uint32_t end = 0;
 };
 
+/// @brief Parses "address=first-end,address=first-end".
 inline std::vector<path_part> parsePath(std::string_view text)
 {
     std::vector<path_part> parts;
@@ -67,15 +69,15 @@
     struct target {
         std::size_t index = 0;
         std::string id;
-        std::size_t incarnation = 0; ///< tells lives apart that have the same id
-        std::size_t crashedIncarnation = 0; ///< the last one that a request has ended
-        std::uint64_t startedMs = 0; ///< told only by targets that keep their ids
+        std::size_t incarnation = 0; ///< distinguishes incarnations with the same id
+        std::size_t crashedIncarnation = 0; ///< the last one that a request crashed
+        std::uint64_t startedMs = 0; ///< Unix time; 0: not announced, the id changes with each start
         std::string service;
         std::string domain;
         std::string accelerator;
         std::string address;
         std::uint32_t firstLayer = 0;
-        std::uint32_t endLayer = 0; ///< one past the last; 0: nothing is loaded
+        std::uint32_t endLayer = 0; ///< one past the last; 0: no layers are loaded
         std::uint64_t heartbeatSequence = 0;
         std::uint64_t revision = 0;
         std::uint64_t fencingToken = 0;
@@ -86,14 +88,14 @@
         bool isDrainAcknowledged = false;
         bool isLoading = false;
         target_faults faults;
-        std::optional<double> limit; ///< requests a second that it names
+        std::optional<double> limit; ///< requests per second, reported in responses
         std::optional<milliseconds> retryAfter;
         std::optional<std::chrono::steady_clock::time_point> firstRefusalAt;
         bool reportsLeaving = false;
-        std::vector<std::chrono::steady_clock::time_point> controlCalls; ///< questions and orders
+        std::vector<std::chrono::steady_clock::time_point> controlCalls; ///< arrivals of report requests and orders
         std::unique_ptr<net::tcp_listener> listener;
         std::set<std::shared_ptr<class target_session>> sessions;
-        std::map<std::string, std::string> stalled; ///< address at fault by request id
+        std::map<std::string, std::string> stalled; ///< address of the unavailable chain member, by request id
     };
 
     explicit implementation(std::vector<std::string> addresses)
@@ -102,6 +104,7 @@
         thread = std::thread([this] { loop.run(); });
     }
 
+    /// @brief Runs a function on the loop's thread and waits for its result.
     template <typename Function> auto runOnLoop(Function function)
     {
         using result = decltype(function());
@@ -119,7 +122,7 @@
 
     void start(target& one);
     void stop(target& one);
-    /// Ends a target under a request; it starts again after a while.
+    /// @brief Crashes a target while it executes a request, and restarts it after restartDelay.
     void crash(target& one, const std::string& requestId, const std::string& path);
     void scheduleHeartbeat(std::size_t index, std::size_t incarnation);
     void sendHeartbeat(target& one);
@@ -147,7 +150,7 @@
     bool isShuttingDown = false;
 };
 
-/// One connection to a target, for one request.
+/// @brief One connection to a target. It serves one request.
 class target_session : public std::enable_shared_from_this<target_session> {
 public:
     using fleet = stand_in_fleet::implementation;
@@ -393,7 +396,7 @@
         finish();
     }
 
-    /// Goes on after a time, unless the target is frozen then; it comes back to it later.
+    /// @brief Calls a function after a time. While the target is unresponsive then, waits for the same time again.
     void runAfter(milliseconds time, std::function<void()> then)
     {
         const std::weak_ptr<target_session> weak = weak_from_this();
--- a/tests/support/suspended_clock.cpp
+++ b/tests/support/suspended_clock.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Loaded into a process before its libraries: its steady clock stands still while the process is stopped, as
-/// that of a suspended machine does. The boot clock and the time of day go on.
+/// @brief Library for LD_PRELOAD that simulates a suspended machine: CLOCK_MONOTONIC stands still while the process is
+/// stopped. The boot clock and the wall clock keep counting.
 #include <atomic>
 #include <cstdint>
 #include <ctime>
@@ -10,7 +10,8 @@
 namespace {
 
 constexpr std::int64_t nanosecondsPerSecond = 1'000'000'000;
-/// The programs look at their clocks many times a second: a longer gap was a stop.
+/// The programs read their clocks many times per second, so a longer gap between two readings means that the process
+/// was stopped.
 constexpr std::int64_t minSuspension = nanosecondsPerSecond;
 
 std::atomic<std::int64_t> lastReading { 0 };
--- a/tests/support/target_tables.hpp
+++ b/tests/support/target_tables.hpp
@@ -1,12 +1,12 @@
 /// @file
-/// @brief Tables of targets for tests.
+/// @brief Creates target tables for tests.
 #pragma once
 
 #include "buckthornrail/registry/target_record.hpp"
 
 namespace test_support {
 
-/// @brief A table of ready targets of one service.
+/// @return a table of ready targets with these ids, all of one service
 inline buckthornrail::registry::target_table tableOf(const std::vector<std::string>& ids)
 {
     buckthornrail::registry::target_table table;
--- a/tests/support/token_model.hpp
+++ b/tests/support/token_model.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief A model for tests in one process: each token follows from the whole text before it.
+/// @brief Deterministic model for tests in one process: each token is derived from a hash of the complete
+/// text before it.
 #pragma once
 
 #include <cstdint>
@@ -8,13 +9,13 @@
 
 namespace test_support {
 
-/// @brief The token after a text.
+/// @return the token that follows a text
 inline std::string nextToken(const std::string& text)
 {
     return " t" + std::to_string(std::hash<std::string>()(text) % 1000);
 }
 
-/// @brief The whole response to a prompt.
+/// @return the complete response to a prompt
 inline std::string responseTo(std::string prompt, std::uint32_t tokens)
 {
     std::string response;
