--- a/tests/support/stand_in_fleet.cpp
+++ b/tests/support/stand_in_fleet.cpp
@@ -32,7 +32,7 @@
     scheduleHeartbeat(one.index, one.incarnation);
 }
 
-void stand_in_fleet::implementation::stop(target& one)
+void stand_in_fleet::implementation::terminate(target& one)
 {
     one.isUp = false;
     one.listener.reset();
@@ -50,7 +50,7 @@
     loop.post([this, &one, incarnation = one.incarnation] {
         if (isShuttingDown || one.incarnation != incarnation)
             return;
-        stop(one);
+        terminate(one);
         loop.runAt(now() + restartDelay, [this, &one, incarnation] {
             if (!isShuttingDown && one.incarnation == incarnation && !one.isUp)
                 start(one);
@@ -112,7 +112,7 @@
     fleet.runOnLoop([&fleet] {
         fleet.isShuttingDown = true;
         for (auto& one : fleet.targets)
-            fleet.stop(*one);
+            fleet.terminate(*one);
     });
     fleet.loop.post([&fleet] { fleet.loop.stop(); });
     fleet.thread.join();
@@ -136,7 +136,7 @@
 
 void stand_in_fleet::kill(std::size_t target)
 {
-    m_implementation->runOnLoop([&] { m_implementation->stop(*m_implementation->targets.at(target)); });
+    m_implementation->runOnLoop([&] { m_implementation->terminate(*m_implementation->targets.at(target)); });
 }
 
 void stand_in_fleet::restart(std::size_t target)
@@ -144,7 +144,7 @@
     m_implementation->runOnLoop([&] {
         auto& one = *m_implementation->targets.at(target);
         if (one.isUp)
-            m_implementation->stop(one);
+            m_implementation->terminate(one);
         m_implementation->start(one);
     });
 }
@@ -154,7 +154,7 @@
     m_implementation->runOnLoop([&] {
         auto& one = *m_implementation->targets.at(target);
         if (one.isUp)
-            m_implementation->stop(one);
+            m_implementation->terminate(one);
         one.address = freeAddress();
         m_implementation->start(one);
     });
--- a/tests/support/stand_in_session.hpp
+++ b/tests/support/stand_in_session.hpp
@@ -121,7 +121,7 @@
     }
 
     void start(target& one);
-    void stop(target& one);
+    void terminate(target& one);
     /// @brief Crashes a target while it executes a request, and restarts it after restartDelay.
     void crash(target& one, const std::string& requestId, const std::string& path);
     void scheduleHeartbeat(std::size_t index, std::size_t incarnation);
