--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -245,9 +245,9 @@
         const std::size_t target = randomTarget();
         if (!reserve("target" + std::to_string(target)))
             return;
-        m_world.fleet().setFrozen(target, true);
+        m_world.fleet().setUnresponsive(target, true);
         beginFault("paused target " + std::to_string(target), randomDuration(), [this, target] {
-            m_world.fleet().setFrozen(target, false);
+            m_world.fleet().setUnresponsive(target, false);
             m_reserved.erase("target" + std::to_string(target));
         });
     }
@@ -284,9 +284,9 @@
 
     void requestBackoff(std::size_t target)
     {
-        m_world.fleet().setRest(target, milliseconds(500 + m_pushbackRandom() % 1500));
+        m_world.fleet().setRetryAfter(target, milliseconds(500 + m_pushbackRandom() % 1500));
         beginFault("target " + std::to_string(target) + " requests a backoff", milliseconds(2000), [this, target] {
-            m_world.fleet().setRest(target, std::nullopt);
+            m_world.fleet().setRetryAfter(target, std::nullopt);
             m_reserved.erase("pushback" + std::to_string(target));
         });
     }
--- a/tests/support/token_model.hpp
+++ b/tests/support/token_model.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief A model for tests in one process: each token follows from the whole text before it.
+/// @brief Deterministic model for tests in one process: each token is derived from a hash of the complete
+/// text before it.
 #pragma once
 
 #include <cstdint>
@@ -8,22 +9,22 @@
 
 namespace test_support {
 
-/// @brief The token after a text.
+/// @return the token that follows a text
 inline std::string nextToken(const std::string& text)
 {
     return " t" + std::to_string(std::hash<std::string>()(text) % 1000);
 }
 
-/// @brief The whole answer to a prompt.
-inline std::string answerTo(std::string prompt, std::uint32_t tokens)
+/// @return the complete response to a prompt
+inline std::string responseTo(std::string prompt, std::uint32_t tokens)
 {
-    std::string answer;
+    std::string response;
     for (std::uint32_t at = 0; at < tokens; ++at) {
         const std::string token = nextToken(prompt);
-        answer += token;
+        response += token;
         prompt += token;
     }
-    return answer;
+    return response;
 }
 
 } // namespace test_support
