--- a/src/buckthornrail/agreement/replica_test.cpp
+++ b/src/buckthornrail/agreement/replica_test.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// @brief Tests of the replicated log: random schedules of faults, and single rules of the protocol.
-#include "support/log_world.hpp"
+#include "support/simulated_cluster.hpp"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck/catch.h>
@@ -8,19 +8,19 @@
 using namespace buckthornrail;
 using namespace buckthornrail::agreement;
 using test_support::crash_point;
-using test_support::log_world;
+using test_support::simulated_cluster;
 
 namespace {
 
 /// Checks that after the faults have ended a command is committed and applied at all nodes.
-void checkRecovers(log_world& world, const std::string& command)
+void checkRecovers(simulated_cluster& cluster, const std::string& command)
 {
-    world.heal();
+    cluster.heal();
     for (int round = 0; round < 60; ++round) {
-        world.run(20);
-        world.propose(command);
-        world.run(20);
-        const auto& nodes = world.nodes();
+        cluster.run(20);
+        cluster.propose(command);
+        cluster.run(20);
+        const auto& nodes = cluster.nodes();
         const bool everywhere = std::all_of(nodes.begin(), nodes.end(), [&](const auto& node) {
             return std::find(node.applied.begin(), node.applied.end(), command) != node.applied.end();
         });
@@ -31,22 +31,22 @@
 }
 
 /// Loses a node's disk once all nodes are voters and up to date, so that a quorum of disks with all data remains.
-void loseDiskWhenAllVote(log_world& world, std::size_t node)
+void loseDiskWhenAllVote(simulated_cluster& cluster, std::size_t node)
 {
-    world.heal();
+    cluster.heal();
     for (int round = 0; round < 100; ++round) {
-        world.run(20);
-        const auto leader = world.leader();
+        cluster.run(20);
+        const auto leader = cluster.leader();
         if (!leader)
             continue;
-        const auto& members = world.nodes()[*leader].process->members();
+        const auto& members = cluster.nodes()[*leader].process->members();
         const auto isVoter = [&](const auto& one) {
             return std::any_of(members.begin(), members.end(),
                 [&](const auto& member) { return member.id == one.id && member.voter; });
         };
-        if (std::all_of(world.nodes().begin(), world.nodes().end(), isVoter)) {
-            world.run(50);
-            world.loseDisk(node);
+        if (std::all_of(cluster.nodes().begin(), cluster.nodes().end(), isVoter)) {
+            cluster.run(50);
+            cluster.loseDisk(node);
             return;
         }
     }
@@ -54,47 +54,47 @@
 
 /// Injects a fault or performs an action, then proposes a command.
 /// @param draw random number that selects the action and the node
-void injectFault(log_world& world, std::uint32_t draw, int number, bool canLoseDisks)
+void injectFault(simulated_cluster& cluster, std::uint32_t draw, int number, bool canLoseDisks)
 {
-    const std::size_t node = draw / 16 % world.nodes().size();
+    const std::size_t node = draw / 16 % cluster.nodes().size();
     switch (draw % 12) {
     case 0:
-        world.crash(node, crash_point::BeforePersist);
+        cluster.crash(node, crash_point::BeforePersist);
         break;
     case 1:
-        world.crash(node, crash_point::AfterPersist);
+        cluster.crash(node, crash_point::AfterPersist);
         break;
     case 2:
-        world.crash(node, crash_point::AfterSend);
+        cluster.crash(node, crash_point::AfterSend);
         break;
     case 3:
     case 4:
-        world.restart(node);
+        cluster.restart(node);
         break;
     case 5:
-        world.isolate(node, true);
+        cluster.setIsolated(node, true);
         break;
     case 6:
-        world.isolate(node, false);
+        cluster.setIsolated(node, false);
         break;
     case 7:
-        world.setLoss(draw / 256 % 3 * 0.15);
+        cluster.setLossProbability(draw / 256 % 3 * 0.15);
         break;
     case 8:
-        world.compact(node);
+        cluster.compact(node);
         break;
     case 9:
-        world.read();
+        cluster.read();
         break;
     case 10:
         if (canLoseDisks)
-            loseDiskWhenAllVote(world, node);
+            loseDiskWhenAllVote(cluster, node);
         break;
     default:
         break;
     }
-    world.propose("command-" + std::to_string(number));
-    world.run(static_cast<int>(draw / 4096 % 40));
+    cluster.propose("command-" + std::to_string(number));
+    cluster.run(static_cast<int>(draw / 4096 % 40));
 }
 
 /// Generates a schedule of faults: the random numbers for injectFault().
@@ -103,9 +103,9 @@
     return rc::gen::container<std::vector<std::uint32_t>>(rc::gen::inRange<std::uint32_t>(0, 1U << 30U));
 }
 
-std::vector<std::string> distinctViolations(const log_world& world)
+std::vector<std::string> distinctViolations(const simulated_cluster& cluster)
 {
-    auto all = world.violations();
+    auto all = cluster.violations();
     all.erase(std::unique(all.begin(), all.end()), all.end());
     return all;
 }
@@ -116,22 +116,22 @@
 {
     rc::prop("three replicas", [](std::uint64_t seed) {
         const auto draws = *schedule();
-        log_world world(3, seed);
+        simulated_cluster cluster(3, seed);
         for (std::size_t at = 0; at < draws.size(); ++at)
-            injectFault(world, draws[at], static_cast<int>(at), false);
-        RC_ASSERT(distinctViolations(world).empty());
-        checkRecovers(world, "last");
-        RC_ASSERT(distinctViolations(world).empty());
+            injectFault(cluster, draws[at], static_cast<int>(at), false);
+        RC_ASSERT(distinctViolations(cluster).empty());
+        checkRecovers(cluster, "last");
+        RC_ASSERT(distinctViolations(cluster).empty());
     });
     rc::prop("five replicas", [](std::uint64_t seed) {
         const auto draws = *schedule();
         replica_options options;
         options.initialElectionTimeoutMax = milliseconds(seed % 2 * 300); // in half of the cases
-        log_world world(5, seed, options);
+        simulated_cluster cluster(5, seed, options);
         for (std::size_t at = 0; at < draws.size(); ++at)
-            injectFault(world, draws[at], static_cast<int>(at), true);
-        checkRecovers(world, "last");
-        RC_ASSERT(distinctViolations(world).empty());
+            injectFault(cluster, draws[at], static_cast<int>(at), true);
+        checkRecovers(cluster, "last");
+        RC_ASSERT(distinctViolations(cluster).empty());
     });
 }
 
@@ -141,88 +141,88 @@
     // command. Otherwise the checker misses such violations.
     bool noticed = false;
     for (std::uint64_t seed = 1; seed <= 200 && !noticed; ++seed) {
-        log_world world(3, seed);
-        world.forgetVotes = true;
+        simulated_cluster cluster(3, seed);
+        cluster.skipHardState = true;
         std::mt19937_64 random(seed);
         for (int at = 0; at < 60; ++at)
-            injectFault(world, static_cast<std::uint32_t>(random()), at, false);
-        noticed = !world.violations().empty();
+            injectFault(cluster, static_cast<std::uint32_t>(random()), at, false);
+        noticed = !cluster.violations().empty();
     }
     CHECK(noticed);
 }
 
 TEST_CASE("replica: confirmed reads include every command committed before the request", "[agreement]")
 {
-    log_world world(3, 7);
+    simulated_cluster cluster(3, 7);
     for (int round = 0; round < 200; ++round) {
-        world.propose("c" + std::to_string(round));
+        cluster.propose("c" + std::to_string(round));
         if (round % 20 == 5)
-            world.isolate(*world.leader(), true);
+            cluster.setIsolated(*cluster.leader(), true);
         if (round % 20 == 15)
-            world.heal();
-        world.read();
-        world.run(10);
+            cluster.heal();
+        cluster.read();
+        cluster.run(10);
     }
-    CHECK(world.violations().empty());
-    CHECK(world.readsAnswered() > 20);
+    CHECK(cluster.violations().empty());
+    CHECK(cluster.confirmedReadCount() > 20);
 }
 
 TEST_CASE("replica: a leader partitioned from its quorum steps down", "[agreement]")
 {
-    log_world world(3, 11);
-    const auto old = world.leader();
+    simulated_cluster cluster(3, 11);
+    const auto old = cluster.leader();
     REQUIRE(old);
-    world.isolate(*old, true);
-    world.run(400);
-    CHECK(world.nodes()[*old].process->role() != replica_role::Leader);
-    CHECK(world.leader());
+    cluster.setIsolated(*old, true);
+    cluster.run(400);
+    CHECK(cluster.nodes()[*old].process->role() != replica_role::Leader);
+    CHECK(cluster.leader());
 }
 
 TEST_CASE("replica: a member that returns after a long partition does not depose the leader", "[agreement]")
 {
-    log_world world(3, 13);
-    const auto leader = *world.leader();
+    simulated_cluster cluster(3, 13);
+    const auto leader = *cluster.leader();
     const std::size_t other = (leader + 1) % 3;
-    const auto term = world.nodes()[leader].process->term();
-    world.isolate(other, true);
-    world.run(1000);
-    world.isolate(other, false);
-    world.run(300);
-    CHECK(world.leader() == leader);
-    CHECK(world.nodes()[leader].process->term() == term);
+    const auto term = cluster.nodes()[leader].process->term();
+    cluster.setIsolated(other, true);
+    cluster.run(1000);
+    cluster.setIsolated(other, false);
+    cluster.run(300);
+    CHECK(cluster.leader() == leader);
+    CHECK(cluster.nodes()[leader].process->term() == term);
 }
 
 TEST_CASE("replica: a lost disk is replaced, and a second member may fail right after the replacement", "[agreement]")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        log_world world(3, seed);
-        world.propose("kept");
-        world.run(50);
+        simulated_cluster cluster(3, seed);
+        cluster.propose("kept");
+        cluster.run(50);
         const std::size_t lost = seed % 3;
-        world.loseDisk(lost);
+        cluster.loseDisk(lost);
         // The replacement is complete when the replica with the blank disk is a voter. Until then committed commands
         // must remain available.
         bool repaired = false;
         for (int round = 0; round < 200 && !repaired; ++round) {
-            world.run(10);
-            const auto leader = world.leader();
+            cluster.run(10);
+            const auto leader = cluster.leader();
             if (!leader)
                 continue;
-            const auto& members = world.nodes()[*leader].process->members();
-            const auto& id = world.nodes()[lost].id;
+            const auto& members = cluster.nodes()[*leader].process->members();
+            const auto& id = cluster.nodes()[lost].id;
             repaired = members.size() == 3 && std::any_of(members.begin(), members.end(), [&](const auto& one) {
                 return one.id == id && one.voter;
             });
         }
         REQUIRE(repaired);
-        world.crash((lost + 1) % 3, crash_point::AfterPersist);
-        world.run(600);
-        world.propose("after");
-        world.run(100);
-        const auto& applied = world.nodes()[lost].applied;
+        cluster.crash((lost + 1) % 3, crash_point::AfterPersist);
+        cluster.run(600);
+        cluster.propose("after");
+        cluster.run(100);
+        const auto& applied = cluster.nodes()[lost].applied;
         CHECK(std::find(applied.begin(), applied.end(), "kept") != applied.end());
         CHECK(std::find(applied.begin(), applied.end(), "after") != applied.end());
-        CHECK(world.violations().empty());
+        CHECK(cluster.violations().empty());
     }
 }
 
@@ -233,30 +233,30 @@
     const std::size_t maxLostDisks = (members - 1) / 2;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         CAPTURE(members, seed);
-        log_world world(members, seed);
+        simulated_cluster cluster(members, seed);
         // With message loss some members lag, so the last command is on a bare quorum when it is acknowledged.
-        world.setLoss(0.3);
+        cluster.setLossProbability(0.3);
         for (int at = 0; at < 5; ++at) {
-            world.propose("early-" + std::to_string(at));
-            world.run(20);
+            cluster.propose("early-" + std::to_string(at));
+            cluster.run(20);
         }
-        const std::size_t before = world.committed().size();
-        world.propose("last");
-        for (int step = 0; step < 400 && world.committed().size() == before; ++step)
-            world.run(1);
-        REQUIRE(world.committed().size() > before);
-        const auto acknowledged = world.committed();
+        const std::size_t before = cluster.committed().size();
+        cluster.propose("last");
+        for (int step = 0; step < 400 && cluster.committed().size() == before; ++step)
+            cluster.run(1);
+        REQUIRE(cluster.committed().size() > before);
+        const auto acknowledged = cluster.committed();
         // All members crash as soon as the command is committed. Some lose their disks; for every second seed the
         // leader is one of them.
-        const auto leader = world.leader();
+        const auto leader = cluster.leader();
         const std::size_t first = leader && seed % 2 == 0 ? *leader : seed % members;
         for (std::size_t at = 0; at < members; ++at)
-            world.crash((first + at) % members, at % 2 == 0 ? crash_point::BeforePersist : crash_point::AfterPersist);
+            cluster.crash((first + at) % members, at % 2 == 0 ? crash_point::BeforePersist : crash_point::AfterPersist);
         for (std::size_t at = 0; at < maxLostDisks; ++at)
-            world.loseDisk((first + at) % members);
-        world.heal();
+            cluster.loseDisk((first + at) % members);
+        cluster.heal();
         const auto holdsAll = [&] {
-            return std::all_of(world.nodes().begin(), world.nodes().end(), [&](const auto& node) {
+            return std::all_of(cluster.nodes().begin(), cluster.nodes().end(), [&](const auto& node) {
                 return std::all_of(acknowledged.begin(), acknowledged.end(), [&](const auto& command) {
                     return std::find(node.applied.begin(), node.applied.end(), command) != node.applied.end();
                 });
@@ -264,33 +264,33 @@
         };
         bool isRecovered = false;
         for (int round = 0; round < 200 && !isRecovered; ++round) {
-            world.run(20);
-            world.propose("after-" + std::to_string(round));
+            cluster.run(20);
+            cluster.propose("after-" + std::to_string(round));
             isRecovered = holdsAll();
         }
         CHECK(isRecovered);
-        CHECK(world.violations().empty());
+        CHECK(cluster.violations().empty());
     }
 }
 
 TEST_CASE("replica: a member hundreds of commands behind catches up through a snapshot", "[agreement]")
 {
-    log_world world(3, 17);
-    const auto leader = *world.leader();
+    simulated_cluster cluster(3, 17);
+    const auto leader = *cluster.leader();
     const std::size_t behind = (leader + 1) % 3;
-    world.crash(behind, crash_point::AfterPersist);
+    cluster.crash(behind, crash_point::AfterPersist);
     for (int at = 0; at < 600; ++at) {
-        world.propose("c" + std::to_string(at));
-        world.run(1);
+        cluster.propose("c" + std::to_string(at));
+        cluster.run(1);
     }
-    world.run(50);
+    cluster.run(50);
     for (std::size_t node = 0; node < 3; ++node)
-        world.compact(node);
-    world.restart(behind);
-    world.run(300);
-    CHECK(world.nodes()[behind].applied == world.nodes()[leader].applied);
-    CHECK(world.nodes()[behind].process->snapshotIndex() > 500);
-    CHECK(world.violations().empty());
+        cluster.compact(node);
+    cluster.restart(behind);
+    cluster.run(300);
+    CHECK(cluster.nodes()[behind].applied == cluster.nodes()[leader].applied);
+    CHECK(cluster.nodes()[behind].process->snapshotIndex() > 500);
+    CHECK(cluster.violations().empty());
 }
 
 TEST_CASE("replica: members that start one after another elect a leader soon after a quorum is up", "[agreement]")
@@ -299,36 +299,36 @@
     replica_options options;
     options.initialElectionTimeoutMax = milliseconds(250);
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
-        log_world world(3, seed, options);
-        world.run(stepsPerSecond);
+        simulated_cluster cluster(3, seed, options);
+        cluster.run(stepsPerSecond);
         for (std::size_t node = 0; node < 3; ++node)
-            world.crash(node, crash_point::None);
-        world.restart(0);
-        world.run(stepsPerSecond / 3); // its first elections find no other member
-        world.restart(1);
+            cluster.crash(node, crash_point::None);
+        cluster.restart(0);
+        cluster.run(stepsPerSecond / 3); // its first elections find no other member
+        cluster.restart(1);
         // Two initial election timeouts of at most 250 ms each. The usual ones are at least 700 ms.
-        world.run(stepsPerSecond / 2);
-        CHECK(world.leader());
-        CHECK(world.violations().empty());
+        cluster.run(stepsPerSecond / 2);
+        CHECK(cluster.leader());
+        CHECK(cluster.violations().empty());
     }
 }
 
 TEST_CASE("replica: leadership is transferred without waiting for an election timeout", "[agreement]")
 {
-    log_world world(3, 19);
-    const auto old = *world.leader();
-    world.nodes()[old].process->transferLeadership();
-    world.run(10);
-    const auto fresh = world.leader();
+    simulated_cluster cluster(3, 19);
+    const auto old = *cluster.leader();
+    cluster.nodes()[old].process->transferLeadership();
+    cluster.run(10);
+    const auto fresh = cluster.leader();
     REQUIRE(fresh);
     CHECK(*fresh != old);
 }
 
 TEST_CASE("replica: members change by one voter at a time, and a log is initialized only once", "[agreement]")
 {
-    log_world world(3, 23);
-    world.run(100);
-    auto& leader = *world.nodes()[*world.leader()].process;
+    simulated_cluster cluster(3, 23);
+    cluster.run(100);
+    auto& leader = *cluster.nodes()[*cluster.leader()].process;
     CHECK_FALSE(leader.initialize("again", steady_time {}));
     const auto result = leader.proposeMembers({ member { leader.self(), "a", true } });
     REQUIRE_FALSE(result);
@@ -337,27 +337,27 @@
 
 TEST_CASE("replica: a faulted replica sends no messages", "[agreement]")
 {
-    log_world world(3, 29);
-    const auto leader = *world.leader();
+    simulated_cluster cluster(3, 29);
+    const auto leader = *cluster.leader();
     const std::size_t other = (leader + 1) % 3;
-    auto& faulted = *world.nodes()[other].process;
+    auto& faulted = *cluster.nodes()[other].process;
     faulted.markFaulted();
-    world.propose("x");
-    world.run(100);
+    cluster.propose("x");
+    cluster.run(100);
     CHECK(faulted.role() == replica_role::Faulted);
     CHECK(faulted.takeEffects().messages.empty());
-    CHECK(world.nodes()[leader].applied.back() == "x");
+    CHECK(cluster.nodes()[leader].applied.back() == "x");
 }
 
 TEST_CASE("admission: a dead voter is removed only if that does not reduce fault tolerance", "[agreement]")
 {
-    log_world world(4, 11);
-    world.heal();
+    simulated_cluster cluster(4, 11);
+    cluster.heal();
     for (int round = 0; round < 400; ++round)
-        world.run(20);
-    const auto leader = world.leader();
+        cluster.run(20);
+    const auto leader = cluster.leader();
     REQUIRE(leader);
-    const auto& replica = *world.nodes()[*leader].process;
+    const auto& replica = *cluster.nodes()[*leader].process;
     const auto voters = std::count_if(
         replica.members().begin(), replica.members().end(), [](const member& one) { return one.voter; });
     REQUIRE(voters == 4);
@@ -369,7 +369,7 @@
     CHECK(left->size() == 3);
     CHECK_FALSE(withoutDeadMember(replica, {}, {}, steady_time {}));
 
-    log_world three(3, 11);
+    simulated_cluster three(3, 11);
     three.heal();
     for (int round = 0; round < 400; ++round)
         three.run(20);
--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -61,8 +61,8 @@
 
 std::uint64_t configurationVersion(const cluster& system)
 {
-    const auto answer = system.operate("GET", "/v1/config");
-    return answer.status == 200 ? answer.body["version"].get<std::uint64_t>() : 0;
+    const auto response = system.callControllers("GET", "/v1/config");
+    return response.status == 200 ? response.body["version"].get<std::uint64_t>() : 0;
 }
 
 cluster_spec twoTargets()
@@ -77,7 +77,7 @@
 TEST_CASE("processes: no request fails when the leader is killed, and changes are still accepted", "[process]")
 {
     cluster system(twoTargets());
-    steady_callers callers(4, traffic(system, { "entry-0", "entry-1" }));
+    background_callers callers(4, traffic(system, { "entry-0", "entry-1" }));
     std::this_thread::sleep_for(milliseconds(500));
     const std::string old = system.leader();
     REQUIRE_FALSE(old.empty());
@@ -98,7 +98,7 @@
     cluster_spec spec = twoTargets();
     spec.targets.push_back({ "openai" });
     cluster system(spec);
-    steady_callers callers(6, traffic(system, { "entry-0", "entry-1" }));
+    background_callers callers(6, traffic(system, { "entry-0", "entry-1" }));
     std::this_thread::sleep_for(milliseconds(600));
     system.killHard("sidecar-0");
     std::this_thread::sleep_for(milliseconds(600));
@@ -118,7 +118,7 @@
     spec.targets[1].tokenMs = 60;
     cluster system(spec);
     // Like a load balancer, callers use an entry only while it is ready.
-    steady_callers callers(4, [&](std::size_t thread, std::size_t number) {
+    background_callers callers(4, [&](std::size_t thread, std::size_t number) {
         const bool first = thread % 2 == 0 && system.isReady("entry-0");
         const std::string prompt = "p" + std::to_string(thread) + "-" + std::to_string(number);
         return system.complete(first ? "entry-0" : "entry-1", prompt, 6, thread < 2);
@@ -141,8 +141,8 @@
 TEST_CASE("processes: a draining target gets no new requests after two seconds", "[process]")
 {
     cluster system(twoTargets());
-    CHECK(system.operate("POST", "/v1/instances/sidecar-0/drain").status == 200);
-    CHECK(system.operate("POST", "/v1/instances/nobody/drain").status == 404);
+    CHECK(system.callControllers("POST", "/v1/instances/sidecar-0/drain").status == 200);
+    CHECK(system.callControllers("POST", "/v1/instances/nobody/drain").status == 404);
     std::this_thread::sleep_for(seconds(2));
     const auto before = system.executions().size();
     for (int at = 0; at < 20; ++at)
@@ -151,13 +151,13 @@
     CHECK(after.size() == before + 20);
     for (std::size_t at = before; at < after.size(); ++at)
         CHECK(after[at].target == "target-1");
-    CHECK(system.operate("POST", "/v1/instances/sidecar-0/undrain").status == 200);
+    CHECK(system.callControllers("POST", "/v1/instances/sidecar-0/undrain").status == 200);
 }
 
 TEST_CASE("processes: a sidecar suspended past its lease violates nothing when it resumes", "[process]")
 {
     cluster system(twoTargets());
-    steady_callers callers(4, traffic(system, { "entry-0", "entry-1" }));
+    background_callers callers(4, traffic(system, { "entry-0", "entry-1" }));
     std::this_thread::sleep_for(milliseconds(500));
     system.signal("sidecar-0", SIGSTOP);
     std::this_thread::sleep_for(seconds(4));
@@ -181,9 +181,9 @@
     CHECK(waitUntil([&] { return system.call(other, "PUT", "/v1/config", change.dump()).status == 200; }, seconds(20)));
     system.signal(old, SIGCONT);
     for (int at = 0; at < 20; ++at) {
-        const auto answer = system.call(old, "GET", "/v1/config");
-        if (answer.status == 200)
-            CHECK(answer.body["version"] == 2);
+        const auto response = system.call(old, "GET", "/v1/config");
+        if (response.status == 200)
+            CHECK(response.body["version"] == 2);
         std::this_thread::sleep_for(milliseconds(50));
     }
     CHECK(waitUntil([&] { return system.call(old, "GET", "/v1/config").status == 200; }, seconds(10)));
@@ -216,7 +216,7 @@
     system.loseDisk("controller-1");
     system.start("controller-1");
     const auto repaired = [&] {
-        const auto status = system.operate("GET", "/v1/status");
+        const auto status = system.callControllers("GET", "/v1/status");
         std::size_t voters = 0;
         for (const auto& member : status.body["controllers"])
             voters += member["voter"].get<bool>() ? 1 : 0;
@@ -238,8 +238,8 @@
     cluster_spec spec;
     spec.targets = { { "plain_service", "booking" }, { "plain_service", "booking" } };
     cluster system(spec);
-    system.orderFault("target-0", { { "service_ms", 700 } });
-    system.orderFault("target-1", { { "service_ms", 700 } });
+    system.injectFault("target-0", { { "service_ms", 700 } });
+    system.injectFault("target-1", { { "service_ms", 700 } });
     std::vector<caller_record> records(6);
     std::vector<std::thread> threads;
     for (std::size_t at = 0; at < 4; ++at)
@@ -277,20 +277,21 @@
         document["workspaces"][name] = json::object();
         return document;
     };
-    std::vector<http_answer> answers(6);
+    std::vector<http_response> responses(6);
     std::vector<std::thread> operators;
-    for (std::size_t at = 0; at < answers.size(); ++at) {
+    for (std::size_t at = 0; at < responses.size(); ++at) {
         const std::string name = "race-" + std::to_string(at);
-        operators.emplace_back([&, at, name] { answers[at] = system.putConfiguration(withWorkspace(name), 1, name); });
+        operators.emplace_back(
+            [&, at, name] { responses[at] = system.putConfiguration(withWorkspace(name), 1, name); });
     }
     for (auto& one : operators)
         one.join();
     std::size_t acceptedCount = 0;
-    for (std::size_t at = 0; at < answers.size(); ++at) {
-        CHECK((answers[at].status == 200 || answers[at].status == 409));
-        acceptedCount += answers[at].status == 200 ? 1 : 0;
+    for (std::size_t at = 0; at < responses.size(); ++at) {
+        CHECK((responses[at].status == 200 || responses[at].status == 409));
+        acceptedCount += responses[at].status == 200 ? 1 : 0;
         const std::string name = "race-" + std::to_string(at);
-        CHECK(system.putConfiguration(withWorkspace(name), 1, name).status == answers[at].status);
+        CHECK(system.putConfiguration(withWorkspace(name), 1, name).status == responses[at].status);
     }
     CHECK(acceptedCount == 1);
     CHECK(configurationVersion(system) == 2);
@@ -307,8 +308,8 @@
     system.start(lagging);
     system.start("entry-1");
     const auto caughtUp = [&] {
-        const auto answer = system.call(lagging, "GET", "/v1/config");
-        return answer.status == 200 && answer.body["version"] == 302;
+        const auto response = system.call(lagging, "GET", "/v1/config");
+        return response.status == 200 && response.body["version"] == 302;
     };
     CHECK(waitUntil(caughtUp, seconds(20)));
     CHECK(waitUntil([&] { return system.isReady("entry-1"); }, seconds(20)));
@@ -335,7 +336,7 @@
     spec.targets = { { "layer_range", "hull-report", 0, 3 }, { "layer_range", "hull-report", 3, 8 },
         { "layer_range", "hull-report", 0, 3 }, { "layer_range", "hull-report", 3, 8 } };
     cluster system(spec);
-    steady_callers callers(3, [&](std::size_t thread, std::size_t number) {
+    background_callers callers(3, [&](std::size_t thread, std::size_t number) {
         const std::string prompt = "hull " + std::to_string(thread) + "-" + std::to_string(number);
         return system.complete("entry-" + std::to_string(thread % 2), prompt, 8, thread == 0, "hull-inspection");
     });
@@ -360,7 +361,7 @@
     spec.targets.push_back({ "openai" });
     spec.targets[0].viaRelay = true;
     cluster system(spec);
-    steady_callers callers(4, traffic(system, { "entry-0", "entry-1" }));
+    background_callers callers(4, traffic(system, { "entry-0", "entry-1" }));
     std::this_thread::sleep_for(milliseconds(600));
     system.setSilent("sidecar-0", true);
     std::this_thread::sleep_for(milliseconds(300));
@@ -376,8 +377,8 @@
 TEST_CASE("processes: an answer that a target sends twice or late reaches the caller once and complete", "[process]")
 {
     cluster system(twoTargets());
-    system.orderFault("target-0", { { "answers_twice", true }, { "answer_late_ms", 2500 } });
-    system.orderFault("target-1", { { "answers_twice", true } });
+    system.injectFault("target-0", { { "answers_twice", true }, { "answer_late_ms", 2500 } });
+    system.injectFault("target-1", { { "answers_twice", true } });
     std::vector<caller_record> records;
     for (int at = 0; at < 12; ++at)
         records.push_back(system.complete("entry-0", "p" + std::to_string(at), 4, at % 2 == 0));
@@ -388,13 +389,13 @@
 TEST_CASE("processes: a version is switched under traffic, and its last ready copy is never removed", "[process]")
 {
     cluster system(twoTargets());
-    steady_callers callers(3, traffic(system, { "entry-0", "entry-1" }));
+    background_callers callers(3, traffic(system, { "entry-0", "entry-1" }));
     const auto order = [&](const std::string& instance, const std::string& version) {
-        return system.operate("POST", "/v1/instances/" + instance + "/order",
+        return system.callControllers("POST", "/v1/instances/" + instance + "/order",
             json({ { "model", "essay-review" }, { "version", version } }).dump());
     };
     const auto serves = [&](const std::string& instance, const std::string& version) {
-        const auto status = system.operate("GET", "/v1/status");
+        const auto status = system.callControllers("GET", "/v1/status");
         for (const auto& row : status.body["instances"]) {
             if (row["id"] == instance)
                 return row["state"] == "ready" && row["target"]["version"] == version;
@@ -421,11 +422,11 @@
     const std::map<std::string, std::string> workspace { { "X-Workspace", "w1" } };
     const auto errorName
         = [&](const std::string& path, const std::string& body, std::map<std::string, std::string> headers) {
-              const auto answer = system.call("entry-0", "POST", path, body, headers);
-              CHECK(answer.status >= 400);
-              CHECK(answer.status < 500);
-              CHECK(answer.body["error"]["ran"] == "no");
-              return answer.body["error"]["name"].get<std::string>();
+              const auto response = system.call("entry-0", "POST", path, body, headers);
+              CHECK(response.status >= 400);
+              CHECK(response.status < 500);
+              CHECK(response.body["error"]["ran"] == "no");
+              return response.body["error"]["name"].get<std::string>();
           };
     const std::string good = R"({"model":"essay-summary","prompt":"x"})";
     CHECK(errorName("/v1/completions", "{", workspace) == "malformed_request");
@@ -442,7 +443,7 @@
     CHECK(errorName("/nowhere", "", workspace) == "not_found");
     const std::string deep(200000, '[');
     CHECK(errorName("/v1/completions", deep, workspace) == "malformed_request");
-    CHECK(system.operate("POST", "/v1/config/check", deep).status == 422);
-    CHECK(system.operate("PUT", "/v1/config", R"({"base":1,"change_id":"d","document":)" + deep).status == 400);
+    CHECK(system.callControllers("POST", "/v1/config/check", deep).status == 422);
+    CHECK(system.callControllers("PUT", "/v1/config", R"({"base":1,"change_id":"d","document":)" + deep).status == 400);
     CHECK(system.executions().empty());
 }
--- a/tests/support/cluster.cpp
+++ b/tests/support/cluster.cpp
@@ -22,36 +22,36 @@
 using nlohmann::json;
 
 constexpr std::uint32_t layers = 8;
-constexpr milliseconds callPatience { 30000 };
+constexpr milliseconds callTimeout { 30000 };
 
-ran_state ranOf(const json& error)
+ran_state parseRanState(const json& error)
 {
-    const std::string word = error.value("ran", "unknown");
-    return word == "no" ? ran_state::No : word == "yes" ? ran_state::Yes : ran_state::Unknown;
+    const std::string text = error.value("ran", "unknown");
+    return text == "no" ? ran_state::No : text == "yes" ? ran_state::Yes : ran_state::Unknown;
 }
 
-void takeError(const json& body, caller_record& record)
+void recordError(const json& body, caller_record& record)
 {
     const json error = body.is_object() ? body.value("error", json::object()) : json::object();
     record.code = resultFromNumber(error.value("code", std::uint16_t { 4004 })).value_or(result_code::OutcomeUnknown);
-    record.ran = ranOf(error);
+    record.ran = parseRanState(error);
 }
 
 } // namespace
 
 cluster::cluster(const cluster_spec& spec)
 {
-    auto pattern = (std::filesystem::temp_directory_path() / "buckthornrail-XXXXXX").string();
-    if (::mkdtemp(pattern.data()) == nullptr)
+    auto folder = (std::filesystem::temp_directory_path() / "buckthornrail-XXXXXX").string();
+    if (::mkdtemp(folder.data()) == nullptr)
         throw std::runtime_error("no folder for the cluster");
-    m_folder = pattern;
+    m_folder = folder;
     std::signal(SIGPIPE, SIG_IGN);
-    writeSettings(spec);
-    for (const auto& name : m_order)
+    defineProcesses(spec);
+    for (const auto& name : m_startOrder)
         start(name);
-    const auto formed = [&] { return call("controller-0", "POST", "/v1/cluster/init", "{}").status == 200; };
-    const auto whole = [&] {
-        const auto status = operate("GET", "/v1/status");
+    const auto initialized = [&] { return call("controller-0", "POST", "/v1/cluster/init", "{}").status == 200; };
+    const auto allVote = [&] {
+        const auto status = callControllers("GET", "/v1/status");
         if (status.status != 200)
             return false;
         std::size_t voters = 0;
@@ -62,12 +62,12 @@
     const auto configured = [&] { return putConfiguration(standardDocument(), 0, "first").status == 200; };
     const auto ready = [&] {
         return allReady()
-            && operate("GET", "/v1/status").body["instances"].size() == spec.entries + spec.targets.size();
+            && callControllers("GET", "/v1/status").body["instances"].size() == spec.entries + spec.targets.size();
     };
     using std::chrono::seconds;
-    if (!waitUntil(formed, seconds(20)) || !waitUntil(whole, seconds(20)) || !waitUntil(configured, seconds(20))
+    if (!waitUntil(initialized, seconds(20)) || !waitUntil(allVote, seconds(20)) || !waitUntil(configured, seconds(20))
         || !waitUntil(ready, seconds(20))) {
-        for (const auto& name : m_order)
+        for (const auto& name : m_startOrder)
             std::cerr << "== " << name << "\n" << logOf(name);
         throw std::runtime_error("the cluster did not come up");
     }
@@ -84,7 +84,7 @@
     std::filesystem::remove_all(m_folder, ignored);
 }
 
-void cluster::writeSettings(const cluster_spec& spec)
+void cluster::defineProcesses(const cluster_spec& spec)
 {
     std::string controllers;
     std::vector<std::string> links;
@@ -93,9 +93,10 @@
         controllers += (at == 0 ? "" : ",") + links.back();
     }
     const auto common = [&](const std::string& name, const std::string& domain) {
-        m_http[name] = freeAddress();
-        return "[instance]\nid = " + name + "\nfailure_domain = " + domain + "\n[http]\naddress = " + m_http[name]
-            + "\n[controllers]\naddresses = " + controllers + "\nlease_ms = " + std::to_string(spec.leaseMs) + "\n";
+        m_httpAddresses[name] = freeAddress();
+        return "[instance]\nid = " + name + "\nfailure_domain = " + domain
+            + "\n[http]\naddress = " + m_httpAddresses[name] + "\n[controllers]\naddresses = " + controllers
+            + "\nlease_ms = " + std::to_string(spec.leaseMs) + "\n";
     };
     const auto add = [&](const std::string& name, const std::string& role, const std::string& text) {
         const std::string file = m_folder + "/" + name + ".ini";
@@ -104,8 +105,8 @@
     };
     for (std::size_t at = 0; at < spec.controllers; ++at) {
         const std::string name = "controller-" + std::to_string(at);
-        m_controllers.push_back(name);
-        m_controllerLinks.push_back(links[at]);
+        m_controllerNames.push_back(name);
+        m_controllerLinkAddresses.push_back(links[at]);
         add(name, "controller",
             common(name, "domain-" + std::to_string(at)) + "[link]\naddress = " + links[at] + "\n[storage]\nfolder = "
                 + m_folder + "/data-" + name + "\nelection_timeout_ms = " + std::to_string(spec.electionTimeoutMs)
@@ -122,10 +123,10 @@
         const auto& target = spec.targets[at];
         const std::string name = "sidecar-" + std::to_string(at);
         const std::string targetName = "target-" + std::to_string(at);
-        m_targets[targetName] = freeAddress();
+        m_targetAddresses[targetName] = freeAddress();
         addProcess(targetName,
-            { binaryPath("tools/stand_in_target"), "--address", m_targets[targetName], "--name", targetName, "--log",
-                m_folder + "/executions.jsonl", "--layers", std::to_string(layers), "--token-ms",
+            { binaryPath("tools/stand_in_target"), "--address", m_targetAddresses[targetName], "--name", targetName,
+                "--log", m_folder + "/executions.jsonl", "--layers", std::to_string(layers), "--token-ms",
                 std::to_string(target.tokenMs), "--slots", std::to_string(target.slots), "--report-lag-ms",
                 std::to_string(spec.reportLagMs), "--prefill-us-per-byte", std::to_string(spec.prefillUsPerByte),
                 "--cache", std::to_string(spec.cacheEntries) });
@@ -136,7 +137,7 @@
             m_relays[name] = std::make_unique<relay>(link);
             text += "announce = " + m_relays[name]->address() + "\n";
         }
-        text += "[target]\nkind = " + target.kind + "\naddress = " + m_targets[targetName]
+        text += "[target]\nkind = " + target.kind + "\naddress = " + m_targetAddresses[targetName]
             + "\nprobe_ms = 200\nslots = " + std::to_string(target.slots)
             + "\nqueue_limit = " + std::to_string(spec.queueLimit) + "\n";
         if (target.kind == "plain_service")
@@ -153,7 +154,7 @@
 void cluster::addProcess(const std::string& name, const std::vector<std::string>& command)
 {
     m_commands[name] = command;
-    m_order.push_back(name);
+    m_startOrder.push_back(name);
 }
 
 void cluster::start(const std::string& name)
@@ -163,9 +164,9 @@
 
 void cluster::signal(const std::string& name, int number) { ::kill(m_pids.at(name), number); }
 
-int cluster::waitForExit(const std::string& name, std::chrono::milliseconds patience)
+int cluster::waitForExit(const std::string& name, std::chrono::milliseconds timeout)
 {
-    const int status = waitForProcess(m_pids.at(name), patience);
+    const int status = waitForProcess(m_pids.at(name), timeout);
     if (status != -1)
         m_pids.erase(name);
     return status;
@@ -179,49 +180,50 @@
 
 void cluster::loseDisk(const std::string& controller) { std::filesystem::remove_all(m_folder + "/data-" + controller); }
 
-void cluster::orderFault(const std::string& target, const json& fault)
+void cluster::injectFault(const std::string& target, const json& fault)
 {
     http::client_request request;
-    request.address = m_targets.at(target);
+    request.address = m_targetAddresses.at(target);
     request.method = "POST";
     request.path = "/stand_in/fault";
     request.body = fault.dump();
-    request.deadline = buckthornrail::boot_clock::now() + callPatience;
+    request.deadline = buckthornrail::boot_clock::now() + callTimeout;
     (void)http::call(request);
 }
 
-http_answer cluster::call(const std::string& process, const std::string& method, const std::string& path,
+http_response cluster::call(const std::string& process, const std::string& method, const std::string& path,
     const std::string& body, const std::map<std::string, std::string>& headers) const
 {
     http::client_request request;
-    request.address = m_http.at(process);
+    request.address = m_httpAddresses.at(process);
     request.method = method;
     request.path = path;
     request.body = body;
     request.contentType = "application/json";
-    request.deadline = buckthornrail::boot_clock::now() + callPatience;
+    request.deadline = buckthornrail::boot_clock::now() + callTimeout;
     for (const auto& [name, value] : headers)
         request.headers.push_back({ name, value });
-    const auto response = http::call(request);
-    http_answer answer;
-    if (response.outcome != http::client_outcome::Ok)
-        return answer;
-    answer.status = response.status;
-    answer.text = response.body;
-    answer.body = json::parse(response.body, nullptr, false);
-    for (const auto& header : response.headers) {
+    const auto received = http::call(request);
+    http_response response;
+    if (received.outcome != http::client_outcome::Ok)
+        return response;
+    response.status = received.status;
+    response.text = received.body;
+    response.body = json::parse(received.body, nullptr, false);
+    for (const auto& header : received.headers) {
         if (header.name == "X-Request-Id")
-            answer.requestId = header.value;
+            response.requestId = header.value;
         if (header.name == "Retry-After")
-            answer.retryAfter = header.value;
+            response.retryAfter = header.value;
     }
-    return answer;
+    return response;
 }
 
-http_answer cluster::operate(const std::string& method, const std::string& path, const std::string& body) const
+http_response cluster::callControllers(
+    const std::string& method, const std::string& path, const std::string& body) const
 {
-    http_answer last;
-    for (const auto& name : m_controllers) {
+    http_response last;
+    for (const auto& name : m_controllerNames) {
         if (!m_pids.contains(name))
             continue;
         last = call(name, method, path, body);
@@ -231,33 +233,33 @@
     return last;
 }
 
-http_answer cluster::putConfiguration(const json& document, std::uint64_t base, const std::string& changeId) const
+http_response cluster::putConfiguration(const json& document, std::uint64_t base, const std::string& changeId) const
 {
     const json change = { { "base", base }, { "change_id", changeId }, { "author", "test" }, { "document", document } };
-    return operate("PUT", "/v1/config", change.dump());
+    return callControllers("PUT", "/v1/config", change.dump());
 }
 
 caller_record cluster::complete(const std::string& entry, const std::string& prompt, std::uint32_t tokens, bool streams,
     const std::string& pipeline) const
 {
     const json body = { { "model", pipeline }, { "prompt", prompt }, { "max_tokens", tokens }, { "stream", streams } };
-    const auto answer
+    const auto response
         = call(entry, "POST", "/v1/completions", body.dump(), { { "X-Workspace", "w1" }, { "X-Timeout-Ms", "20000" } });
     caller_record record;
-    record.request = answer.requestId;
+    record.request = response.requestId;
     record.expected = stand_in::expectedAnswer(prompt, tokens, layers);
-    record.answered = answer.status != 0;
+    record.answered = response.status != 0;
     record.ran = ran_state::Yes;
-    if (answer.status != 200) {
-        takeError(answer.body, record);
+    if (response.status != 200) {
+        recordError(response.body, record);
         return record;
     }
     if (!streams) {
-        record.text = answer.body["choices"][0]["text"].get<std::string>();
+        record.text = response.body["choices"][0]["text"].get<std::string>();
         return record;
     }
     record.code = result_code::AnswerIncomplete; // until the last event has come
-    std::istringstream lines(answer.text);
+    std::istringstream lines(response.text);
     bool isError = false;
     for (std::string line; std::getline(lines, line);) {
         isError = isError || line == "event: error";
@@ -267,7 +269,7 @@
             continue;
         const json event = json::parse(line.substr(6));
         if (isError)
-            takeError(event, record);
+            recordError(event, record);
         else
             record.text += event["choices"][0]["text"].get<std::string>();
     }
@@ -276,17 +278,17 @@
 
 caller_record cluster::book(const std::string& entry, const std::string& key, const std::string& body) const
 {
-    const auto answer = call(entry, "POST", "/services/booking/bookings", body,
+    const auto response = call(entry, "POST", "/services/booking/bookings", body,
         { { "X-Workspace", "w1" }, { "Idempotency-Key", key }, { "X-Timeout-Ms", "15000" } });
     caller_record record;
-    record.request = answer.requestId;
+    record.request = response.requestId;
     record.key = key;
-    record.answered = answer.status != 0;
+    record.answered = response.status != 0;
     record.ran = ran_state::Yes;
-    if (answer.status == 201)
-        record.text = answer.text;
+    if (response.status == 201)
+        record.text = response.text;
     else
-        takeError(answer.body, record);
+        recordError(response.body, record);
     record.expected = record.text;
     return record;
 }
@@ -318,7 +320,7 @@
 
 std::string cluster::leader() const
 {
-    for (const auto& name : m_controllers) {
+    for (const auto& name : m_controllerNames) {
         if (!m_pids.contains(name))
             continue;
         const auto status = call(name, "GET", "/v1/status");
@@ -332,7 +334,7 @@
 
 bool cluster::allReady() const
 {
-    for (const auto& [name, address] : m_http) {
+    for (const auto& [name, address] : m_httpAddresses) {
         if (m_pids.contains(name) && !isReady(name))
             return false;
     }
@@ -356,13 +358,13 @@
 
 std::string cluster::logOf(const std::string& name) const { return readFile(m_folder + "/" + name + ".log"); }
 
-steady_callers::steady_callers(
-    std::size_t threads, std::function<caller_record(std::size_t thread, std::size_t number)> ask)
+background_callers::background_callers(
+    std::size_t threads, std::function<caller_record(std::size_t thread, std::size_t number)> sendRequest)
 {
     for (std::size_t thread = 0; thread < threads; ++thread) {
-        m_threads.emplace_back([this, thread, ask] {
+        m_threads.emplace_back([this, thread, sendRequest] {
             for (std::size_t number = 0; !m_stopping; ++number) {
-                auto record = ask(thread, number);
+                auto record = sendRequest(thread, number);
                 const std::scoped_lock lock(m_mutex);
                 m_records.emplace_back(std::chrono::steady_clock::now(), std::move(record));
             }
@@ -370,9 +372,9 @@
     }
 }
 
-steady_callers::~steady_callers() { (void)stop(); }
+background_callers::~background_callers() { (void)stop(); }
 
-std::vector<std::pair<std::chrono::steady_clock::time_point, caller_record>> steady_callers::stop()
+std::vector<std::pair<std::chrono::steady_clock::time_point, caller_record>> background_callers::stop()
 {
     m_stopping = true;
     for (auto& thread : m_threads)
--- a/tests/support/cluster.hpp
+++ b/tests/support/cluster.hpp
@@ -47,7 +47,7 @@
 };
 
 /// What one HTTP call came to; status 0: no answer.
-struct http_answer {
+struct http_response {
     int status = 0;
     nlohmann::json body;
     std::string text;
@@ -66,17 +66,19 @@
     void start(const std::string& name);
     void signal(const std::string& name, int number);
     /// @return the exit status, or -1 when it didn't end in time; -signal when a signal ended it.
-    int waitForExit(const std::string& name, std::chrono::milliseconds patience);
+    int waitForExit(const std::string& name, std::chrono::milliseconds timeout);
     void killHard(const std::string& name);
     void loseDisk(const std::string& controller);
-    void orderFault(const std::string& target, const nlohmann::json& fault);
+    void injectFault(const std::string& target, const nlohmann::json& fault);
     void setSilent(const std::string& sidecar, bool silent) { m_relays.at(sidecar)->setSilent(silent); }
 
-    http_answer call(const std::string& process, const std::string& method, const std::string& path,
+    http_response call(const std::string& process, const std::string& method, const std::string& path,
         const std::string& body = {}, const std::map<std::string, std::string>& headers = {}) const;
     /// @brief Asks the controllers in turn until one confirms.
-    http_answer operate(const std::string& method, const std::string& path, const std::string& body = {}) const;
-    http_answer putConfiguration(const nlohmann::json& document, std::uint64_t base, const std::string& changeId) const;
+    http_response callControllers(
+        const std::string& method, const std::string& path, const std::string& body = {}) const;
+    http_response putConfiguration(
+        const nlohmann::json& document, std::uint64_t base, const std::string& changeId) const;
 
     /// @brief One completion through an entry, judged later by the promises.
     caller_record complete(const std::string& entry, const std::string& prompt, std::uint32_t tokens,
@@ -90,34 +92,35 @@
     [[nodiscard]] static nlohmann::json standardDocument();
     [[nodiscard]] std::string logOf(const std::string& name) const;
     [[nodiscard]] pid_t pidOf(const std::string& name) const { return m_pids.at(name); }
-    [[nodiscard]] const std::vector<std::string>& controllerLinks() const { return m_controllerLinks; }
-    [[nodiscard]] std::string httpAddress(const std::string& name) const { return m_http.at(name); }
+    [[nodiscard]] const std::vector<std::string>& controllerLinkAddresses() const { return m_controllerLinkAddresses; }
+    [[nodiscard]] std::string httpAddress(const std::string& name) const { return m_httpAddresses.at(name); }
     /// @brief True when every known instance is ready.
     [[nodiscard]] bool allReady() const;
 
 private:
-    void writeSettings(const cluster_spec& spec);
+    void defineProcesses(const cluster_spec& spec);
     void addProcess(const std::string& name, const std::vector<std::string>& command);
 
     std::string m_folder;
     std::map<std::string, std::vector<std::string>> m_commands;
     std::map<std::string, pid_t> m_pids;
-    std::map<std::string, std::string> m_http;
-    std::map<std::string, std::string> m_targets; ///< addresses of the stand-ins
+    std::map<std::string, std::string> m_httpAddresses;
+    std::map<std::string, std::string> m_targetAddresses; ///< addresses of the stand-ins
     std::map<std::string, std::unique_ptr<relay>> m_relays;
-    std::vector<std::string> m_order;
-    std::vector<std::string> m_controllers;
-    std::vector<std::string> m_controllerLinks;
+    std::vector<std::string> m_startOrder;
+    std::vector<std::string> m_controllerNames;
+    std::vector<std::string> m_controllerLinkAddresses;
 };
 
-/// @brief Callers that ask without pause through given entries until stopped.
-class steady_callers {
+/// @brief Callers that send requests without pause through given entries until stopped.
+class background_callers {
 public:
-    /// @param ask makes one request; called from several threads
-    steady_callers(std::size_t threads, std::function<caller_record(std::size_t thread, std::size_t number)> ask);
-    steady_callers(const steady_callers&) = delete;
-    steady_callers& operator=(const steady_callers&) = delete;
-    ~steady_callers();
+    /// @param sendRequest makes one request; called from several threads
+    background_callers(
+        std::size_t threads, std::function<caller_record(std::size_t thread, std::size_t number)> sendRequest);
+    background_callers(const background_callers&) = delete;
+    background_callers& operator=(const background_callers&) = delete;
+    ~background_callers();
     /// @brief Ends and gives all records, with the time at which each ended.
     std::vector<std::pair<std::chrono::steady_clock::time_point, caller_record>> stop();
 
--- a/tests/support/log_world.cpp
+++ b/tests/support/simulated_cluster.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// @brief World of replicas.
-#include "support/log_world.hpp"
+#include "support/simulated_cluster.hpp"
 
 #include <algorithm>
 #include <sstream>
@@ -8,34 +8,34 @@
 namespace test_support {
 namespace {
 
-constexpr milliseconds step { 10 };
+constexpr milliseconds stepDuration { 10 };
 
-std::string join(const std::vector<std::string>& parts)
+std::string join(const std::vector<std::string>& lines)
 {
     std::string text;
-    for (const auto& part : parts)
-        text += part + "\n";
+    for (const auto& line : lines)
+        text += line + "\n";
     return text;
 }
 
 std::vector<std::string> split(const std::string& text)
 {
-    std::vector<std::string> parts;
+    std::vector<std::string> lines;
     std::istringstream stream(text);
-    for (std::string part; std::getline(stream, part);)
-        parts.push_back(part);
-    return parts;
+    for (std::string line; std::getline(stream, line);)
+        lines.push_back(line);
+    return lines;
 }
 
 } // namespace
 
-log_world::log_world(std::size_t nodes, std::uint64_t seed, replica_options options)
+simulated_cluster::simulated_cluster(std::size_t nodes, std::uint64_t seed, replica_options options)
     : m_options(options)
     , m_random(seed)
     , m_now(steady_time {} + std::chrono::hours(1))
 {
     for (std::size_t at = 0; at < nodes; ++at) {
-        world_node node;
+        simulated_node node;
         node.address = "node" + std::to_string(at);
         node.id = at + 1;
         m_nodes.push_back(std::move(node));
@@ -52,107 +52,107 @@
     }
 }
 
-void log_world::run(int steps)
+void simulated_cluster::run(int steps)
 {
     for (int at = 0; at < steps; ++at) {
-        m_now += step;
+        m_now += stepDuration;
         std::vector<std::pair<steady_time, peer_message>> due;
         std::vector<std::pair<steady_time, peer_message>> later;
-        for (auto& item : m_network)
+        for (auto& item : m_inFlight)
             (item.first <= m_now ? due : later).push_back(std::move(item));
-        m_network = std::move(later);
+        m_inFlight = std::move(later);
         std::shuffle(due.begin(), due.end(), m_random);
         for (const auto& [when, message] : due) {
             for (std::size_t index = 0; index < m_nodes.size(); ++index) {
                 auto& node = m_nodes[index];
                 if (node.id == message.to && node.process && !m_isolated.contains(index)) {
                     node.process->receive(message, m_now);
-                    flush(node, crash_point::None);
+                    carryOutEffects(node, crash_point::None);
                 }
             }
         }
-        std::vector<joining_replica> wishes;
+        std::vector<joining_replica> joining;
         for (const auto& node : m_nodes) {
             if (node.process && node.process->members().empty())
-                wishes.push_back({ node.id, node.address });
+                joining.push_back({ node.id, node.address });
         }
         for (auto& node : m_nodes) {
             if (!node.process)
                 continue;
             node.process->tick(m_now);
-            if (auto changed = nextMembers(*node.process, wishes, m_now))
-                (void)node.process->proposeMembers(std::move(*changed));
-            flush(node, crash_point::None);
+            if (auto members = nextMembers(*node.process, joining, m_now))
+                (void)node.process->proposeMembers(std::move(*members));
+            carryOutEffects(node, crash_point::None);
         }
         checkLeaders();
     }
 }
 
-void log_world::propose(const std::string& command)
+void simulated_cluster::propose(const std::string& command)
 {
     for (auto& node : m_nodes) {
         if (node.process && node.process->propose(command))
-            flush(node, crash_point::None);
+            carryOutEffects(node, crash_point::None);
     }
 }
 
-void log_world::read()
+void simulated_cluster::read()
 {
     auto& node = m_nodes[m_random() % m_nodes.size()];
     if (!node.process)
         return;
-    const std::uint64_t id = ++m_lastRead;
-    node.reads[id] = { m_committed.begin(), m_committed.end() };
+    const std::uint64_t id = ++m_lastReadId;
+    node.pendingReads[id] = { m_committed.begin(), m_committed.end() };
     node.process->requestReadIndex(id);
-    flush(node, crash_point::None);
+    carryOutEffects(node, crash_point::None);
 }
 
-void log_world::crash(std::size_t index, crash_point point)
+void simulated_cluster::crash(std::size_t index, crash_point point)
 {
     auto& node = m_nodes[index];
     if (!node.process)
         return;
     if (m_random() % 2 == 0)
         node.process->propose("crash-" + std::to_string(m_random() % 1000));
-    flush(node, point);
+    carryOutEffects(node, point);
     node.process.reset();
-    node.reads.clear();
+    node.pendingReads.clear();
 }
 
-void log_world::restart(std::size_t index)
+void simulated_cluster::restart(std::size_t index)
 {
     if (!m_nodes[index].process)
         start(m_nodes[index]);
 }
 
-void log_world::loseDisk(std::size_t index)
+void simulated_cluster::loseDisk(std::size_t index)
 {
     auto& node = m_nodes[index];
     node.process.reset();
-    node.reads.clear();
+    node.pendingReads.clear();
     node.disk = {};
     node.applied.clear();
-    node.id = m_nextId++;
+    node.id = m_nextMemberId++;
     start(node);
 }
 
-void log_world::isolate(std::size_t index, bool cut)
+void simulated_cluster::setIsolated(std::size_t index, bool isolated)
 {
-    if (cut)
+    if (isolated)
         m_isolated.insert(index);
     else
         m_isolated.erase(index);
 }
 
-void log_world::heal()
+void simulated_cluster::heal()
 {
     m_isolated.clear();
-    m_loss = 0;
+    m_lossProbability = 0;
     for (std::size_t at = 0; at < m_nodes.size(); ++at)
         restart(at);
 }
 
-void log_world::compact(std::size_t index)
+void simulated_cluster::compact(std::size_t index)
 {
     auto& node = m_nodes[index];
     if (!node.process)
@@ -162,7 +162,7 @@
     node.disk.entries = node.process->entriesAfterSnapshot();
 }
 
-std::optional<std::size_t> log_world::leader() const
+std::optional<std::size_t> simulated_cluster::leader() const
 {
     for (std::size_t at = 0; at < m_nodes.size(); ++at) {
         if (m_nodes[at].process && m_nodes[at].process->role() == replica_role::Leader && !m_isolated.contains(at))
@@ -171,27 +171,27 @@
     return std::nullopt;
 }
 
-void log_world::flush(world_node& node, crash_point point)
+void simulated_cluster::carryOutEffects(simulated_node& node, crash_point point)
 {
     for (int round = 0; round < 50; ++round) {
         const effects effects = node.process->takeEffects();
-        const bool idle
+        const bool isEmpty
             = !effects.needsPersist() && effects.messages.empty() && effects.committed.empty() && effects.reads.empty();
-        if (idle || point == crash_point::BeforePersist)
+        if (isEmpty || point == crash_point::BeforePersist)
             return;
         persist(node, effects);
         if (point == crash_point::AfterPersist)
             return;
         for (const auto& message : effects.messages) {
-            const bool cut = std::any_of(
+            const bool isIsolated = std::any_of(
                 m_isolated.begin(), m_isolated.end(), [&](std::size_t index) { return m_nodes[index].id == node.id; });
-            const bool lost = std::uniform_real_distribution<>(0, 1)(m_random) < m_loss;
-            if (cut || lost)
+            const bool isLost = std::uniform_real_distribution<>(0, 1)(m_random) < m_lossProbability;
+            if (isIsolated || isLost)
                 continue;
-            const int copies = m_loss > 0 && m_random() % 10 == 0 ? 2 : 1;
+            const int copies = m_lossProbability > 0 && m_random() % 10 == 0 ? 2 : 1;
             for (int copy = 0; copy < copies; ++copy) {
-                const auto delay = milliseconds(m_loss > 0 ? m_random() % 200 : m_random() % 10);
-                m_network.emplace_back(m_now + delay, message);
+                const auto delay = milliseconds(m_lossProbability > 0 ? m_random() % 200 : m_random() % 10);
+                m_inFlight.emplace_back(m_now + delay, message);
             }
         }
         if (point == crash_point::AfterSend)
@@ -200,13 +200,13 @@
     }
 }
 
-void log_world::persist(world_node& node, const effects& effects) const
+void simulated_cluster::persist(simulated_node& node, const effects& effects) const
 {
     if (effects.installed) {
         node.disk.lastSnapshot = *effects.installed;
         node.disk.entries.clear();
     }
-    if (effects.hardState && !forgetVotes)
+    if (effects.hardState && !skipHardState)
         node.disk.hard = *effects.hardState;
     for (const auto& entry : effects.appended) {
         node.disk.entries.resize(entry.index - node.disk.lastSnapshot.index - 1);
@@ -214,7 +214,7 @@
     }
 }
 
-void log_world::apply(world_node& node, const effects& effects)
+void simulated_cluster::apply(simulated_node& node, const effects& effects)
 {
     if (effects.installed)
         node.applied = split(effects.installed->state);
@@ -229,30 +229,30 @@
             m_violations.push_back(
                 node.address + " applied '" + node.applied[at] + "' where '" + m_committed[at] + "' was committed");
     }
-    for (const auto& answer : effects.reads) {
-        const auto found = node.reads.find(answer.readId);
-        if (found == node.reads.end() || node.process->commitIndex() < answer.index)
+    for (const auto& read : effects.reads) {
+        const auto found = node.pendingReads.find(read.readId);
+        if (found == node.pendingReads.end() || node.process->commitIndex() < read.index)
             continue; // the process waits until it has applied that much
-        ++m_readsAnswered;
-        const std::set<std::string> seen(node.applied.begin(), node.applied.end());
-        if (!std::includes(seen.begin(), seen.end(), found->second.begin(), found->second.end()))
+        ++m_confirmedReadCount;
+        const std::set<std::string> applied(node.applied.begin(), node.applied.end());
+        if (!std::includes(applied.begin(), applied.end(), found->second.begin(), found->second.end()))
             m_violations.push_back(node.address + " confirmed a read that misses a committed command");
-        node.reads.erase(found);
+        node.pendingReads.erase(found);
     }
 }
 
-void log_world::checkLeaders()
+void simulated_cluster::checkLeaders()
 {
     for (const auto& node : m_nodes) {
         if (!node.process || node.process->role() != replica_role::Leader)
             continue;
-        const auto [known, isNew] = m_leaders.emplace(node.process->term(), node.id);
-        if (!isNew && known->second != node.id)
+        const auto [found, isNew] = m_leaderByTerm.emplace(node.process->term(), node.id);
+        if (!isNew && found->second != node.id)
             m_violations.push_back("two leaders in term " + std::to_string(node.process->term()));
     }
 }
 
-void log_world::start(world_node& node)
+void simulated_cluster::start(simulated_node& node)
 {
     persistent_state disk = node.disk;
     if (disk.lastSnapshot.index > 0)
--- a/tools/measure.cpp
+++ b/tools/measure.cpp
@@ -82,7 +82,7 @@
         { "--prefixes 6 --prefix-bytes 400 --prompt-bytes 440 --workspaces w1,w2" }, {}, 0, 200, 4 });
     all.push_back({ "surge at 3x", mixed, 3, { "--high 0.05" }, {} });
     all.push_back({ "a target 10x slower, load 0.5", even, 0.5, {}, [](cluster& system) {
-                       system.orderFault("target-0", { { "token_ms", 200 } });
+                       system.injectFault("target-0", { { "token_ms", 200 } });
                    } });
     all.push_back({ "a target dies, load 0.5", even, 0.5, {}, [](cluster& system) { system.killHard("target-0"); } });
     return all;
@@ -165,7 +165,7 @@
     cluster_spec spec;
     spec.targets = { makeTarget(10), makeTarget(10), makeTarget(10) };
     cluster system(spec);
-    steady_callers callers(8, [&](std::size_t thread, std::size_t number) {
+    background_callers callers(8, [&](std::size_t thread, std::size_t number) {
         const std::string prompt = std::to_string(thread) + "-" + std::to_string(number);
         const std::string entry = thread % 2 == 0 && system.isReady("entry-0") ? "entry-0" : "entry-1";
         return system.complete(entry, prompt, 5);
@@ -206,7 +206,7 @@
         { "target killed in mid-answer", [](cluster& system) { system.killHard("target-0"); } },
         { "target stalls in mid-answer",
             [](cluster& system) {
-                system.orderFault("target-0", { { "stall_after", 2 } });
+                system.injectFault("target-0", { { "stall_after", 2 } });
             } },
         { "entry drained", [](cluster& system) { system.signal("entry-0", SIGTERM); } },
     };
