--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief The guarantees over real processes: kill -9, SIGSTOP, SIGTERM, lost disks, silent links, operator races.
+/// @brief Tests of the guarantees with real processes: SIGKILL, SIGSTOP, SIGTERM, lost disks, links that silently drop
+/// data, and concurrent configuration changes.
 #include "support/cluster.hpp"
 
 #include <catch2/catch.hpp>
@@ -42,7 +43,7 @@
     std::map<std::string, int> counts;
     for (const auto& caller : callers) {
         if (!caller.answered || caller.code != result_code::Ok)
-            ++counts[caller.answered ? std::string(buckthornrail::describe(caller.code).name) : "no answer"];
+            ++counts[caller.answered ? std::string(buckthornrail::describe(caller.code).name) : "no response"];
     }
     std::string text;
     for (const auto& [name, count] : counts)
@@ -50,7 +51,7 @@
     return text;
 }
 
-/// Streamed and plain requests through the given entries.
+/// @return a function that sends streamed and plain requests through the given entries
 std::function<caller_record(std::size_t, std::size_t)> traffic(const cluster& system, std::vector<std::string> entries)
 {
     return [&system, entries = std::move(entries)](std::size_t thread, std::size_t number) {
@@ -93,7 +94,7 @@
     CHECK(configurationVersion(system) == 2);
 }
 
-TEST_CASE("processes: no request fails when a sidecar and a target are killed while answering", "[process]")
+TEST_CASE("processes: no request fails when a sidecar and a target are killed while they serve requests", "[process]")
 {
     cluster_spec spec = twoTargets();
     spec.targets.push_back({ "openai" });
@@ -154,7 +155,7 @@
     CHECK(system.callControllers("POST", "/v1/instances/sidecar-0/undrain").status == 200);
 }
 
-TEST_CASE("processes: a sidecar suspended past its lease violates nothing when it resumes", "[process]")
+TEST_CASE("processes: a sidecar paused past its lease violates nothing when it resumes", "[process]")
 {
     cluster system(twoTargets());
     background_callers callers(4, traffic(system, { "entry-0", "entry-1" }));
@@ -169,7 +170,7 @@
     CHECK(waitUntil([&] { return system.isReady("sidecar-0"); }, seconds(10)));
 }
 
-TEST_CASE("processes: a suspended leader never returns the old configuration when it resumes", "[process]")
+TEST_CASE("processes: a paused leader never returns the old configuration when it resumes", "[process]")
 {
     cluster system(twoTargets());
     const std::string old = system.leader();
@@ -197,7 +198,7 @@
     system.signal("controller-2", SIGSTOP);
     system.start("entry-1");
     CHECK_FALSE(waitUntil([&] { return system.isReady("entry-1"); }, seconds(4)));
-    // The lease of the running entry has expired too: it answers "not run" and when to retry.
+    // The lease of the running entry has expired too: it responds "not run" and names a retry time.
     const auto refused = system.call(
         "entry-0", "POST", "/v1/completions", R"({"model":"essay-summary","prompt":"x"})", { { "X-Workspace", "w1" } });
     CHECK(refused.status == 503);
@@ -254,7 +255,7 @@
     CHECK(records[3].text == records[4].text);
     CHECK(system.book("entry-1", "k1", "slot-2").code == result_code::KeyReused);
     CHECK(system.executions().size() == 1);
-    // The sidecar that holds the answer is killed: the outcome is unknown, and the request is not run again.
+    // The sidecar that holds the response is killed: the outcome is unknown, and the request is not run again.
     const std::string holder = system.executions()[0].target == "target-0" ? "sidecar-0" : "sidecar-1";
     system.killHard(holder);
     records[5] = system.book("entry-1", "k1", "slot-1");
@@ -267,7 +268,7 @@
         == "key_required");
 }
 
-TEST_CASE("processes: racing operators, resent changes, and a controller hundreds of changes behind", "[process]")
+TEST_CASE("processes: concurrent changes, resent changes, and a controller hundreds of changes behind", "[process]")
 {
     cluster_spec spec = twoTargets();
     spec.snapshotEntries = 50;
@@ -317,7 +318,7 @@
     CHECK(waitUntil(
         [&] { return system.logOf("entry-1").find("configuration_applied version=302") != std::string::npos; },
         seconds(2)));
-    // In effect everywhere: both entries know the last workspace, and neither knows the previous one.
+    // The last change is in effect at both entries: they know its workspace, and no longer that of the previous change.
     for (const std::string entry : { "entry-0", "entry-1" }) {
         const auto statusFor = [&](const std::string& workspace) {
             return system
@@ -355,7 +356,7 @@
     CHECK(records.size() > 5);
 }
 
-TEST_CASE("processes: a link goes silent, and a second sidecar is killed", "[process]")
+TEST_CASE("processes: a link silently drops data, and a second sidecar is killed", "[process]")
 {
     cluster_spec spec = twoTargets();
     spec.targets.push_back({ "openai" });
@@ -374,7 +375,7 @@
     CHECK(violationsOf(system, records) == "");
 }
 
-TEST_CASE("processes: an answer that a target sends twice or late reaches the caller once and complete", "[process]")
+TEST_CASE("processes: a response that a target sends twice or late reaches the caller once and complete", "[process]")
 {
     cluster system(twoTargets());
     system.injectFault("target-0", { { "answers_twice", true }, { "answer_late_ms", 2500 } });
--- a/tests/support/cluster.cpp
+++ b/tests/support/cluster.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Starting, harming and asking real processes.
+/// @brief Process control, fault injection and HTTP calls of the cluster.
 #include "support/cluster.hpp"
 
 #include "buckthornrail/http/http_client.hpp"
@@ -23,6 +23,9 @@
 
 constexpr std::uint32_t layers = 8;
 constexpr milliseconds callTimeout { 30000 };
+constexpr std::chrono::seconds startStepTimeout { 20 }; ///< for each step of the start
+constexpr std::chrono::seconds exitTimeout { 10 }; ///< of a killed process, at the end of the cluster
+constexpr std::chrono::seconds killTimeout { 5 };
 
 ran_state parseRanState(const json& error)
 {
@@ -43,7 +46,7 @@
 {
     auto folder = (std::filesystem::temp_directory_path() / "buckthornrail-XXXXXX").string();
     if (::mkdtemp(folder.data()) == nullptr)
-        throw std::runtime_error("no folder for the cluster");
+        throw std::runtime_error("cannot create a temporary folder for the cluster");
     m_folder = folder;
     std::signal(SIGPIPE, SIG_IGN);
     defineProcesses(spec);
@@ -64,12 +67,11 @@
         return allReady()
             && callControllers("GET", "/v1/status").body["instances"].size() == spec.entries + spec.targets.size();
     };
-    using std::chrono::seconds;
-    if (!waitUntil(initialized, seconds(20)) || !waitUntil(allVote, seconds(20)) || !waitUntil(configured, seconds(20))
-        || !waitUntil(ready, seconds(20))) {
+    if (!waitUntil(initialized, startStepTimeout) || !waitUntil(allVote, startStepTimeout)
+        || !waitUntil(configured, startStepTimeout) || !waitUntil(ready, startStepTimeout)) {
         for (const auto& name : m_startOrder)
             std::cerr << "== " << name << "\n" << logOf(name);
-        throw std::runtime_error("the cluster did not come up");
+        throw std::runtime_error("the cluster was not ready in time; the logs of its processes are printed above");
     }
 }
 
@@ -78,7 +80,7 @@
     for (const auto& [name, pid] : m_pids) {
         ::kill(pid, SIGCONT);
         ::kill(pid, SIGKILL);
-        (void)waitForProcess(pid, std::chrono::seconds(10));
+        (void)waitForProcess(pid, exitTimeout);
     }
     std::error_code ignored;
     std::filesystem::remove_all(m_folder, ignored);
@@ -175,7 +177,7 @@
 void cluster::killHard(const std::string& name)
 {
     signal(name, SIGKILL);
-    (void)waitForExit(name, std::chrono::seconds(5));
+    (void)waitForExit(name, killTimeout);
 }
 
 void cluster::loseDisk(const std::string& controller) { std::filesystem::remove_all(m_folder + "/data-" + controller); }
@@ -258,7 +260,7 @@
         record.text = response.body["choices"][0]["text"].get<std::string>();
         return record;
     }
-    record.code = result_code::AnswerIncomplete; // until the last event has come
+    record.code = result_code::AnswerIncomplete; // unless "data: [DONE]" follows
     std::istringstream lines(response.text);
     bool isError = false;
     for (std::string line; std::getline(lines, line);) {
--- a/tests/support/simulated_cluster.cpp
+++ b/tests/support/simulated_cluster.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief World of replicas.
+/// @brief Simulated time, network and disks, and the checks of the safety properties.
 #include "support/simulated_cluster.hpp"
 
 #include <algorithm>
@@ -9,6 +9,11 @@
 namespace {
 
 constexpr milliseconds stepDuration { 10 };
+constexpr int maxFormationSteps = 400; ///< until all nodes are voters
+constexpr int maxEffectRounds = 50; ///< calls of takeEffects() after one event
+constexpr std::uint64_t delayBoundMs = 10; ///< exclusive, of a message
+constexpr std::uint64_t lossyDelayBoundMs = 200; ///< exclusive, of a message in a lossy network
+constexpr std::uint64_t duplicateInterval = 10; ///< a lossy network duplicates one of so many messages
 
 std::string join(const std::vector<std::string>& lines)
 {
@@ -43,7 +48,7 @@
     for (auto& node : m_nodes)
         start(node);
     (void)m_nodes.front().process->initialize(m_nodes.front().address, m_now);
-    for (int round = 0; round < 400; ++round) {
+    for (int round = 0; round < maxFormationSteps; ++round) {
         run(1);
         const auto& members = m_nodes.front().process->members();
         const auto voters = std::count_if(members.begin(), members.end(), [](const auto& one) { return one.voter; });
@@ -173,7 +178,7 @@
 
 void simulated_cluster::carryOutEffects(simulated_node& node, crash_point point)
 {
-    for (int round = 0; round < 50; ++round) {
+    for (int round = 0; round < maxEffectRounds; ++round) {
         const effects effects = node.process->takeEffects();
         const bool isEmpty
             = !effects.needsPersist() && effects.messages.empty() && effects.committed.empty() && effects.reads.empty();
@@ -188,9 +193,10 @@
             const bool isLost = std::uniform_real_distribution<>(0, 1)(m_random) < m_lossProbability;
             if (isIsolated || isLost)
                 continue;
-            const int copies = m_lossProbability > 0 && m_random() % 10 == 0 ? 2 : 1;
+            const int copies = m_lossProbability > 0 && m_random() % duplicateInterval == 0 ? 2 : 1;
             for (int copy = 0; copy < copies; ++copy) {
-                const auto delay = milliseconds(m_lossProbability > 0 ? m_random() % 200 : m_random() % 10);
+                const auto delay
+                    = milliseconds(m_lossProbability > 0 ? m_random() % lossyDelayBoundMs : m_random() % delayBoundMs);
                 m_inFlight.emplace_back(m_now + delay, message);
             }
         }
@@ -232,7 +238,7 @@
     for (const auto& read : effects.reads) {
         const auto found = node.pendingReads.find(read.readId);
         if (found == node.pendingReads.end() || node.process->commitIndex() < read.index)
-            continue; // the process waits until it has applied that much
+            continue; // a real process serves the read only once the index is applied
         ++m_confirmedReadCount;
         const std::set<std::string> applied(node.applied.begin(), node.applied.end());
         if (!std::includes(applied.begin(), applied.end(), found->second.begin(), found->second.end()))
