--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Tests of the guarantees with real processes: SIGKILL, SIGSTOP, SIGTERM, lost disks, links that silently drop
-/// data, and concurrent configuration changes.
+/// @brief Tests of the guarantees with real processes: SIGKILL, SIGSTOP, SIGTERM, lost disks, links that stall while
+/// they stay open, and concurrent configuration changes.
 #include "support/cluster.hpp"
 
 #include <catch2/catch.hpp>
@@ -356,7 +356,7 @@
     CHECK(records.size() > 5);
 }
 
-TEST_CASE("processes: a link silently drops data, and a second sidecar is killed", "[process]")
+TEST_CASE("processes: a link stalls while it stays open, and a second sidecar is killed", "[process]")
 {
     cluster_spec spec = twoTargets();
     spec.targets.push_back({ "openai" });
--- a/tests/support/cluster.hpp
+++ b/tests/support/cluster.hpp
@@ -79,7 +79,7 @@
     void loseDisk(const std::string& controller);
     /// @param fault fields of the stand-in's "/stand_in/fault" call
     void injectFault(const std::string& target, const nlohmann::json& fault);
-    /// @brief Makes the relay to a sidecar drop all data while its connections stay open.
+    /// @brief Makes the relay to a sidecar hold all data back, or forward it again. Its connections stay open.
     /// @param sidecar of a target with target_spec::viaRelay
     void setSilent(const std::string& sidecar, bool silent) { m_relays.at(sidecar)->setSilent(silent); }
 
