--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief The guarantees over real processes: kill -9, SIGSTOP, SIGTERM, lost disks, silent links, operator races.
+/// @brief Tests of the guarantees with real processes: SIGKILL, SIGSTOP, SIGTERM, lost disks, links that stall while
+/// they stay open, and concurrent configuration changes.
 #include "support/cluster.hpp"
 
 #include <catch2/catch.hpp>
@@ -42,7 +43,7 @@
     std::map<std::string, int> counts;
     for (const auto& caller : callers) {
         if (!caller.hasResponse || caller.code != result_code::Ok)
-            ++counts[caller.hasResponse ? std::string(buckthornrail::describe(caller.code).name) : "no answer"];
+            ++counts[caller.hasResponse ? std::string(buckthornrail::describe(caller.code).name) : "no response"];
     }
     std::string text;
     for (const auto& [name, count] : counts)
@@ -50,7 +51,7 @@
     return text;
 }
 
-/// Streamed and plain requests through the given entries.
+/// @return a function that sends streamed and plain requests through the given entries
 std::function<caller_record(std::size_t, std::size_t)> traffic(const cluster& system, std::vector<std::string> entries)
 {
     return [&system, entries = std::move(entries)](std::size_t thread, std::size_t number) {
@@ -61,8 +62,8 @@
 
 std::uint64_t configurationVersion(const cluster& system)
 {
-    const auto answer = system.operate("GET", "/v1/config");
-    return answer.status == 200 ? answer.body["version"].get<std::uint64_t>() : 0;
+    const auto response = system.callControllers("GET", "/v1/config");
+    return response.status == 200 ? response.body["version"].get<std::uint64_t>() : 0;
 }
 
 cluster_spec twoTargets()
@@ -77,7 +78,7 @@
 TEST_CASE("processes: no request fails when the leader is killed, and changes are still accepted", "[process]")
 {
     cluster system(twoTargets());
-    steady_callers callers(4, traffic(system, { "entry-0", "entry-1" }));
+    background_callers callers(4, traffic(system, { "entry-0", "entry-1" }));
     std::this_thread::sleep_for(milliseconds(500));
     const std::string old = system.leader();
     REQUIRE_FALSE(old.empty());
@@ -93,12 +94,12 @@
     CHECK(configurationVersion(system) == 2);
 }
 
-TEST_CASE("processes: no request fails when a sidecar and a target are killed while answering", "[process]")
+TEST_CASE("processes: no request fails when a sidecar and a target are killed while they serve requests", "[process]")
 {
     cluster_spec spec = twoTargets();
     spec.targets.push_back({ "openai" });
     cluster system(spec);
-    steady_callers callers(6, traffic(system, { "entry-0", "entry-1" }));
+    background_callers callers(6, traffic(system, { "entry-0", "entry-1" }));
     std::this_thread::sleep_for(milliseconds(600));
     system.killHard("sidecar-0");
     std::this_thread::sleep_for(milliseconds(600));
@@ -118,7 +119,7 @@
     spec.targets[1].tokenMs = 60;
     cluster system(spec);
     // Like a load balancer, callers use an entry only while it is ready.
-    steady_callers callers(4, [&](std::size_t thread, std::size_t number) {
+    background_callers callers(4, [&](std::size_t thread, std::size_t number) {
         const bool first = thread % 2 == 0 && system.isReady("entry-0");
         const std::string prompt = "p" + std::to_string(thread) + "-" + std::to_string(number);
         return system.complete(first ? "entry-0" : "entry-1", prompt, 6, thread < 2);
@@ -141,8 +142,8 @@
 TEST_CASE("processes: a draining target gets no new requests after two seconds", "[process]")
 {
     cluster system(twoTargets());
-    CHECK(system.operate("POST", "/v1/instances/sidecar-0/drain").status == 200);
-    CHECK(system.operate("POST", "/v1/instances/nobody/drain").status == 404);
+    CHECK(system.callControllers("POST", "/v1/instances/sidecar-0/drain").status == 200);
+    CHECK(system.callControllers("POST", "/v1/instances/nobody/drain").status == 404);
     std::this_thread::sleep_for(seconds(2));
     const auto before = system.executions().size();
     for (int at = 0; at < 20; ++at)
@@ -151,13 +152,13 @@
     CHECK(after.size() == before + 20);
     for (std::size_t at = before; at < after.size(); ++at)
         CHECK(after[at].target == "target-1");
-    CHECK(system.operate("POST", "/v1/instances/sidecar-0/undrain").status == 200);
+    CHECK(system.callControllers("POST", "/v1/instances/sidecar-0/undrain").status == 200);
 }
 
-TEST_CASE("processes: a sidecar suspended past its lease violates nothing when it resumes", "[process]")
+TEST_CASE("processes: a sidecar paused past its lease violates nothing when it resumes", "[process]")
 {
     cluster system(twoTargets());
-    steady_callers callers(4, traffic(system, { "entry-0", "entry-1" }));
+    background_callers callers(4, traffic(system, { "entry-0", "entry-1" }));
     std::this_thread::sleep_for(milliseconds(500));
     system.signal("sidecar-0", SIGSTOP);
     std::this_thread::sleep_for(seconds(4));
@@ -169,7 +170,7 @@
     CHECK(waitUntil([&] { return system.isReady("sidecar-0"); }, seconds(10)));
 }
 
-TEST_CASE("processes: a suspended leader never returns the old configuration when it resumes", "[process]")
+TEST_CASE("processes: a paused leader never returns the old configuration when it resumes", "[process]")
 {
     cluster system(twoTargets());
     const std::string old = system.leader();
@@ -181,9 +182,9 @@
     CHECK(waitUntil([&] { return system.call(other, "PUT", "/v1/config", change.dump()).status == 200; }, seconds(20)));
     system.signal(old, SIGCONT);
     for (int at = 0; at < 20; ++at) {
-        const auto answer = system.call(old, "GET", "/v1/config");
-        if (answer.status == 200)
-            CHECK(answer.body["version"] == 2);
+        const auto response = system.call(old, "GET", "/v1/config");
+        if (response.status == 200)
+            CHECK(response.body["version"] == 2);
         std::this_thread::sleep_for(milliseconds(50));
     }
     CHECK(waitUntil([&] { return system.call(old, "GET", "/v1/config").status == 200; }, seconds(10)));
@@ -197,7 +198,7 @@
     system.signal("controller-2", SIGSTOP);
     system.start("entry-1");
     CHECK_FALSE(waitUntil([&] { return system.isReady("entry-1"); }, seconds(4)));
-    // The lease of the running entry has expired too: it answers "not run" and when to retry.
+    // The lease of the running entry has expired too: it responds "not run" and names a retry time.
     const auto refused = system.call(
         "entry-0", "POST", "/v1/completions", R"({"model":"essay-summary","prompt":"x"})", { { "X-Workspace", "w1" } });
     CHECK(refused.status == 503);
@@ -216,7 +217,7 @@
     system.loseDisk("controller-1");
     system.start("controller-1");
     const auto repaired = [&] {
-        const auto status = system.operate("GET", "/v1/status");
+        const auto status = system.callControllers("GET", "/v1/status");
         std::size_t voters = 0;
         for (const auto& member : status.body["controllers"])
             voters += member["voter"].get<bool>() ? 1 : 0;
@@ -238,8 +239,8 @@
     cluster_spec spec;
     spec.targets = { { "plain_service", "booking" }, { "plain_service", "booking" } };
     cluster system(spec);
-    system.orderFault("target-0", { { "service_ms", 700 } });
-    system.orderFault("target-1", { { "service_ms", 700 } });
+    system.injectFault("target-0", { { "service_ms", 700 } });
+    system.injectFault("target-1", { { "service_ms", 700 } });
     std::vector<caller_record> records(6);
     std::vector<std::thread> threads;
     for (std::size_t at = 0; at < 4; ++at)
@@ -254,7 +255,7 @@
     CHECK(records[3].text == records[4].text);
     CHECK(system.book("entry-1", "k1", "slot-2").code == result_code::KeyReused);
     CHECK(system.executions().size() == 1);
-    // The sidecar that holds the answer is killed: the outcome is unknown, and the request is not run again.
+    // The sidecar that holds the response is killed: the outcome is unknown, and the request is not run again.
     const std::string holder = system.executions()[0].target == "target-0" ? "sidecar-0" : "sidecar-1";
     system.killHard(holder);
     records[5] = system.book("entry-1", "k1", "slot-1");
@@ -267,7 +268,7 @@
         == "key_required");
 }
 
-TEST_CASE("processes: racing operators, resent changes, and a controller hundreds of changes behind", "[process]")
+TEST_CASE("processes: concurrent changes, resent changes, and a controller hundreds of changes behind", "[process]")
 {
     cluster_spec spec = twoTargets();
     spec.snapshotEntries = 50;
@@ -277,20 +278,21 @@
         document["workspaces"][name] = json::object();
         return document;
     };
-    std::vector<http_answer> answers(6);
+    std::vector<http_response> responses(6);
     std::vector<std::thread> operators;
-    for (std::size_t at = 0; at < answers.size(); ++at) {
+    for (std::size_t at = 0; at < responses.size(); ++at) {
         const std::string name = "race-" + std::to_string(at);
-        operators.emplace_back([&, at, name] { answers[at] = system.putConfiguration(withWorkspace(name), 1, name); });
+        operators.emplace_back(
+            [&, at, name] { responses[at] = system.putConfiguration(withWorkspace(name), 1, name); });
     }
     for (auto& one : operators)
         one.join();
     std::size_t acceptedCount = 0;
-    for (std::size_t at = 0; at < answers.size(); ++at) {
-        CHECK((answers[at].status == 200 || answers[at].status == 409));
-        acceptedCount += answers[at].status == 200 ? 1 : 0;
+    for (std::size_t at = 0; at < responses.size(); ++at) {
+        CHECK((responses[at].status == 200 || responses[at].status == 409));
+        acceptedCount += responses[at].status == 200 ? 1 : 0;
         const std::string name = "race-" + std::to_string(at);
-        CHECK(system.putConfiguration(withWorkspace(name), 1, name).status == answers[at].status);
+        CHECK(system.putConfiguration(withWorkspace(name), 1, name).status == responses[at].status);
     }
     CHECK(acceptedCount == 1);
     CHECK(configurationVersion(system) == 2);
@@ -307,8 +309,8 @@
     system.start(lagging);
     system.start("entry-1");
     const auto caughtUp = [&] {
-        const auto answer = system.call(lagging, "GET", "/v1/config");
-        return answer.status == 200 && answer.body["version"] == 302;
+        const auto response = system.call(lagging, "GET", "/v1/config");
+        return response.status == 200 && response.body["version"] == 302;
     };
     CHECK(waitUntil(caughtUp, seconds(20)));
     CHECK(waitUntil([&] { return system.isReady("entry-1"); }, seconds(20)));
@@ -316,7 +318,7 @@
     CHECK(waitUntil(
         [&] { return system.logOf("entry-1").find("configuration_applied version=302") != std::string::npos; },
         seconds(2)));
-    // In effect everywhere: both entries know the last workspace, and neither knows the previous one.
+    // The last change is in effect at both entries: they know its workspace, and no longer that of the previous change.
     for (const std::string entry : { "entry-0", "entry-1" }) {
         const auto statusFor = [&](const std::string& workspace) {
             return system
@@ -335,7 +337,7 @@
     spec.targets = { { "layer_range", "hull-report", 0, 3 }, { "layer_range", "hull-report", 3, 8 },
         { "layer_range", "hull-report", 0, 3 }, { "layer_range", "hull-report", 3, 8 } };
     cluster system(spec);
-    steady_callers callers(3, [&](std::size_t thread, std::size_t number) {
+    background_callers callers(3, [&](std::size_t thread, std::size_t number) {
         const std::string prompt = "hull " + std::to_string(thread) + "-" + std::to_string(number);
         return system.complete("entry-" + std::to_string(thread % 2), prompt, 8, thread == 0, "hull-inspection");
     });
@@ -354,13 +356,13 @@
     CHECK(records.size() > 5);
 }
 
-TEST_CASE("processes: a link goes silent, and a second sidecar is killed", "[process]")
+TEST_CASE("processes: a link stalls while it stays open, and a second sidecar is killed", "[process]")
 {
     cluster_spec spec = twoTargets();
     spec.targets.push_back({ "openai" });
     spec.targets[0].viaRelay = true;
     cluster system(spec);
-    steady_callers callers(4, traffic(system, { "entry-0", "entry-1" }));
+    background_callers callers(4, traffic(system, { "entry-0", "entry-1" }));
     std::this_thread::sleep_for(milliseconds(600));
     system.setSilent("sidecar-0", true);
     std::this_thread::sleep_for(milliseconds(300));
@@ -373,11 +375,11 @@
     CHECK(violationsOf(system, records) == "");
 }
 
-TEST_CASE("processes: an answer that a target sends twice or late reaches the caller once and complete", "[process]")
+TEST_CASE("processes: a response that a target sends twice or late reaches the caller once and complete", "[process]")
 {
     cluster system(twoTargets());
-    system.orderFault("target-0", { { "answers_twice", true }, { "answer_late_ms", 2500 } });
-    system.orderFault("target-1", { { "answers_twice", true } });
+    system.injectFault("target-0", { { "answers_twice", true }, { "answer_late_ms", 2500 } });
+    system.injectFault("target-1", { { "answers_twice", true } });
     std::vector<caller_record> records;
     for (int at = 0; at < 12; ++at)
         records.push_back(system.complete("entry-0", "p" + std::to_string(at), 4, at % 2 == 0));
@@ -388,13 +390,13 @@
 TEST_CASE("processes: a version is switched under traffic, and its last ready copy is never removed", "[process]")
 {
     cluster system(twoTargets());
-    steady_callers callers(3, traffic(system, { "entry-0", "entry-1" }));
+    background_callers callers(3, traffic(system, { "entry-0", "entry-1" }));
     const auto order = [&](const std::string& instance, const std::string& version) {
-        return system.operate("POST", "/v1/instances/" + instance + "/order",
+        return system.callControllers("POST", "/v1/instances/" + instance + "/order",
             json({ { "model", "essay-review" }, { "version", version } }).dump());
     };
     const auto serves = [&](const std::string& instance, const std::string& version) {
-        const auto status = system.operate("GET", "/v1/status");
+        const auto status = system.callControllers("GET", "/v1/status");
         for (const auto& row : status.body["instances"]) {
             if (row["id"] == instance)
                 return row["state"] == "ready" && row["target"]["version"] == version;
@@ -421,11 +423,11 @@
     const std::map<std::string, std::string> workspace { { "X-Workspace", "w1" } };
     const auto errorName
         = [&](const std::string& path, const std::string& body, std::map<std::string, std::string> headers) {
-              const auto answer = system.call("entry-0", "POST", path, body, headers);
-              CHECK(answer.status >= 400);
-              CHECK(answer.status < 500);
-              CHECK(answer.body["error"]["ran"] == "no");
-              return answer.body["error"]["name"].get<std::string>();
+              const auto response = system.call("entry-0", "POST", path, body, headers);
+              CHECK(response.status >= 400);
+              CHECK(response.status < 500);
+              CHECK(response.body["error"]["ran"] == "no");
+              return response.body["error"]["name"].get<std::string>();
           };
     const std::string good = R"({"model":"essay-summary","prompt":"x"})";
     CHECK(errorName("/v1/completions", "{", workspace) == "malformed_request");
@@ -442,7 +444,7 @@
     CHECK(errorName("/nowhere", "", workspace) == "not_found");
     const std::string deep(200000, '[');
     CHECK(errorName("/v1/completions", deep, workspace) == "malformed_request");
-    CHECK(system.operate("POST", "/v1/config/check", deep).status == 422);
-    CHECK(system.operate("PUT", "/v1/config", R"({"base":1,"change_id":"d","document":)" + deep).status == 400);
+    CHECK(system.callControllers("POST", "/v1/config/check", deep).status == 422);
+    CHECK(system.callControllers("PUT", "/v1/config", R"({"base":1,"change_id":"d","document":)" + deep).status == 400);
     CHECK(system.executions().empty());
 }
