--- a/include/buckthornrail/gateway/crash_watch.hpp
+++ b/include/buckthornrail/gateway/crash_watch.hpp
@@ -49,7 +49,7 @@
     /// @return whether the request of an open attempt would be a suspect if its target crashed now
     [[nodiscard]] bool mayHaveCrashedTarget(call_number call, steady_time now) const;
     /// @return whether an attempt of a call lost its connection and the target's state is not known yet
-    [[nodiscard]] bool awaitsVerdict(call_number call, steady_time now) const;
+    [[nodiscard]] bool awaitsTargetState(call_number call, steady_time now) const;
 
     /// @brief The targets at an address have ended. @param replacement the target that uses the address now; empty:
     /// none
@@ -72,11 +72,11 @@
         request_fingerprint fingerprint;
         std::vector<selected_part> parts;
         steady_time probeDeadline {};
-        steady_time keepUntil {};
+        steady_time expiresAt {};
     };
 
     /// @return targets of a path at an address, except for the replacement
-    [[nodiscard]] static std::vector<registry::target_incarnation> endedOf(const std::vector<selected_part>& parts,
+    [[nodiscard]] static std::vector<registry::target_incarnation> endedTargets(const std::vector<selected_part>& parts,
         const std::string& address, const registry::target_incarnation& replacement);
     void dropExpired(steady_time now);
 
--- a/include/buckthornrail/gateway/document_assembly.hpp
+++ b/include/buckthornrail/gateway/document_assembly.hpp
@@ -24,19 +24,19 @@
     /// @brief Decodes the next slice.
     /// @return MalformedMessage when the slice is out of order; InvalidDocument when an entry can't be decoded, in
     /// which case the whole change is skipped
-    tl::expected<void, failure> take(const document::change_slice& slice);
+    tl::expected<void, failure> addSlice(const document::change_slice& slice);
     /// @return completed changes in order of arrival, each once
     [[nodiscard]] std::vector<completed_change> takeCompleted();
     /// @brief Discards everything received; the sender is gone or starts again.
-    void drop();
+    void discard();
 
 private:
     tl::expected<void, failure> decode(const document::change& part);
-    [[nodiscard]] bool follows(const document::change_slice& slice) const;
+    [[nodiscard]] bool isNext(const document::change_slice& slice) const;
 
     const control_dialect& m_dialect;
     std::vector<completed_change> m_completed;
-    completed_change m_open; ///< slices are missing
+    completed_change m_partial; ///< slices are missing
     std::uint32_t m_next = 0; ///< number of the next slice
     bool m_isSkipped = false; ///< an entry of the open change couldn't be decoded
 };
--- a/include/buckthornrail/gateway/exchange.hpp
+++ b/include/buckthornrail/gateway/exchange.hpp
@@ -22,17 +22,17 @@
     std::string id; ///< chosen by the caller
     std::string service;
     std::uint64_t documentVersion = 0; ///< version of the route document that the route was chosen from
-    route_pointer chosen;
-    steady_time arrived {};
+    route_pointer route;
+    steady_time arrivedAt {};
     steady_time deadline {}; ///< of the final response: the caller's or the route's, whichever is sooner
     std::optional<std::uint64_t> lastEventId; ///< last event of the stream that the caller has received
     request_size size;
 
     [[nodiscard]] bool isRetryable() const
     {
-        return chosen->kind == request_kind::Safe || (chosen->kind == request_kind::Stream && chosen->resumable);
+        return route->kind == request_kind::Safe || (route->kind == request_kind::Stream && route->resumable);
     }
-    [[nodiscard]] bool isStream() const { return chosen->kind == request_kind::Stream; }
+    [[nodiscard]] bool isStream() const { return route->kind == request_kind::Stream; }
 };
 
 /// Decoded head of a target's response.
@@ -112,7 +112,7 @@
     /// Events over which the event gap of a path is averaged for the pool.
     std::size_t latencySampleEvents = 8;
     /// After this many unanswered report requests the first target counts as unreachable.
-    std::uint32_t maxUnansweredReports = 2;
+    std::uint32_t maxReportsWithoutResponse = 2;
     /// A stream without an event for this long moves even if no member is known to be faulty: callers disconnect after
     /// 2 s.
     milliseconds moveAfter { 1300 };
@@ -128,8 +128,8 @@
     std::uint32_t maxTotalAttemptsOnceStarted = 20; ///< the same for a stream that has started
     /// A suspect request that has not started is held back by the quarantine for at most this long, and asks again
     /// after each poll interval.
-    milliseconds maxHoldTime { 400 };
-    milliseconds holdPollInterval { 20 };
+    milliseconds maxDispatchWait { 400 };
+    milliseconds dispatchPollInterval { 20 };
     /// A started stream that finds no target, or no retry in the budget, tries again after this interval,
     milliseconds streamRetryInterval { 150 };
     /// until its caller disconnects, usually after 2 s without an event, or this long after the last event.
@@ -161,9 +161,9 @@
     /// @brief The open attempt ended without a complete response.
     void onAttemptFailed(attempt_failure how, steady_time now);
     /// @brief The report request of the open attempt has finished.
-    /// @param answered whether the first target answered the report request
+    /// @param responded whether the first target responded to the report request
     /// @param faultyAddress of the member that stalls the request; empty: none, or no answer
-    void onReport(bool answered, const std::string& faultyAddress, steady_time now);
+    void onReport(bool responded, const std::string& faultyAddress, steady_time now);
     /// @brief A target refuses connections. A silent stream over it moves at once.
     void onUnreachable(const registry::target_incarnation& target, steady_time now);
     /// @brief The target table has changed. A stream leaves a member that was assigned other layers, which interrupts
@@ -173,7 +173,7 @@
     void onQuarantineChanged(steady_time now);
     void onTimer(steady_time now);
     /// @brief The caller has disconnected.
-    void onCallerGone(steady_time now);
+    void onCallerDisconnected(steady_time now);
 
     [[nodiscard]] bool isOver() const { return m_over; }
     /// @return for a request refused because limits or backoffs block all targets, when one may be sent a request
@@ -208,9 +208,9 @@
     /// @brief Retries elsewhere if possible; otherwise keeps the open attempt. @return true when it moved
     bool moveAttempt(const attempt_end& last, selection_constraints constraints, steady_time now);
     /// @brief Logs that a stalled attempt is kept, once per cause.
-    void logKept(const attempt_end& last, const std::string& why);
+    void logAttemptKept(const attempt_end& last, const std::string& why);
     /// @brief Logs that an attempt has ended without a complete response.
-    void logLoss(const attempt_end& last, steady_time now);
+    void logAttemptLost(const attempt_end& last, steady_time now);
     /// @return why the request can't be retried; empty: it can
     [[nodiscard]] std::string whyNotRetryable(const attempt_end& last, steady_time now);
     /// @brief Starts an attempt as soon as the quarantine permits it.
@@ -273,8 +273,8 @@
         m_pendingRetry; ///< outcome of the last attempt, while a started stream waits for a target
     steady_time m_retryAt {};
     std::optional<next_attempt> m_pendingAttempt; ///< selected and taken from the budget, but held by the quarantine
-    steady_time m_holdDeadline {}; ///< of the pending attempt
-    std::uint32_t m_unansweredReports = 0;
+    steady_time m_dispatchDeadline {}; ///< of the pending attempt
+    std::uint32_t m_reportsWithoutResponse = 0;
     std::uint32_t m_emptyReports = 0; ///< reports that named no member
     std::size_t m_sampleEvents = 0; ///< since the last latency sample
     steady_time m_sampleStart {};
@@ -283,12 +283,12 @@
     steady_time m_reportAt {};
     steady_time m_probeAt {};
     std::uint32_t m_emptyProbes = 0; ///< since the last event
-    std::string m_loggedKeepReason; ///< last cause logged for keeping the open attempt
+    std::string m_loggedCause; ///< last cause logged for keeping the open attempt
     milliseconds m_averageGap { 0 }; ///< moving average over the open attempt
     steady_time m_moveAt {};
     steady_time m_lastEventAt {};
     milliseconds m_longestGap { 0 };
-    milliseconds m_firstEvent { 0 };
+    milliseconds m_timeToFirstEvent { 0 };
 };
 
 } // namespace buckthornrail::gateway
--- a/include/buckthornrail/gateway/quarantine_gate.hpp
+++ b/include/buckthornrail/gateway/quarantine_gate.hpp
@@ -84,20 +84,20 @@
     std::vector<registry::quarantine_batch> takeBatches(bool all, steady_time now);
 
 private:
-    enum class claim_state : std::uint8_t { Open, Granted, Refused };
+    enum class claim_state : std::uint8_t { Pending, Granted, Refused };
     struct local_trial {
         request_fingerprint fingerprint;
         registry::trial_claim claim;
         registry::quarantine_stage stage = registry::quarantine_stage::None; ///< when it was claimed
-        claim_state state = claim_state::Open;
+        claim_state state = claim_state::Pending;
         registry::trial_refusal why = registry::trial_refusal::None;
         steady_time startsAt {}; ///< earliest start
         bool hasStarted = false; ///< until then it has no attempt that could be over
-        steady_time decideBy {}; ///< Open: a suspect starts then without a grant. Refused: claimed again then
+        steady_time decideBy {}; ///< Pending: a suspect starts then without a grant. Refused: claimed again then
     };
     struct sent_batch {
         registry::quarantine_batch batch;
-        steady_time sendAgainAt {};
+        steady_time resendAt {};
     };
 
     /// @brief Claims a trial for a call. @return Wait
@@ -114,10 +114,10 @@
     struct local_report {
         std::uint32_t unconfirmed = 0; ///< crashes that the view may not include yet
         registry::quarantine_stage expected = registry::quarantine_stage::None; ///< minimum stage once it includes them
-        steady_time keepUntil {};
+        steady_time expiresAt {};
     };
     std::map<request_fingerprint, local_report> m_reported;
-    std::deque<std::pair<steady_time, request_fingerprint>> m_reportedOrder; ///< with the time of its expiry check
+    std::deque<std::pair<steady_time, request_fingerprint>> m_reportExpiries; ///< with the time of its expiry check
     std::map<call_number, local_trial> m_trials;
     registry::quarantine_change m_unsentChanges; ///< not sent yet
     std::uint64_t m_lastBatchNumber = 0;
--- a/include/buckthornrail/gateway/rate_limiter.hpp
+++ b/include/buckthornrail/gateway/rate_limiter.hpp
@@ -37,7 +37,7 @@
     /// @brief Whether a request may be sent now.
     [[nodiscard]] bool maySend(steady_time now) const;
     /// @brief Counts a request that is being sent.
-    void noteSent(steady_time now);
+    void recordSent(steady_time now);
     /// @brief When the next request may be sent; if this gateway has no share, when another gateway may send one.
     [[nodiscard]] steady_time nextSendAt(steady_time now) const;
     /// @brief Mean time between this gateway's requests.
--- a/include/buckthornrail/gateway/route_document.hpp
+++ b/include/buckthornrail/gateway/route_document.hpp
@@ -70,7 +70,7 @@
     std::uint32_t stepsPerPass = 1; ///< tokens that an engine generates for each sequence before it admits new work
     double prefillTokensPerSecond = 0; ///< over all layers with prefillFactor 1; 0: not known
     double usualPromptTokens = 0;
-    double usualAnswerTokens = 0;
+    double usualOutputTokens = 0;
     double loadSeconds = 0; ///< time to load all layers
     double activationBytes = 0; ///< size of a token's activations between two targets
     double linkMbps = 0; ///< bandwidth of the shared link between two failure domains; 0: unlimited
--- a/include/buckthornrail/gateway/route_index.hpp
+++ b/include/buckthornrail/gateway/route_index.hpp
@@ -45,8 +45,8 @@
     /// @return MalformedMessage when it doesn't match the current version or its entries; nothing is changed then
     tl::expected<void, failure> apply(const decoded_change& change);
     /// @brief Adds entries to an index that is being built, without validation. Call finalize() at the end.
-    void put(const decoded_change& part);
-    /// @brief Sets the version of an index that put() has built.
+    void addEntries(const decoded_change& part);
+    /// @brief Sets the version of an index that addEntries() has built.
     /// @param digest of the version's entries
     /// @return MalformedMessage when the digest of the added entries differs
     tl::expected<void, failure> finalize(std::uint64_t version, std::uint64_t digest);
--- a/include/buckthornrail/gateway/shared_retry_budget.hpp
+++ b/include/buckthornrail/gateway/shared_retry_budget.hpp
@@ -64,8 +64,8 @@
     [[nodiscard]] std::size_t gateways() const;
 
     shared_retry_budget_options m_options;
-    std::deque<steady_time> m_requestsEnd; ///< when each request leaves the window
-    std::deque<steady_time> m_retriesEnd; ///< when each retry leaves the window
+    std::deque<steady_time> m_requestExpiries; ///< when each request leaves the window
+    std::deque<steady_time> m_retryExpiries; ///< when each retry leaves the window
     std::size_t m_gateways = 0; ///< as set last; 0: never
     std::map<std::size_t, steady_time> m_earlierGateways; ///< earlier numbers and until when they apply
 };
@@ -78,7 +78,7 @@
     {
     }
 
-    [[nodiscard]] shared_retry_budget& of(const std::string& service);
+    [[nodiscard]] shared_retry_budget& forService(const std::string& service);
     /// @brief See shared_retry_budget::setGatewayCount.
     void setGatewayCount(std::size_t gateways, steady_time now);
     /// @brief See shared_retry_budget::restoreSpent. Nothing was spent for services that are not listed.
--- a/include/buckthornrail/gateway/target_pool.hpp
+++ b/include/buckthornrail/gateway/target_pool.hpp
@@ -82,7 +82,7 @@
 /// Tokens of a request, as far as it states them.
 struct request_size {
     double promptTokens = 0;
-    double answerTokens = 0; ///< upper bound that the caller names
+    double maxOutputTokens = 0; ///< upper bound that the caller names
 };
 
 struct pool_options {
@@ -128,17 +128,17 @@
         const std::string& service, const selection_constraints& constraints, steady_time now);
 
     /// @brief Adds an attempt to the load of its targets, until attemptEnded().
-    void attemptStarted(const selection& chosen, const request_size& size);
+    void attemptStarted(const selection& selected, const request_size& size);
     /// @brief The first event has arrived: no target of the path is in prefill for this attempt any more.
-    void prefillFinished(const selection& chosen, const request_size& size);
+    void prefillFinished(const selection& selected, const request_size& size);
     /// @param isPrefillFinished whether prefillFinished() was called for the attempt
-    void attemptEnded(const selection& chosen, const request_size& size, bool isPrefillFinished);
+    void attemptEnded(const selection& selected, const request_size& size, bool isPrefillFinished);
 
     /// @brief Records a latency of a stream over a path. Targets on paths that are slower than expected, relative to
     /// all other paths, cost more for a while.
-    void recordLatency(const selection& chosen, latency_kind kind, double ms, steady_time now);
-    /// @brief The target answered. @param answerMs time to the answer, used for targets without layers
-    void succeeded(const registry::target_incarnation& id, double answerMs);
+    void recordLatency(const selection& selected, latency_kind kind, double ms, steady_time now);
+    /// @brief The target answered. @param responseMs time to the answer, used for targets without layers
+    void succeeded(const registry::target_incarnation& id, double responseMs);
     /// @brief The target failed an attempt.
     void failed(const registry::target_incarnation& id);
     /// @brief Records the flow control signals of a response.
@@ -159,7 +159,7 @@
     /// anything that wasn't selected here, such as probes.
     [[nodiscard]] bool maySend(const registry::target_incarnation& id, steady_time now) const;
     /// @brief Counts a request or a probe against the target's rate limit.
-    void noteSent(const registry::target_incarnation& id, steady_time now);
+    void recordSent(const registry::target_incarnation& id, steady_time now);
     /// @brief Earliest time at which a target of the service may be sent a request, plus random jitter so that refused
     /// callers don't return at the same moment.
     /// @return empty unless limits or backoffs block all targets
@@ -206,7 +206,7 @@
         bool isUnannounced = false; ///< received here and not yet sent to the other gateways
         steady_time nextAnnouncementAt {}; ///< an unchanged limit isn't announced again before
         /// Consecutive responses without a limit to requests that were sent after the last confirmation.
-        std::uint32_t answersWithoutLimit = 0;
+        std::uint32_t responsesWithoutLimit = 0;
     };
 
     struct pool_target {
@@ -220,7 +220,7 @@
         double prefillTokenLayers = 0; ///< prompts of attempts without a first event yet, in the same unit
         double otherGatewaysTokenLayers = 0; ///< of the other gateways' attempts, from their last report
         double tokenLayersAtReport = 0; ///< value of tokenLayers at the time of that report
-        double answerMs = 0; ///< moving average; 0: not known
+        double responseMs = 0; ///< moving average; 0: not known
         double failureShare = 0; ///< moving average of the share of failed attempts
         std::size_t refusalsInRow = 0;
         /// Latency of paths over the target, relative to the typical one.
@@ -249,7 +249,7 @@
 
     std::optional<selection> selectPath(const std::string& service, const layered_engine& engine,
         const selection_constraints& constraints, steady_time now);
-    std::optional<selection> selectOne(
+    std::optional<selection> selectTarget(
         const std::string& service, const selection_constraints& constraints, steady_time now);
     std::optional<selection> findSelection(std::span<pool_target* const> targets, const layered_engine& engine,
         const selection_constraints& constraints, const path_weights& weights, steady_time now);
@@ -282,7 +282,7 @@
     [[nodiscard]] double crossingMs(const layered_engine& engine) const;
     /// @brief Time until the queued prompts have crossed, at [from * domains + to].
     [[nodiscard]] std::vector<double> linkWaits(const layered_engine& engine) const;
-    void addPrefill(const selection& chosen, double promptTokens);
+    void addPrefill(const selection& selected, double promptTokens);
     /// @brief Cost of a target's failures, lost heartbeats and backoff.
     [[nodiscard]] static double failurePenaltyMs(const pool_target& target, steady_time now);
     /// @brief Time of a stream at a target for each pass of its engine.
--- a/src/app/gateway/gateway.cpp
+++ b/src/app/gateway/gateway.cpp
@@ -300,7 +300,7 @@
 {
     const auto now = steadyNow();
     for (const auto call : m_context.quarantine.callsOnTrial()) {
-        if (!m_context.crashes.mayHaveCrashedTarget(call, now) && !m_context.crashes.awaitsVerdict(call, now))
+        if (!m_context.crashes.mayHaveCrashedTarget(call, now) && !m_context.crashes.awaitsTargetState(call, now))
             m_context.quarantine.endTrial(call);
     }
     heartbeat.quarantineRevision = m_context.quarantine.revision();
--- a/src/app/gateway/gateway_call.cpp
+++ b/src/app/gateway/gateway_call.cpp
@@ -116,14 +116,14 @@
     gateway::exchange_request request;
     request.id = m_caller.requestId;
     request.documentVersion = index.version();
-    request.chosen = route;
+    request.route = route;
     std::uniform_real_distribution<double> draw(0, 1);
     request.service = gateway::pickService(*route, draw(m_context.random));
-    request.arrived = m_arrived;
+    request.arrivedAt = m_arrived;
     request.deadline = m_arrived + std::min(route->timeout, m_caller.timeout.value_or(route->timeout));
     request.lastEventId = m_caller.lastEventId;
     request.size = m_caller.size;
-    auto& budget = m_context.budgets.of(request.service);
+    auto& budget = m_context.budgets.forService(request.service);
     m_exchange
         = std::make_unique<gateway::exchange>(std::move(request), *this, m_context.pool, budget, exchangeOptions);
     m_exchange->start(steadyNow());
@@ -142,7 +142,7 @@
 {
     m_sink = nullptr;
     if (m_exchange)
-        m_exchange->onCallerGone(steadyNow());
+        m_exchange->onCallerDisconnected(steadyNow());
     cancelAttempt();
     m_timer.cancel();
     countAnswer("caller_left");
--- a/src/app/gateway/gateway_call_quarantine.cpp
+++ b/src/app/gateway/gateway_call_quarantine.cpp
@@ -9,7 +9,7 @@
 gateway::dispatch_verdict gateway_call::requestDispatch(const gateway::selection& selected)
 {
     const auto now = steadyNow();
-    if (m_context.crashes.awaitsVerdict(m_number, now))
+    if (m_context.crashes.awaitsTargetState(m_number, now))
         return gateway::dispatch_verdict::Wait;
     if (m_context.quarantine.isEmpty())
         return gateway::dispatch_verdict::Go;
--- a/src/app/gateway/gateway_document.cpp
+++ b/src/app/gateway/gateway_document.cpp
@@ -10,7 +10,7 @@
     const auto unpacked = unpackSlice(slice);
     if (!unpacked)
         return tl::make_unexpected(unpacked.error());
-    auto taken = m_assembly.take(*unpacked);
+    auto taken = m_assembly.addSlice(*unpacked);
     if (taken || taken.error().code != result_code::InvalidDocument)
         return taken;
     logUnreadable(slice.to, taken.error());
@@ -30,7 +30,7 @@
         return {};
     }
     for (const auto& slice : document::slicesOf(*outline)) {
-        const auto taken = m_assembly.take(slice);
+        const auto taken = m_assembly.addSlice(slice);
         if (!taken)
             logUnreadable(m_text.version, taken.error());
     }
--- a/src/app/gateway/gateway_document.hpp
+++ b/src/app/gateway/gateway_document.hpp
@@ -29,7 +29,7 @@
     /// document is needed then
     tl::expected<bool, failure> activate();
     /// @brief Discards incomplete changes when the link has closed: they are sent again from the start.
-    void discardPartial() { m_assembly.drop(); }
+    void discardPartial() { m_assembly.discard(); }
 
     /// @return the active version; 0: none
     [[nodiscard]] std::uint64_t version() const { return m_index ? m_index->version() : 0; }
--- a/src/app/registry/layer_orders.cpp
+++ b/src/app/registry/layer_orders.cpp
@@ -33,7 +33,7 @@
 /// Memory of a target's accelerator, 0 for an unknown one, and what layers and the minimum number of tokens take of it.
 registry::memory_requirements needsOf(const registry::target_record& record, const gateway::layered_engine& engine)
 {
-    const double tokens = sequencesPerTarget * (engine.usualPromptTokens + engine.usualAnswerTokens);
+    const double tokens = sequencesPerTarget * (engine.usualPromptTokens + engine.usualOutputTokens);
     const double tokenBytesPerLayer = engine.tokenBytes / std::max(engine.layers, 1U);
     for (const auto& kind : engine.kinds) {
         if (kind.name == record.accelerator)
--- a/src/buckthornrail/gateway/crash_watch.cpp
+++ b/src/buckthornrail/gateway/crash_watch.cpp
@@ -38,13 +38,13 @@
     return true;
 }
 
-bool crash_watch::awaitsVerdict(call_number call, steady_time now) const
+bool crash_watch::awaitsTargetState(call_number call, steady_time now) const
 {
     return std::any_of(m_lost.begin(), m_lost.end(),
-        [call, now](const auto& one) { return one.call == call && now < one.probeDeadline; });
+        [call, now](const auto& lost) { return lost.call == call && now < lost.probeDeadline; });
 }
 
-std::vector<registry::target_incarnation> crash_watch::endedOf(const std::vector<selected_part>& parts,
+std::vector<registry::target_incarnation> crash_watch::endedTargets(const std::vector<selected_part>& parts,
     const std::string& address, const registry::target_incarnation& replacement)
 {
     std::vector<registry::target_incarnation> targets;
@@ -64,27 +64,27 @@
         steady_time openedAt {};
     };
     std::map<registry::target_incarnation, std::vector<suspect>> suspectsByTarget;
-    for (const auto& [call, one] : m_open) {
+    for (const auto& [call, attempt] : m_open) {
         if (!mayHaveCrashedTarget(call, now))
             continue;
-        for (const auto& target : endedOf(one.parts, address, replacement))
-            suspectsByTarget[target].push_back({ fingerprintOf(call), one.openedAt });
+        for (const auto& target : endedTargets(attempt.parts, address, replacement))
+            suspectsByTarget[target].push_back({ fingerprintOf(call), attempt.openedAt });
     }
-    for (const auto& one : m_lost) {
-        for (const auto& target : endedOf(one.parts, address, replacement))
-            suspectsByTarget[target].push_back({ one.fingerprint, one.probeDeadline });
+    for (const auto& lost : m_lost) {
+        for (const auto& target : endedTargets(lost.parts, address, replacement))
+            suspectsByTarget[target].push_back({ lost.fingerprint, lost.probeDeadline });
     }
-    std::erase_if(m_lost, [&](const auto& one) { return !endedOf(one.parts, address, replacement).empty(); });
+    std::erase_if(m_lost, [&](const auto& lost) { return !endedTargets(lost.parts, address, replacement).empty(); });
     std::vector<registry::crash_report> reports;
     for (auto& [target, suspects] : suspectsByTarget) {
         std::sort(
             suspects.begin(), suspects.end(), [](const auto& a, const auto& b) { return a.openedAt > b.openedAt; });
         registry::crash_report report { target, {} };
-        for (const auto& one : suspects) {
+        for (const auto& suspect : suspects) {
             const bool isListed
-                = std::find(report.begun.begin(), report.begun.end(), one.fingerprint) != report.begun.end();
+                = std::find(report.begun.begin(), report.begun.end(), suspect.fingerprint) != report.begun.end();
             if (!isListed && report.begun.size() < m_options.maxSuspects)
-                report.begun.push_back(one.fingerprint);
+                report.begun.push_back(suspect.fingerprint);
         }
         reports.push_back(std::move(report));
     }
@@ -93,15 +93,15 @@
 
 void crash_watch::onTargetAlive(const std::string& address)
 {
-    for (auto& one : m_lost) {
-        if (one.parts.front().address == address)
-            one.probeDeadline = {};
+    for (auto& lost : m_lost) {
+        if (lost.parts.front().address == address)
+            lost.probeDeadline = {};
     }
 }
 
 void crash_watch::dropExpired(steady_time now)
 {
-    std::erase_if(m_lost, [now](const auto& one) { return now >= one.keepUntil; });
+    std::erase_if(m_lost, [now](const auto& lost) { return now >= lost.expiresAt; });
     while (m_lost.size() >= m_options.maxLost)
         m_lost.pop_front();
 }
--- a/src/buckthornrail/gateway/document_assembly.cpp
+++ b/src/buckthornrail/gateway/document_assembly.cpp
@@ -37,28 +37,28 @@
 
 } // namespace
 
-bool document_assembly::follows(const document::change_slice& slice) const
+bool document_assembly::isNext(const document::change_slice& slice) const
 {
     if (slice.number != m_next || slice.number >= slice.count)
         return false;
-    const auto& open = m_open.change;
+    const auto& open = m_partial.change;
     return m_next == 0 || (slice.from == open.from && slice.to == open.to && slice.digest == open.digest);
 }
 
-tl::expected<void, failure> document_assembly::take(const document::change_slice& slice)
+tl::expected<void, failure> document_assembly::addSlice(const document::change_slice& slice)
 {
-    if (!follows(slice)) {
-        drop();
+    if (!isNext(slice)) {
+        discard();
         return outOfOrder(slice);
     }
     if (m_next == 0) {
-        m_open = {};
-        m_open.change.from = slice.from;
-        m_open.change.to = slice.to;
-        m_open.change.digest = slice.digest;
+        m_partial = {};
+        m_partial.change.from = slice.from;
+        m_partial.change.to = slice.to;
+        m_partial.change.digest = slice.digest;
         m_isSkipped = false;
         if (slice.from == 0)
-            m_open.whole = std::make_shared<route_index>();
+            m_partial.whole = std::make_shared<route_index>();
     }
     tl::expected<void, failure> decoded;
     if (!m_isSkipped)
@@ -66,9 +66,9 @@
     m_isSkipped = m_isSkipped || !decoded;
     m_next = slice.number + 1 == slice.count ? 0 : m_next + 1;
     if (m_next == 0 && !m_isSkipped)
-        m_completed.push_back(std::move(m_open));
+        m_completed.push_back(std::move(m_partial));
     if (m_next == 0)
-        m_open = {};
+        m_partial = {};
     return decoded;
 }
 
@@ -87,11 +87,11 @@
         slice.rest = std::make_shared<const document_rest>(std::move(*rest));
         slice.restHash = document::hashOf(part.rest);
     }
-    if (m_open.whole) {
-        m_open.whole->put(slice);
+    if (m_partial.whole) {
+        m_partial.whole->addEntries(slice);
         return {};
     }
-    auto& change = m_open.change;
+    auto& change = m_partial.change;
     appendAll(change.removedRoutes, part.routes.removed);
     appendAll(change.removedWorkspaces, part.workspaces.removed);
     std::move(slice.routes.begin(), slice.routes.end(), std::back_inserter(change.routes));
@@ -105,10 +105,10 @@
 
 std::vector<completed_change> document_assembly::takeCompleted() { return std::exchange(m_completed, {}); }
 
-void document_assembly::drop()
+void document_assembly::discard()
 {
     m_completed.clear();
-    m_open = {};
+    m_partial = {};
     m_next = 0;
     m_isSkipped = false;
 }
--- a/src/buckthornrail/gateway/exchange.cpp
+++ b/src/buckthornrail/gateway/exchange.cpp
@@ -35,7 +35,7 @@
     , m_options(options)
     , m_lastEventId(m_request.lastEventId)
 {
-    m_constraints.eventGapTarget = m_request.chosen->eventGapTarget;
+    m_constraints.eventGapTarget = m_request.route->eventGapTarget;
 }
 
 void exchange::start(steady_time now)
@@ -56,7 +56,7 @@
 void exchange::scheduleAttempt(next_attempt next, steady_time now)
 {
     m_pendingAttempt = std::move(next);
-    m_holdDeadline = m_streamStarted ? m_lastEventAt + m_options.maxStreamPause : now + m_options.maxHoldTime;
+    m_dispatchDeadline = m_streamStarted ? m_lastEventAt + m_options.maxStreamPause : now + m_options.maxDispatchWait;
     tryStartAttempt(now);
 }
 
@@ -95,7 +95,7 @@
             "targets crash when they execute this request", now);
         return;
     }
-    if (now >= m_holdDeadline) {
+    if (now >= m_dispatchDeadline) {
         m_pendingAttempt.reset();
         const std::string reason
             = "targets crashed when they executed this request: it may only run on one target at a time";
@@ -105,7 +105,7 @@
             finish(result_code::RequestHeld, ran_state::No, reason, now);
         return;
     }
-    m_retryAt = now + m_options.holdPollInterval;
+    m_retryAt = now + m_options.dispatchPollInterval;
     scheduleTimer(now);
 }
 
@@ -153,14 +153,14 @@
     if (response.status < firstNonSuccessStatus)
         return;
     const attempt_end end { ran_state::Yes, false, "failed with status " + std::to_string(response.status) };
-    const bool isFault = response.status >= firstServerErrorStatus;
-    if (isFault)
+    const bool isServerError = response.status >= firstServerErrorStatus;
+    if (isServerError)
         avoid(first, false, now);
     // A status that states that the request wasn't executed must not reach the caller unless the target said so; other
     // failures are forwarded when no retry is left. A server error that a second target repeats is caused by the
     // request: of 27 such requests in a simulated day the second target served 11, and later targets none.
-    const bool isFirstFault = isFault && !std::exchange(m_hadServerError, true);
-    if (impliesNotExecuted(response.status) || (isFirstFault && whyNotRetryable(end, now).empty())) {
+    const bool isFirstServerError = isServerError && !std::exchange(m_hadServerError, true);
+    if (impliesNotExecuted(response.status) || (isFirstServerError && whyNotRetryable(end, now).empty())) {
         closeAttempt();
         retry(end, now);
     }
@@ -182,9 +182,9 @@
     m_port.forwardResponse();
     m_over = true;
     m_port.logEvent(event_code::RequestFinished,
-        { { "request", m_request.id }, { "route", m_request.chosen->name }, { "outcome", "passed_on" },
+        { { "request", m_request.id }, { "route", m_request.route->name }, { "outcome", "passed_on" },
             { "status", std::to_string(status) }, { "attempts", std::to_string(m_attempts) }, { "target", text(first) },
-            { "ms", inMs(between(m_request.arrived, now)) } });
+            { "ms", inMs(between(m_request.arrivedAt, now)) } });
 }
 
 void exchange::onEvent(std::string_view bytes, std::optional<std::uint64_t> id, steady_time now)
@@ -219,7 +219,7 @@
     }
     if (!m_streamStarted) {
         m_streamStarted = true;
-        m_firstEvent = between(m_request.arrived, now);
+        m_timeToFirstEvent = between(m_request.arrivedAt, now);
         m_port.beginStream();
     } else {
         m_longestGap = std::max(m_longestGap, between(m_lastEventAt, now));
@@ -228,7 +228,7 @@
     }
     ++m_events;
     m_lastEventAt = now;
-    m_unansweredReports = 0;
+    m_reportsWithoutResponse = 0;
     m_reportAt = now + m_options.reportAfter * (1U << std::min(m_emptyReports, 3U));
     m_moveAt = now + m_options.moveAfter;
     const auto probeDelay = std::chrono::duration_cast<milliseconds>(m_averageGap * m_options.probeAfterGaps);
@@ -251,13 +251,13 @@
     m_port.endStream();
     m_over = true;
     m_port.logEvent(event_code::RequestFinished,
-        { { "request", m_request.id }, { "route", m_request.chosen->name }, { "outcome", "streamed" },
+        { { "request", m_request.id }, { "route", m_request.route->name }, { "outcome", "streamed" },
             { "events", std::to_string(m_events) }, { "attempts", std::to_string(m_attempts) },
             { "tokens",
                 std::to_string(static_cast<int>(m_request.size.promptTokens)) + ","
-                    + std::to_string(static_cast<int>(m_request.size.answerTokens)) },
-            { "first_ms", inMs(m_firstEvent) }, { "gap_ms", inMs(m_longestGap) },
-            { "ms", inMs(between(m_request.arrived, now)) } });
+                    + std::to_string(static_cast<int>(m_request.size.maxOutputTokens)) },
+            { "first_ms", inMs(m_timeToFirstEvent) }, { "gap_ms", inMs(m_longestGap) },
+            { "ms", inMs(between(m_request.arrivedAt, now)) } });
 }
 
 void exchange::onAttemptFailed(attempt_failure how, steady_time now)
@@ -283,7 +283,7 @@
         now);
 }
 
-void exchange::onCallerGone(steady_time now)
+void exchange::onCallerDisconnected(steady_time now)
 {
     if (m_over)
         return;
@@ -292,9 +292,9 @@
     m_pendingAttempt.reset();
     m_over = true;
     m_port.logEvent(event_code::RequestFinished,
-        { { "request", m_request.id }, { "route", m_request.chosen->name }, { "outcome", "caller_left" },
+        { { "request", m_request.id }, { "route", m_request.route->name }, { "outcome", "caller_left" },
             { "events", std::to_string(m_events) }, { "attempts", std::to_string(m_attempts) },
-            { "ms", inMs(between(m_request.arrived, now)) } });
+            { "ms", inMs(between(m_request.arrivedAt, now)) } });
 }
 
 exchange::next_attempt exchange::planNextAttempt(
@@ -311,7 +311,7 @@
         next.countedTargets.insert(m_selection.parts.front().target);
     // The route limits the number of targets, not of attempts: a target that ran the request may run it again.
     constraints.allowedFirst.clear();
-    if (next.countedTargets.size() >= m_request.chosen->maxAttempts)
+    if (next.countedTargets.size() >= m_request.route->maxAttempts)
         constraints.allowedFirst = next.countedTargets;
     next.selected = m_pool.select(m_request.service, constraints, now);
     // A started stream waits instead, as targets that have just refused it would refuse it again.
@@ -326,8 +326,8 @@
         return next;
     }
     const bool mayHaveRun = m_mayHaveRun || last.ran != ran_state::No;
-    const bool arrived = last.ran != ran_state::No || !last.targetEnded;
-    if (arrived && !m_budget.tryTake(!mayHaveRun, now)) {
+    const bool hasReachedTarget = last.ran != ran_state::No || !last.targetEnded;
+    if (hasReachedTarget && !m_budget.tryTake(!mayHaveRun, now)) {
         next.why = "retry budget exhausted: " + m_budget.describe(now);
         next.selected.reset();
     }
@@ -336,7 +336,7 @@
 
 void exchange::retry(const attempt_end& last, steady_time now)
 {
-    logLoss(last, now);
+    logAttemptLost(last, now);
     retryOrWait(last, now);
 }
 
@@ -366,26 +366,26 @@
 {
     const auto next = planNextAttempt(last, std::move(constraints), now);
     if (!next.selected) {
-        logKept(last, next.why);
+        logAttemptKept(last, next.why);
         return false; // the open attempt may still recover: being slow is no reason to end it
     }
-    logLoss(last, now);
+    logAttemptLost(last, now);
     closeAttempt();
     m_mayHaveRun = m_mayHaveRun || last.ran != ran_state::No;
     scheduleAttempt(next, now);
     return true;
 }
 
-void exchange::logKept(const attempt_end& last, const std::string& why)
+void exchange::logAttemptKept(const attempt_end& last, const std::string& why)
 {
-    if (std::exchange(m_loggedKeepReason, last.reason) == last.reason)
+    if (std::exchange(m_loggedCause, last.reason) == last.reason)
         return;
     m_port.logEvent(event_code::AttemptKept,
         { { "request", m_request.id }, { "attempt", std::to_string(m_attempts) }, { "because", last.reason },
             { "reason", why } });
 }
 
-void exchange::logLoss(const attempt_end& last, steady_time now)
+void exchange::logAttemptLost(const attempt_end& last, steady_time now)
 {
     m_port.logEvent(event_code::AttemptLost,
         { { "request", m_request.id }, { "attempt", std::to_string(m_attempts) }, { "reason", last.reason },
@@ -414,10 +414,10 @@
     m_response.reset();
     m_sent = false;
     m_attemptOpen = true;
-    m_unansweredReports = 0;
+    m_reportsWithoutResponse = 0;
     m_emptyReports = 0;
     m_sampleEvents = 0;
-    m_loggedKeepReason.clear();
+    m_loggedCause.clear();
     m_attemptStart = now;
     ++m_attempts;
     m_moveAt = now + m_options.firstEventMoveAfter;
@@ -426,10 +426,10 @@
     m_averageGap = milliseconds(0);
     m_emptyProbes = 0;
     m_hasFirstEvent = false;
-    m_pool.noteSent(m_selection.parts.front().target, now);
+    m_pool.recordSent(m_selection.parts.front().target, now);
     m_pool.attemptStarted(m_selection, m_request.size);
     m_port.logEvent(event_code::RouteChosen,
-        { { "request", m_request.id }, { "route", m_request.chosen->name },
+        { { "request", m_request.id }, { "route", m_request.route->name },
             { "version", std::to_string(m_request.documentVersion) }, { "attempt", std::to_string(m_attempts) },
             { "chosen", describe(selected) }, { "candidates", selected.summary },
             { "left_ms", inMs(between(now, m_request.deadline)) } });
@@ -459,13 +459,13 @@
     if (isRetryableLater)
         m_earliestSendAt = m_pool.earliestSendAt(m_request.service, now);
     m_port.logEvent(m_streamStarted || ran != ran_state::No ? event_code::RequestFinished : event_code::RouteRefused,
-        { { "request", m_request.id }, { "route", m_request.chosen->name },
+        { { "request", m_request.id }, { "route", m_request.route->name },
             { "outcome", m_streamStarted ? "broken_off" : "refused" },
             { "code", std::to_string(static_cast<int>(code)) }, { "ran", std::string(nameOf(ran)) },
             { "reason", reason }, { "events", std::to_string(m_events) }, { "attempts", std::to_string(m_attempts) },
             { "ready", std::to_string(m_pool.readyCount(m_request.service)) },
             { "room_in_ms", m_earliestSendAt ? inMs(between(now, *m_earliestSendAt)) : std::string() },
-            { "ms", inMs(between(m_request.arrived, now)) } });
+            { "ms", inMs(between(m_request.arrivedAt, now)) } });
     if (m_streamStarted)
         m_port.abortStream();
     else
--- a/src/buckthornrail/gateway/exchange_stream_test.cpp
+++ b/src/buckthornrail/gateway/exchange_stream_test.cpp
@@ -47,7 +47,7 @@
     beginStream(call);
     call.onEvent("1", 1, zero);
     call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
-    CHECK(bench.port.outcome == "broken off");
+    CHECK(bench.port.outcome == "aborted");
 }
 
 TEST_CASE("exchange: a stream stalled by a member moves to a path without it", "[exchange]")
@@ -116,16 +116,16 @@
     }
     SECTION("none does, and the caller waits longer than most")
     {
-        for (int at = 2; (at + 1) * 150 < 1000; ++at) { // with less time left no attempt is started
-            call.onTimer(zero + milliseconds(150 * at));
+        for (int i = 2; (i + 1) * 150 < 1000; ++i) { // with less time left no attempt is started
+            call.onTimer(zero + milliseconds(150 * i));
             CHECK(bench.port.outcome.empty());
         }
     }
     SECTION("none does until its deadline")
     {
-        for (int at = 2; at < 20 && bench.port.outcome.empty(); ++at)
-            call.onTimer(zero + milliseconds(150 * at));
-        CHECK(bench.port.outcome == "broken off");
+        for (int i = 2; i < 20 && bench.port.outcome.empty(); ++i)
+            call.onTimer(zero + milliseconds(150 * i));
+        CHECK(bench.port.outcome == "aborted");
     }
 }
 
@@ -137,7 +137,7 @@
     beginStream(call);
     call.onEvent("1", 1, zero);
     call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
-    for (int at = 0; at < 30 && bench.port.isOpen; ++at) {
+    for (int i = 0; i < 30 && bench.port.isOpen; ++i) {
         call.onSent(zero);
         call.onHead(refusal(), zero);
     }
@@ -243,9 +243,9 @@
     auto call = bench.make();
     call.start(zero);
     beginStream(call);
-    for (std::uint64_t at = 1; at < 10; ++at) {
-        const auto now = zero + milliseconds(40 * at);
-        call.onEvent("e", at, now);
+    for (std::uint64_t i = 1; i < 10; ++i) {
+        const auto now = zero + milliseconds(40 * i);
+        call.onEvent("e", i, now);
         call.onTimer(now + milliseconds(39));
     }
     call.onTimer(zero + milliseconds(620));
@@ -273,7 +273,7 @@
     exchange_bench bench(request_kind::Stream, true, true);
     auto call = bench.make();
     call.start(zero);
-    for (int at = 0; at < 10 && bench.port.outcome.empty(); ++at) {
+    for (int i = 0; i < 10 && bench.port.outcome.empty(); ++i) {
         beginStream(call);
         call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
     }
@@ -361,7 +361,7 @@
     call.start(zero);
     beginStream(call);
     auto now = zero;
-    for (int at = 0; at < 20; ++at) {
+    for (int i = 0; i < 20; ++i) {
         now += gap;
         call.onEvent("e", std::nullopt, now);
     }
--- a/src/buckthornrail/gateway/exchange_test.cpp
+++ b/src/buckthornrail/gateway/exchange_test.cpp
@@ -16,7 +16,7 @@
     call.onHead(authenticResponse(200), zero);
     CHECK(bench.port.outcome.empty());
     call.onBody(zero);
-    CHECK(bench.port.outcome == "passed on");
+    CHECK(bench.port.outcome == "forwarded");
     CHECK(call.isOver());
 }
 
@@ -28,9 +28,9 @@
     call.onSent(zero);
     call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
     CHECK(bench.port.attempts == 1);
-    CHECK(bench.port.outcome == "answered");
-    CHECK(bench.port.answerRan == ran_state::Unknown);
-    CHECK(describe(bench.port.answerCode).httpStatus == 502);
+    CHECK(bench.port.outcome == "error");
+    CHECK(bench.port.errorRan == ran_state::Unknown);
+    CHECK(describe(bench.port.errorCode).httpStatus == 502);
 }
 
 TEST_CASE("exchange: a request that the target refused is retried elsewhere, even if unsafe", "[exchange]")
@@ -38,14 +38,14 @@
     exchange_bench bench(request_kind::Unsafe, false, false);
     auto call = bench.make();
     call.start(zero);
-    for (int at = 0; at < 20 && bench.port.outcome.empty(); ++at) {
+    for (int i = 0; i < 20 && bench.port.outcome.empty(); ++i) {
         call.onSent(zero);
         call.onHead(refusal(), zero);
     }
     CHECK(bench.port.attempts > 2);
-    CHECK(bench.port.outcome == "answered");
-    CHECK(bench.port.answerRan == ran_state::No);
-    CHECK(describe(bench.port.answerCode).httpStatus == 503);
+    CHECK(bench.port.outcome == "error");
+    CHECK(bench.port.errorRan == ran_state::No);
+    CHECK(describe(bench.port.errorCode).httpStatus == 503);
 }
 
 TEST_CASE("exchange: a status that implies not executed without the target's statement is not forwarded", "[exchange]")
@@ -58,9 +58,9 @@
         call.onHead(authenticResponse(status), zero);
         call.onBody(zero);
         INFO(status);
-        CHECK(bench.port.outcome == "answered");
-        CHECK(bench.port.answerRan == ran_state::Unknown);
-        CHECK(describe(bench.port.answerCode).httpStatus == 502);
+        CHECK(bench.port.outcome == "error");
+        CHECK(bench.port.errorRan == ran_state::Unknown);
+        CHECK(describe(bench.port.errorCode).httpStatus == 502);
     }
 }
 
@@ -74,12 +74,12 @@
     call.onHead(authenticResponse(500), zero);
     CHECK(bench.port.attempts == 2);
     CHECK(bench.port.target != first);
-    for (int at = 0; at < 10 && bench.port.outcome.empty(); ++at) {
+    for (int i = 0; i < 10 && bench.port.outcome.empty(); ++i) {
         call.onSent(zero);
         call.onHead(authenticResponse(500), zero);
         call.onBody(zero);
     }
-    CHECK(bench.port.outcome == "passed on"); // the target's failure, not an error of the gateway
+    CHECK(bench.port.outcome == "forwarded"); // the target's failure, not an error of the gateway
     const std::set<std::string> distinct(bench.port.targets.begin(), bench.port.targets.end());
     CHECK(distinct.size() == 2);
     CHECK(bench.port.attempts == 2); // a repeated failure is caused by the request
@@ -105,15 +105,15 @@
     unsent.start(zero);
     CHECK(bench.port.timer == zero + milliseconds(1000));
     unsent.onTimer(zero + milliseconds(1000));
-    CHECK(bench.port.answerRan == ran_state::No);
+    CHECK(bench.port.errorRan == ran_state::No);
 
     exchange_bench other(request_kind::Unsafe, false, false);
     auto sent = other.make();
     sent.start(zero);
     sent.onSent(zero);
     sent.onTimer(zero + milliseconds(1000));
-    CHECK(other.port.answerRan == ran_state::Unknown);
-    CHECK(describe(other.port.answerCode).httpStatus == 504);
+    CHECK(other.port.errorRan == ran_state::Unknown);
+    CHECK(describe(other.port.errorCode).httpStatus == 504);
 }
 
 TEST_CASE("exchange: a disconnected caller cancels the attempt and receives nothing", "[exchange]")
@@ -122,7 +122,7 @@
     auto call = bench.make();
     call.start(zero);
     call.onSent(zero);
-    call.onCallerGone(zero);
+    call.onCallerDisconnected(zero);
     CHECK_FALSE(bench.port.isOpen);
     CHECK(bench.port.outcome.empty());
     call.onTimer(zero + milliseconds(5000));
@@ -187,7 +187,7 @@
             if (!isRetryable && mayHaveRun > 0)
                 RC_ASSERT(bench.port.attempts == attempts);
         }
-        if (bench.port.outcome == "answered" && bench.port.answerRan == ran_state::No)
+        if (bench.port.outcome == "error" && bench.port.errorRan == ran_state::No)
             RC_ASSERT(mayHaveRun == 0);
     });
 }
--- a/src/buckthornrail/gateway/exchange_watch.cpp
+++ b/src/buckthornrail/gateway/exchange_watch.cpp
@@ -12,20 +12,20 @@
 
 } // namespace
 
-void exchange::onReport(bool answered, const std::string& faultyAddress, steady_time now)
+void exchange::onReport(bool responded, const std::string& faultyAddress, steady_time now)
 {
     if (!m_attemptOpen)
         return;
-    if (answered)
-        m_unansweredReports = 0;
-    const bool firstIsUnreachable = !answered && m_unansweredReports >= m_options.maxUnansweredReports;
+    if (responded)
+        m_reportsWithoutResponse = 0;
+    const bool firstIsUnreachable = !responded && m_reportsWithoutResponse >= m_options.maxReportsWithoutResponse;
     registry::target_incarnation faulty;
     if (firstIsUnreachable)
         faulty = m_selection.parts.front().target;
     else if (!faultyAddress.empty())
         faulty = m_pool.idAt(faultyAddress);
     if (faulty.empty()) {
-        m_emptyReports += answered ? 1 : 0;
+        m_emptyReports += responded ? 1 : 0;
         return;
     }
     avoid(faulty, true, now);
@@ -167,14 +167,14 @@
     const auto first = m_selection.parts.front().target;
     if (!m_pool.maySend(first, now))
         return; // a request that was never sent is no sign of an unreachable target
-    m_pool.noteSent(first, now);
-    ++m_unansweredReports;
+    m_pool.recordSent(first, now);
+    ++m_reportsWithoutResponse;
     m_port.requestReport();
 }
 
 bool exchange::abandonSlowTarget(steady_time now)
 {
-    if (m_request.chosen->kind != request_kind::Safe || m_response || now < m_moveAt)
+    if (m_request.route->kind != request_kind::Safe || m_response || now < m_moveAt)
         return false;
     const auto first = m_selection.parts.front().target;
     const std::chrono::duration<double, std::milli> took = now - m_attemptStart;
@@ -191,9 +191,9 @@
         when = std::min(when, m_retryAt);
     if (m_attemptOpen && m_sent && hasPath())
         when = std::min({ when, m_reportAt, m_probeAt, m_moveAt > now ? m_moveAt : when });
-    if (m_attemptOpen && m_sent && !hasPath() && m_request.chosen->kind == request_kind::Safe && !m_response) {
+    if (m_attemptOpen && m_sent && !hasPath() && m_request.route->kind == request_kind::Safe && !m_response) {
         const auto retryDelay
-            = std::chrono::duration_cast<milliseconds>(m_request.chosen->latencyTarget * m_options.retryLatencyRatio);
+            = std::chrono::duration_cast<milliseconds>(m_request.route->latencyTarget * m_options.retryLatencyRatio);
         m_moveAt = m_attemptStart + retryDelay;
         if (m_moveAt > now)
             when = std::min(when, m_moveAt);
--- a/src/buckthornrail/gateway/fingerprint_request_test.cpp
+++ b/src/buckthornrail/gateway/fingerprint_request_test.cpp
@@ -10,21 +10,21 @@
 
 TEST_CASE("request fingerprint: depends on each part of a request and on where it ends", "[fingerprint]")
 {
-    const request_identity one { "POST", "h", "/p?q", "w", "body" };
-    CHECK(fingerprintOf(one) == fingerprintOf({ "POST", "h", "/p?q", "w", "body" }));
-    CHECK(fingerprintOf(one) != fingerprintOf({ "PUT", "h", "/p?q", "w", "body" }));
-    CHECK(fingerprintOf(one) != fingerprintOf({ "POST", "i", "/p?q", "w", "body" }));
-    CHECK(fingerprintOf(one) != fingerprintOf({ "POST", "h", "/p", "w", "body" }));
-    CHECK(fingerprintOf(one) != fingerprintOf({ "POST", "h", "/p?q", "", "body" }));
-    CHECK(fingerprintOf(one) != fingerprintOf({ "POST", "h", "/p?q", "w", "bodies" }));
+    const request_identity request { "POST", "h", "/p?q", "w", "body" };
+    CHECK(fingerprintOf(request) == fingerprintOf({ "POST", "h", "/p?q", "w", "body" }));
+    CHECK(fingerprintOf(request) != fingerprintOf({ "PUT", "h", "/p?q", "w", "body" }));
+    CHECK(fingerprintOf(request) != fingerprintOf({ "POST", "i", "/p?q", "w", "body" }));
+    CHECK(fingerprintOf(request) != fingerprintOf({ "POST", "h", "/p", "w", "body" }));
+    CHECK(fingerprintOf(request) != fingerprintOf({ "POST", "h", "/p?q", "", "body" }));
+    CHECK(fingerprintOf(request) != fingerprintOf({ "POST", "h", "/p?q", "w", "bodies" }));
     CHECK(fingerprintOf({ "a", "b", "c", "d", "e" }) != fingerprintOf({ "a", "bc", "", "d", "e" }));
 }
 
 TEST_CASE("request fingerprint: text form round-trips, malformed text is rejected", "[fingerprint]")
 {
     rc::prop("any fingerprint", [](const std::string& body) {
-        const auto one = fingerprintOf({ "POST", "h", "/", "", body });
-        RC_ASSERT(parseFingerprint(text(one)) == one);
+        const auto fingerprint = fingerprintOf({ "POST", "h", "/", "", body });
+        RC_ASSERT(parseFingerprint(text(fingerprint)) == fingerprint);
     });
     const std::string digits = text(fingerprintOf({ "POST", "h", "/", "", "" }));
     CHECK(digits.size() == 32);
--- a/src/buckthornrail/gateway/heavy_load_test.cpp
+++ b/src/buckthornrail/gateway/heavy_load_test.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 constexpr double promptTokens = 800;
-constexpr double answerTokens = 200;
-constexpr double usualTokens = promptTokens + answerTokens;
+constexpr double outputTokens = 200;
+constexpr double usualTokens = promptTokens + outputTokens;
 constexpr std::uint32_t layers = 80;
 
-registry::target_record holder(
-    const std::string& id, const std::string& domain, const std::string& kind, layer_range held)
+registry::target_record targetWith(
+    const std::string& id, const std::string& domain, const std::string& kind, layer_range layers)
 {
     registry::target_record record;
     record.id = id;
@@ -25,7 +25,7 @@
     record.failureDomain = domain;
     record.accelerator = kind;
     record.slots = 192;
-    record.layers = held;
+    record.layers = layers;
     return record;
 }
 
@@ -42,7 +42,7 @@
     engine.stepMsPerContextToken = 0.000004;
     engine.stepsPerPass = 5;
     engine.usualPromptTokens = promptTokens;
-    engine.usualAnswerTokens = answerTokens;
+    engine.usualOutputTokens = outputTokens;
     engine.kinds = { { "fast", 4040, 2, 1 }, { "slow", 4040, 16, 1 } };
     return engine;
 }
@@ -61,8 +61,8 @@
 
 target_pool fastAndSlowChain()
 {
-    return poolOf({ holder("f0", "a", "fast", { 0, 40 }), holder("f1", "a", "fast", { 40, 80 }),
-                      holder("s0", "a", "slow", { 0, 40 }), holder("s1", "a", "slow", { 40, 80 }) },
+    return poolOf({ targetWith("f0", "a", "fast", { 0, 40 }), targetWith("f1", "a", "fast", { 40, 80 }),
+                      targetWith("s0", "a", "slow", { 0, 40 }), targetWith("s1", "a", "slow", { 40, 80 }) },
         mixedEngine());
 }
 
@@ -75,7 +75,7 @@
 }
 
 /// Load of a number of typical requests on each of two targets with 40 layers, in 1000 tokens times layers.
-std::uint32_t workOf(double requests) { return static_cast<std::uint32_t>(requests * usualTokens * 40 / 1000); }
+std::uint32_t loadOf(double requests) { return static_cast<std::uint32_t>(requests * usualTokens * 40 / 1000); }
 
 } // namespace
 
@@ -87,7 +87,7 @@
     auto pool = fastAndSlowChain();
     milliseconds gapTarget { 200 };
     const auto firstAt = [&](double requests) {
-        pool.setOtherGatewayLoads({ workOf(requests), workOf(requests), 0, 0 }, zero);
+        pool.setOtherGatewayLoads({ loadOf(requests), loadOf(requests), 0, 0 }, zero);
         return pool.select("s", constraintsOf(gapTarget), zero)->parts.front().target;
     };
     CHECK(firstAt(0) == "f0");
@@ -104,10 +104,11 @@
 // The same burst once the slow chains are needed: each sequence lengthens every pass of a slow engine.
 TEST_CASE("heavy load: load is spread over slow chains before their memory is short", "[heavy]")
 {
-    auto pool = poolOf({ holder("s0", "a", "slow", { 0, 80 }), holder("s1", "a", "slow", { 0, 80 }) }, mixedEngine());
-    pool.setOtherGatewayLoads({ workOf(60), 0 }, zero);
+    auto pool
+        = poolOf({ targetWith("s0", "a", "slow", { 0, 80 }), targetWith("s1", "a", "slow", { 0, 80 }) }, mixedEngine());
+    pool.setOtherGatewayLoads({ loadOf(60), 0 }, zero);
     CHECK(pool.select("s", constraintsOf(milliseconds(200)), zero)->parts.front().target == "s1");
-    pool.setOtherGatewayLoads({ 0, workOf(60) }, zero);
+    pool.setOtherGatewayLoads({ 0, loadOf(60) }, zero);
     CHECK(pool.select("s", constraintsOf(milliseconds(200)), zero)->parts.front().target == "s0");
 }
 
@@ -122,7 +123,7 @@
     engine.tokenBytes = 10 * 1000.0;
     bench.pool.setEngine("s", engine);
     bench.pool.setOtherGateways(30, 40); // ten per domain: 3 % over the capacity of a target is too much
-    const std::uint32_t whole = 41; // thousands of tokens times layers
+    const std::uint32_t maxLoad = 41; // thousands of tokens times layers
     const auto begin = [&bench] {
         auto call = bench.make();
         call.start(zero);
@@ -130,28 +131,31 @@
     };
     SECTION("all full")
     {
-        bench.pool.setOtherGatewayLoads({ whole + 1, whole + 1, whole + 1, whole + 1, whole + 1, whole + 1 }, zero);
+        bench.pool.setOtherGatewayLoads(
+            { maxLoad + 1, maxLoad + 1, maxLoad + 1, maxLoad + 1, maxLoad + 1, maxLoad + 1 }, zero);
         const auto call = begin();
         CHECK(call.isOver());
         CHECK(bench.port.attempts == 0);
-        CHECK(bench.port.answerCode == result_code::Busy);
-        CHECK(bench.port.answerRan == ran_state::No);
+        CHECK(bench.port.errorCode == result_code::Busy);
+        CHECK(bench.port.errorRan == ran_state::No);
     }
     SECTION("as full, but with one gateway per domain: the excess is freed within half a second")
     {
         bench.pool.setOtherGateways(3, 40);
-        bench.pool.setOtherGatewayLoads({ whole + 1, whole + 1, whole + 1, whole + 1, whole + 1, whole + 1 }, zero);
+        bench.pool.setOtherGatewayLoads(
+            { maxLoad + 1, maxLoad + 1, maxLoad + 1, maxLoad + 1, maxLoad + 1, maxLoad + 1 }, zero);
         CHECK_FALSE(begin().isOver());
     }
     SECTION("full a second ago, and no report since")
     {
         bench.pool.setOtherGatewayLoads(
-            { whole + 1, whole + 1, whole + 1, whole + 1, whole + 1, whole + 1 }, zero - milliseconds(1001));
+            { maxLoad + 1, maxLoad + 1, maxLoad + 1, maxLoad + 1, maxLoad + 1, maxLoad + 1 },
+            zero - milliseconds(1001));
         CHECK_FALSE(begin().isOver());
     }
     SECTION("one chain with free capacity, in another domain")
     {
-        bench.pool.setOtherGatewayLoads({ whole + 1, whole + 1, whole + 1, whole + 1, 0, 0 }, zero);
+        bench.pool.setOtherGatewayLoads({ maxLoad + 1, maxLoad + 1, maxLoad + 1, maxLoad + 1, 0, 0 }, zero);
         const auto call = begin();
         CHECK_FALSE(call.isOver());
         CHECK(bench.port.target == "c0");
@@ -166,19 +170,19 @@
     auto engine = mixedEngine();
     engine.activationBytes = 62500;
     engine.linkMbps = 8000;
-    auto pool = poolOf({ holder("head", "a", "fast", { 0, 40 }), holder("near", "a", "slow", { 40, 80 }),
-                           holder("out", "b", "fast", { 40, 80 }) },
+    auto pool = poolOf({ targetWith("head", "a", "fast", { 0, 40 }), targetWith("near", "a", "slow", { 40, 80 }),
+                           targetWith("out", "b", "fast", { 40, 80 }) },
         engine);
     pool.setOtherGateways(10, 0);
-    pool.setOtherGatewayLoads({ 0, workOf(95), 0 }, zero); // in the order of ids: head, near, out
+    pool.setOtherGatewayLoads({ 0, loadOf(95), 0 }, zero); // in the order of ids: head, near, out
     steady_time now {};
     CHECK(pool.select("s", {}, now)->parts.back().target == "out");
-    const auto keepChoosing = [&](milliseconds period) {
-        for (int at = 0; at < 400; ++at)
+    const auto selectRepeatedly = [&](milliseconds period) {
+        for (int i = 0; i < 400; ++i)
             pool.select("s", {}, now += period);
     };
-    keepChoosing(milliseconds(50)); // 200 a second over all gateways
+    selectRepeatedly(milliseconds(50)); // 200 a second over all gateways
     CHECK(pool.select("s", {}, now)->parts.back().target == "near");
-    keepChoosing(milliseconds(2000)); // 5 a second
+    selectRepeatedly(milliseconds(2000)); // 5 a second
     CHECK(pool.select("s", {}, now)->parts.back().target == "out");
 }
--- a/src/buckthornrail/gateway/layer_path.cpp
+++ b/src/buckthornrail/gateway/layer_path.cpp
@@ -27,9 +27,9 @@
         , m_layerCount(layerCount)
         , m_domainCount(domainCount)
         , m_costs(costs)
-        , m_points((layerCount + 1) * domainCount)
+        , m_waypoints((layerCount + 1) * domainCount)
     {
-        at(0, startDomain).cost = 0;
+        waypointAt(0, startDomain).cost = 0;
     }
 
     std::vector<path_part> run()
@@ -46,16 +46,19 @@
     }
 
 private:
-    waypoint& at(std::uint32_t layer, std::size_t domain) { return m_points[layer * m_domainCount + domain]; }
+    waypoint& waypointAt(std::uint32_t layer, std::size_t domain)
+    {
+        return m_waypoints[layer * m_domainCount + domain];
+    }
 
     void extend(std::uint32_t layer, std::size_t index)
     {
         const auto& candidate = m_candidates[index];
         const std::uint32_t end = std::min(candidate.layers.end, m_layerCount);
         const double own = m_costs.perPartMs + candidate.fixedMs + candidate.msPerLayer * (end - layer);
-        waypoint& goal = at(end, candidate.domain);
+        waypoint& goal = waypointAt(end, candidate.domain);
         for (std::size_t domain = 0; domain < m_domainCount; ++domain) {
-            const double before = at(layer, domain).cost;
+            const double before = waypointAt(layer, domain).cost;
             if (before == unreached)
                 continue;
             double cost = before + own;
@@ -76,13 +79,13 @@
     {
         std::size_t domain = 0;
         for (std::size_t other = 1; other < m_domainCount; ++other) {
-            if (at(m_layerCount, other).cost < at(m_layerCount, domain).cost)
+            if (waypointAt(m_layerCount, other).cost < waypointAt(m_layerCount, domain).cost)
                 domain = other;
         }
         std::vector<path_part> parts;
         std::uint32_t layer = m_layerCount;
         while (layer > 0) {
-            const waypoint point = at(layer, domain);
+            const waypoint point = waypointAt(layer, domain);
             if (point.candidate == noCandidate)
                 return {};
             parts.push_back({ point.candidate, { point.fromLayer, layer } });
@@ -97,7 +100,7 @@
     std::uint32_t m_layerCount;
     std::size_t m_domainCount;
     path_costs m_costs;
-    std::vector<waypoint> m_points;
+    std::vector<waypoint> m_waypoints;
 };
 
 } // namespace
--- a/src/buckthornrail/gateway/quarantine_gate.cpp
+++ b/src/buckthornrail/gateway/quarantine_gate.cpp
@@ -46,7 +46,7 @@
         trial.hasStarted = now >= trial.startsAt;
         return trial.hasStarted ? dispatch_verdict::Go : dispatch_verdict::Wait;
     }
-    if (trial.state == claim_state::Open) {
+    if (trial.state == claim_state::Pending) {
         trial.hasStarted = trial.stage == quarantine_stage::Suspect && now >= trial.decideBy;
         return trial.hasStarted ? dispatch_verdict::Go : dispatch_verdict::Wait;
     }
@@ -96,7 +96,7 @@
         return;
     const auto trial = over.mapped().claim.trial;
     const bool wasUnsent
-        = std::erase_if(m_unsentChanges.claims, [trial](const auto& one) { return one.trial == trial; }) > 0;
+        = std::erase_if(m_unsentChanges.claims, [trial](const auto& pending) { return pending.trial == trial; }) > 0;
     if (!wasUnsent)
         m_unsentChanges.ends.push_back({ over.mapped().fingerprint, trial });
 }
@@ -117,12 +117,12 @@
         return;
     for (const auto& fingerprint : report.begun) {
         const auto before = stageOf(fingerprint);
-        auto& one = m_reported[fingerprint];
-        ++one.unconfirmed;
+        auto& local = m_reported[fingerprint];
+        ++local.unconfirmed;
         // Only the controllers decide that a request is proven to crash targets.
-        one.expected = before == quarantine_stage::None ? quarantine_stage::Suspect : quarantine_stage::Held;
-        one.keepUntil = now + m_options.reportedTtl;
-        m_reportedOrder.emplace_back(one.keepUntil, fingerprint);
+        local.expected = before == quarantine_stage::None ? quarantine_stage::Suspect : quarantine_stage::Held;
+        local.expiresAt = now + m_options.reportedTtl;
+        m_reportExpiries.emplace_back(local.expiresAt, fingerprint);
     }
     m_unsentChanges.crashes.push_back(report);
     dropExpiredReports(now);
@@ -130,12 +130,12 @@
 
 void quarantine_gate::dropExpiredReports(steady_time now)
 {
-    while (!m_reportedOrder.empty()
-        && (now >= m_reportedOrder.front().first || m_reportedOrder.size() > m_options.maxReported)) {
-        const auto [due, fingerprint] = m_reportedOrder.front();
-        m_reportedOrder.pop_front();
+    while (!m_reportExpiries.empty()
+        && (now >= m_reportExpiries.front().first || m_reportExpiries.size() > m_options.maxReported)) {
+        const auto [due, fingerprint] = m_reportExpiries.front();
+        m_reportExpiries.pop_front();
         const auto found = m_reported.find(fingerprint);
-        if (found != m_reported.end() && found->second.keepUntil <= due)
+        if (found != m_reported.end() && found->second.expiresAt <= due)
             m_reported.erase(found);
     }
 }
@@ -152,7 +152,7 @@
 void quarantine_gate::onReceipt(const registry::quarantine_receipt& receipt, steady_time now)
 {
     const auto found = std::find_if(
-        m_sent.begin(), m_sent.end(), [&receipt](const auto& one) { return one.batch.number == receipt.number; });
+        m_sent.begin(), m_sent.end(), [&receipt](const auto& sent) { return sent.batch.number == receipt.number; });
     if (found == m_sent.end())
         return;
     for (const auto& report : found->batch.change.crashes) {
@@ -165,8 +165,8 @@
     const auto& claims = found->batch.change.claims;
     for (auto& item : m_trials) {
         auto& trial = item.second;
-        const auto isOwn = [&trial](const auto& one) { return one.trial == trial.claim.trial; };
-        if (trial.state != claim_state::Open || std::none_of(claims.begin(), claims.end(), isOwn))
+        const auto isOwn = [&trial](const auto& entry) { return entry.trial == trial.claim.trial; };
+        if (trial.state != claim_state::Pending || std::none_of(claims.begin(), claims.end(), isOwn))
             continue;
         const auto refusal = std::find_if(receipt.refused.begin(), receipt.refused.end(), isOwn);
         trial.startsAt = now + m_options.trialStartDelay;
@@ -186,11 +186,11 @@
             m_sent.pop_front();
     }
     std::vector<registry::quarantine_batch> batches;
-    for (auto& one : m_sent) {
-        if (!all && now < one.sendAgainAt)
+    for (auto& sent : m_sent) {
+        if (!all && now < sent.resendAt)
             continue;
-        one.sendAgainAt = now + m_options.resendAfter;
-        batches.push_back(one.batch);
+        sent.resendAt = now + m_options.resendAfter;
+        batches.push_back(sent.batch);
     }
     return batches;
 }
--- a/src/buckthornrail/gateway/quarantine_gate_test.cpp
+++ b/src/buckthornrail/gateway/quarantine_gate_test.cpp
@@ -13,18 +13,19 @@
 
 request_fingerprint fingerprintWith(std::uint8_t name)
 {
-    request_fingerprint one;
-    one.bytes[0] = name;
-    return one;
+    request_fingerprint fingerprint;
+    fingerprint.bytes[0] = name;
+    return fingerprint;
 }
 
 selected_part partAt(const std::string& target, const std::string& address) { return { target, address, { 0, 5 }, 0 }; }
 
 request_fingerprint fingerprintOfCall(call_number call) { return fingerprintWith(static_cast<std::uint8_t>(call)); }
 
-registry::quarantine_delta deltaWith(std::uint64_t revision, const request_fingerprint& one, quarantine_stage stage)
+registry::quarantine_delta deltaWith(
+    std::uint64_t revision, const request_fingerprint& fingerprint, quarantine_stage stage)
 {
-    return { revision, false, { { one, stage } } };
+    return { revision, false, { { fingerprint, stage } } };
 }
 
 std::vector<request_fingerprint> startedOf(const std::vector<registry::crash_report>& reports)
@@ -56,24 +57,24 @@
     crash_watch watch;
     watch.onAttemptOpened(1, { partAt("a", "a:1") }, zero);
     CHECK(watch.onConnectionLost(1, fingerprintWith(1), zero + milliseconds(50)));
-    CHECK(watch.awaitsVerdict(1, zero + milliseconds(51)));
+    CHECK(watch.awaitsTargetState(1, zero + milliseconds(51)));
     SECTION("the target has ended")
     {
         CHECK(startedOf(watch.onTargetsEnded("a:1", {}, fingerprintOfCall, zero + milliseconds(52)))
             == std::vector { fingerprintWith(1) });
-        CHECK_FALSE(watch.awaitsVerdict(1, zero + milliseconds(53)));
+        CHECK_FALSE(watch.awaitsTargetState(1, zero + milliseconds(53)));
         CHECK(watch.onTargetsEnded("a:1", {}, fingerprintOfCall, zero + milliseconds(54)).empty());
     }
     SECTION("it accepts connections, and turns out later to have restarted")
     {
         watch.onTargetAlive("a:1");
-        CHECK_FALSE(watch.awaitsVerdict(1, zero + milliseconds(53)));
+        CHECK_FALSE(watch.awaitsTargetState(1, zero + milliseconds(53)));
         CHECK(watch.onTargetsEnded("a:1", "a", fingerprintOfCall, zero + milliseconds(60)).empty());
         const registry::target_incarnation later("a", 7);
         CHECK(startedOf(watch.onTargetsEnded("a:1", later, fingerprintOfCall, zero + milliseconds(900)))
             == std::vector { fingerprintWith(1) });
     }
-    SECTION("its state is not reported") { CHECK_FALSE(watch.awaitsVerdict(1, zero + milliseconds(200))); }
+    SECTION("its state is not reported") { CHECK_FALSE(watch.awaitsTargetState(1, zero + milliseconds(200))); }
     SECTION("the lost attempt has expired")
     {
         CHECK(watch.onTargetsEnded("a:1", {}, fingerprintOfCall, zero + milliseconds(5000)).empty());
@@ -232,8 +233,8 @@
     bench.port.verdict = dispatch_verdict::Refuse;
     auto call = bench.make();
     call.start(zero);
-    CHECK(bench.port.answerCode == result_code::RequestQuarantined);
-    CHECK(bench.port.answerRan == ran_state::No);
+    CHECK(bench.port.errorCode == result_code::RequestQuarantined);
+    CHECK(bench.port.errorRan == ran_state::No);
     CHECK(bench.port.attempts == 0);
     CHECK(describe(result_code::RequestQuarantined).retryAfterSeconds == 0);
 }
@@ -260,15 +261,15 @@
     }
     SECTION("it is not permitted")
     {
-        for (int at = 0; at < 100 && bench.port.outcome.empty(); ++at)
+        for (int i = 0; i < 100 && bench.port.outcome.empty(); ++i)
             call.onTimer(bench.port.timer);
-        CHECK(bench.port.answerCode == result_code::RequestHeld);
-        CHECK(bench.port.answerRan == ran_state::No);
+        CHECK(bench.port.errorCode == result_code::RequestHeld);
+        CHECK(bench.port.errorRan == ran_state::No);
         CHECK(bench.port.timer <= zero + milliseconds(420));
     }
     SECTION("its caller disconnects")
     {
-        call.onCallerGone(zero + milliseconds(10));
+        call.onCallerDisconnected(zero + milliseconds(10));
         call.onQuarantineChanged(zero + milliseconds(20));
         CHECK_FALSE(bench.port.isOpen);
     }
@@ -294,7 +295,7 @@
         CHECK_FALSE(bench.port.isOpen);
         CHECK(bench.port.outcome.empty());
         bench.port.verdicts.clear();
-        for (int at = 0; at < 10 && !bench.port.isOpen; ++at)
+        for (int i = 0; i < 10 && !bench.port.isOpen; ++i)
             call.onTimer(bench.port.timer);
         CHECK(bench.port.isOpen);
     }
--- a/src/buckthornrail/gateway/rate_limiter.cpp
+++ b/src/buckthornrail/gateway/rate_limiter.cpp
@@ -64,7 +64,7 @@
 
 bool rate_limiter::maySend(steady_time now) const { return m_isSharer && now + m_burst >= m_nextDueAt; }
 
-void rate_limiter::noteSent(steady_time now) { m_nextDueAt = std::max(m_nextDueAt, now) + m_interval; }
+void rate_limiter::recordSent(steady_time now) { m_nextDueAt = std::max(m_nextDueAt, now) + m_interval; }
 
 steady_time rate_limiter::nextSendAt(steady_time now) const
 {
--- a/src/buckthornrail/gateway/rate_limiter_test.cpp
+++ b/src/buckthornrail/gateway/rate_limiter_test.cpp
@@ -27,20 +27,20 @@
         : random(seed)
     {
         std::uniform_real_distribution<double> phase(0, 1);
-        for (std::size_t at = 0; at < count; ++at)
-            limits.emplace_back(perSecond, seed, phase(random), gateway_share { count, at }, now);
+        for (std::size_t ordinal = 0; ordinal < count; ++ordinal)
+            limits.emplace_back(perSecond, seed, phase(random), gateway_share { count, ordinal }, now);
     }
 
     /// Poisson arrivals at each gateway. @param callMs mean time between two callers
     void run(steady_time from, milliseconds time, double callMs)
     {
         std::exponential_distribution<double> pause(1 / callMs);
-        for (auto& one : limits) {
+        for (auto& limiter : limits) {
             for (double ms = pause(random); ms < static_cast<double>(time.count()); ms += pause(random)) {
                 const auto now = from + std::chrono::microseconds(static_cast<std::int64_t>(ms * 1000));
-                if (!one.maySend(now))
+                if (!limiter.maySend(now))
                     continue;
-                one.noteSent(now);
+                limiter.recordSent(now);
                 sent.push_back(now);
             }
         }
@@ -100,14 +100,14 @@
     all.run(start, milliseconds(10000), 20);
     all.sent.clear();
     const auto fell = start + milliseconds(10000);
-    for (std::size_t at = 0; at < all.limits.size(); ++at)
-        all.limits[at].setRate(0.5, { 10, at }, fell);
+    for (std::size_t ordinal = 0; ordinal < all.limits.size(); ++ordinal)
+        all.limits[ordinal].setRate(0.5, { 10, ordinal }, fell);
     all.run(fell, milliseconds(20000), 20);
     CHECK(static_cast<double>(all.maxPerWindow()) <= allowed(0.5));
     all.sent.clear();
     const auto rose = fell + milliseconds(20000);
-    for (std::size_t at = 0; at < all.limits.size(); ++at)
-        all.limits[at].setRate(20, { 10, at }, rose);
+    for (std::size_t ordinal = 0; ordinal < all.limits.size(); ++ordinal)
+        all.limits[ordinal].setRate(20, { 10, ordinal }, rose);
     all.run(rose, milliseconds(4000), 20);
     CHECK(all.sent.size() >= 65); // of 80
 }
--- a/src/buckthornrail/gateway/route_document.cpp
+++ b/src/buckthornrail/gateway/route_document.cpp
@@ -15,21 +15,21 @@
     return tl::make_unexpected(failure { result_code::InvalidDocument, reason });
 }
 
-std::uint64_t totalWeight(const route& one)
+std::uint64_t totalWeight(const route& route)
 {
-    return std::accumulate(one.services.begin(), one.services.end(), std::uint64_t { 0 },
+    return std::accumulate(route.services.begin(), route.services.end(), std::uint64_t { 0 },
         [](std::uint64_t sum, const service_share& share) { return sum + share.weight; });
 }
 
-tl::expected<void, failure> checkRoute(const route& one, const std::set<std::string_view>& services)
+tl::expected<void, failure> checkRoute(const route& route, const std::set<std::string_view>& services)
 {
-    if (one.timeout.count() <= 0)
-        return invalid("route " + one.name + " leaves no time to answer");
-    if (totalWeight(one) == 0)
-        return invalid("route " + one.name + ": the weights add up to 0");
-    for (const auto& share : one.services) {
+    if (route.timeout.count() <= 0)
+        return invalid("route " + route.name + " leaves no time to answer");
+    if (totalWeight(route) == 0)
+        return invalid("route " + route.name + ": the weights add up to 0");
+    for (const auto& share : route.services) {
         if (!services.contains(share.service))
-            return invalid("route " + one.name + " names the unknown service " + share.service);
+            return invalid("route " + route.name + " names the unknown service " + share.service);
     }
     return {};
 }
@@ -39,21 +39,22 @@
 tl::expected<void, failure> checkDocument(const route_document& document)
 {
     std::set<std::string_view> services;
-    for (const auto& one : document.services)
-        services.insert(one.name);
+    for (const auto& service : document.services)
+        services.insert(service.name);
     std::set<std::pair<std::string_view, std::string_view>> places;
-    for (const auto& one : document.routes) {
-        if (auto checked = checkRoute(one, services); !checked)
+    for (const auto& route : document.routes) {
+        if (auto checked = checkRoute(route, services); !checked)
             return checked;
-        if (!places.emplace(one.host, one.pathPrefix).second)
-            return invalid("route " + one.name + " shares its host and prefix with another one");
+        if (!places.emplace(route.host, route.pathPrefix).second)
+            return invalid("route " + route.name + " shares its host and prefix with another one");
     }
     std::map<std::string_view, std::string_view> workspaceOfKey;
-    for (const auto& one : document.workspaces) {
-        for (const auto& key : one.keys) {
-            const auto [known, isNew] = workspaceOfKey.emplace(key, one.workspace);
-            if (!isNew && known->second != one.workspace)
-                return invalid("workspaces " + one.workspace + " and " + std::string(known->second) + " share a key");
+    for (const auto& workspace : document.workspaces) {
+        for (const auto& key : workspace.keys) {
+            const auto [known, isNew] = workspaceOfKey.emplace(key, workspace.workspace);
+            if (!isNew && known->second != workspace.workspace)
+                return invalid(
+                    "workspaces " + workspace.workspace + " and " + std::string(known->second) + " share a key");
         }
     }
     return {};
--- a/src/buckthornrail/gateway/route_index.cpp
+++ b/src/buckthornrail/gateway/route_index.cpp
@@ -17,7 +17,7 @@
     return tl::make_unexpected(failure { result_code::MalformedMessage, "document change: " + reason });
 }
 
-template <typename Table> bool holdsAll(const Table& table, const std::vector<entry_hash>& hashes)
+template <typename Table> bool containsAll(const Table& table, const std::vector<entry_hash>& hashes)
 {
     return std::all_of(hashes.begin(), hashes.end(), [&table](entry_hash hash) { return table.contains(hash); });
 }
@@ -34,10 +34,10 @@
     m_rest = std::move(rest);
     // No change is ever applied to such an index, so any unique numbers do as hashes.
     entry_hash number = 0;
-    for (auto& one : whole.routes)
-        add({ ++number, std::make_shared<route>(std::move(one)) });
-    for (auto& one : whole.workspaces)
-        add({ ++number, std::make_shared<workspace_keys>(std::move(one)) });
+    for (auto& entry : whole.routes)
+        add({ ++number, std::make_shared<route>(std::move(entry)) });
+    for (auto& entry : whole.workspaces)
+        add({ ++number, std::make_shared<workspace_keys>(std::move(entry)) });
 }
 
 tl::expected<void, failure> route_index::check(const decoded_change& change) const
@@ -46,17 +46,17 @@
         return mismatch(
             "it is based on version " + std::to_string(change.from) + ", current is " + std::to_string(m_version));
     }
-    if (!holdsAll(m_routes, change.removedRoutes) || !holdsAll(m_workspaces, change.removedWorkspaces))
+    if (!containsAll(m_routes, change.removedRoutes) || !containsAll(m_workspaces, change.removedWorkspaces))
         return mismatch("it removes entries that are not in the document");
     document::content_digest digest = m_digest;
     for (const auto hash : change.removedRoutes)
         digest.remove(hash);
     for (const auto hash : change.removedWorkspaces)
         digest.remove(hash);
-    for (const auto& one : change.routes)
-        digest.add(one.hash);
-    for (const auto& one : change.workspaces)
-        digest.add(one.hash);
+    for (const auto& entry : change.routes)
+        digest.add(entry.hash);
+    for (const auto& entry : change.workspaces)
+        digest.add(entry.hash);
     if (change.rest) {
         digest.remove(m_restHash);
         digest.add(change.restHash);
@@ -74,17 +74,17 @@
         removeRoute(hash);
     for (const auto hash : change.removedWorkspaces)
         removeWorkspace(hash);
-    put(change);
+    addEntries(change);
     m_version = change.to;
     return {};
 }
 
-void route_index::put(const decoded_change& part)
+void route_index::addEntries(const decoded_change& part)
 {
-    for (const auto& one : part.routes)
-        add(one);
-    for (const auto& one : part.workspaces)
-        add(one);
+    for (const auto& entry : part.routes)
+        add(entry);
+    for (const auto& entry : part.workspaces)
+        add(entry);
     if (!part.rest)
         return;
     m_digest.remove(m_restHash);
@@ -147,9 +147,9 @@
     m_digest.remove(hash);
     for (const auto& key : gone->keys) {
         const auto [begin, end] = m_byKey.equal_range(key);
-        const auto held = std::find_if(begin, end, [&gone](const auto& item) { return item.second == gone; });
-        if (held != end)
-            m_byKey.erase(held);
+        const auto entry = std::find_if(begin, end, [&gone](const auto& item) { return item.second == gone; });
+        if (entry != end)
+            m_byKey.erase(entry);
     }
 }
 
--- a/src/buckthornrail/gateway/route_index_test.cpp
+++ b/src/buckthornrail/gateway/route_index_test.cpp
@@ -15,11 +15,11 @@
 
 std::shared_ptr<const route> routeAt(const std::string& host, const std::string& prefix, const std::string& name)
 {
-    route one;
-    one.name = name;
-    one.host = host;
-    one.pathPrefix = prefix;
-    return std::make_shared<const route>(one);
+    route added;
+    added.name = name;
+    added.host = host;
+    added.pathPrefix = prefix;
+    return std::make_shared<const route>(added);
 }
 
 std::shared_ptr<const workspace_keys> workspaceOf(const std::string& name, std::vector<std::string> keys)
@@ -83,9 +83,9 @@
     maker.add(first, 2, routeAt("h", "/a/b/", "deep"));
     maker.add(first, 3, workspaceOf("w", { "k1", "k2" }));
     REQUIRE(index.apply(maker.end(first)));
-    const auto kept = index.find("h", "/a/x");
-    REQUIRE(kept);
-    CHECK(kept->name == "old");
+    const auto earlier = index.find("h", "/a/x");
+    REQUIRE(earlier);
+    CHECK(earlier->name == "old");
 
     auto second = maker.begin(5, 9);
     maker.removeRoute(second, 1);
@@ -99,7 +99,7 @@
     CHECK(index.findWorkspace("k1") == nullptr);
     CHECK(index.findWorkspace("k2")->workspace == "w");
     CHECK(index.routeCount() == 1);
-    CHECK(kept->name == "old");
+    CHECK(earlier->name == "old");
 }
 
 TEST_CASE("route index: a change that doesn't match is rejected and has no effect", "[gateway]")
@@ -137,28 +137,28 @@
         };
         change_maker maker;
         route_index index;
-        std::map<std::string, entry_hash> held;
+        std::map<std::string, entry_hash> hashByPrefix;
         auto change = maker.begin(0, 1);
         entry_hash next = 0;
         for (const auto& names : *rc::gen::container<std::vector<std::vector<int>>>(parts)) {
-            if (!held.emplace(pathOf(names), ++next).second)
+            if (!hashByPrefix.emplace(pathOf(names), ++next).second)
                 continue;
             maker.add(change, next, routeAt("h", pathOf(names), pathOf(names)));
         }
         RC_ASSERT(index.apply(maker.end(change)).has_value());
         auto removing = maker.begin(1, 2);
-        for (auto one = held.begin(); one != held.end();) {
+        for (auto entry = hashByPrefix.begin(); entry != hashByPrefix.end();) {
             if (*rc::gen::arbitrary<bool>()) {
-                ++one;
+                ++entry;
                 continue;
             }
-            maker.removeRoute(removing, one->second);
-            one = held.erase(one);
+            maker.removeRoute(removing, entry->second);
+            entry = hashByPrefix.erase(entry);
         }
         RC_ASSERT(index.apply(maker.end(removing)).has_value());
         const std::string path = pathOf(*parts) + "x";
         std::optional<std::string> longest;
-        for (const auto& [prefix, hash] : held) {
+        for (const auto& [prefix, hash] : hashByPrefix) {
             if (path.starts_with(prefix) && (!longest || prefix.size() > longest->size()))
                 longest = prefix;
         }
--- a/src/buckthornrail/gateway/routing_test.cpp
+++ b/src/buckthornrail/gateway/routing_test.cpp
@@ -12,19 +12,19 @@
 
 namespace {
 
-route_document goodDocument()
+route_document validDocument()
 {
     route_document document;
     document.version = 3;
     document.services = { { "s", "/health", 10, std::nullopt }, { "t", "/health", 10, std::nullopt } };
     const auto add = [&document](const std::string& name, const std::string& prefix) {
-        route one;
-        one.name = name;
-        one.host = "h.example";
-        one.pathPrefix = prefix;
-        one.timeout = milliseconds(100);
-        one.services = { { "s", 1 } };
-        document.routes.push_back(one);
+        route added;
+        added.name = name;
+        added.host = "h.example";
+        added.pathPrefix = prefix;
+        added.timeout = milliseconds(100);
+        added.services = { { "s", 1 } };
+        document.routes.push_back(added);
     };
     add("short", "/a/");
     add("long", "/a/b/");
@@ -86,9 +86,9 @@
 
 TEST_CASE("document: each fault is rejected with its reason", "[gateway]")
 {
-    REQUIRE(checkDocument(goodDocument()));
+    REQUIRE(checkDocument(validDocument()));
     const auto reasonOf = [](auto&& corrupt) {
-        auto document = goodDocument();
+        auto document = validDocument();
         corrupt(document);
         const auto checked = checkDocument(document);
         return checked ? std::string() : checked.error().reason;
@@ -108,7 +108,7 @@
 
 TEST_CASE("document: the longest prefix wins, and hosts match exactly", "[gateway]")
 {
-    const route_index index(goodDocument());
+    const route_index index(validDocument());
     CHECK(index.find("h.example", "/a/x")->name == "short");
     CHECK(index.find("h.example:80", "/a/b/c?q=/a/")->name == "long");
     CHECK(index.find("h.example", "/a/b")->name == "short");
@@ -120,12 +120,12 @@
 
 TEST_CASE("document: requests are distributed by weight", "[gateway]")
 {
-    route one;
-    one.services = { { "s", 90 }, { "t", 10 }, { "u", 0 } };
-    CHECK(pickService(one, 0.0) == "s");
-    CHECK(pickService(one, 0.89) == "s");
-    CHECK(pickService(one, 0.91) == "t");
-    CHECK(pickService(one, 0.999) == "t");
+    route weighted;
+    weighted.services = { { "s", 90 }, { "t", 10 }, { "u", 0 } };
+    CHECK(pickService(weighted, 0.0) == "s");
+    CHECK(pickService(weighted, 0.89) == "s");
+    CHECK(pickService(weighted, 0.91) == "t");
+    CHECK(pickService(weighted, 0.999) == "t");
 }
 
 TEST_CASE("path: covers every layer once and in order, or is empty", "[gateway]")
@@ -135,15 +135,16 @@
         const auto ranges = *rc::gen::container<std::vector<std::pair<std::uint32_t, std::uint32_t>>>(
             rc::gen::pair(rc::gen::inRange<std::uint32_t>(0, 40), rc::gen::inRange<std::uint32_t>(1, 15)));
         std::vector<path_candidate> candidates;
-        std::vector<int> holders(layers, 0);
+        std::vector<int> targetsByLayer(layers, 0);
         for (const auto& [first, size] : ranges) {
             const layer_range range { first, std::min(first + size, layers) };
             candidates.push_back({ range, candidates.size() % 3, 1, 0 });
             for (auto layer = range.first; layer < range.end; ++layer)
-                ++holders[layer];
+                ++targetsByLayer[layer];
         }
         const auto path = findPath(candidates, layers, 3, 0);
-        const bool isCovered = std::all_of(holders.begin(), holders.end(), [](int count) { return count > 0; });
+        const bool isCovered
+            = std::all_of(targetsByLayer.begin(), targetsByLayer.end(), [](int count) { return count > 0; });
         RC_ASSERT(path.empty() != isCovered);
         if (!path.empty())
             checkCovers(path, candidates, layers);
@@ -186,14 +187,14 @@
 {
     auto pool = poolOf({ readyTarget("near", "a"), readyTarget("far", "b") });
     const steady_time now {};
-    for (int at = 0; at < 20; ++at)
+    for (int i = 0; i < 20; ++i)
         pool.succeeded("far", 50);
-    for (int at = 0; at < 20; ++at)
+    for (int i = 0; i < 20; ++i)
         pool.succeeded("near", 10);
     pool.refused("near", now);
     CHECK(pool.select("s", {}, now)->parts.front().target == "far");
     int near = 0;
-    for (int at = 0; at < 100; ++at)
+    for (int i = 0; i < 100; ++i)
         near += pool.select("s", {}, now + milliseconds(150))->parts.front().target == "near" ? 1 : 0;
     CHECK(near > 80);
     CHECK(pool.takeUnreachable().empty());
@@ -212,7 +213,7 @@
     REQUIRE(first);
     CHECK(first->parts.front().target == "x");
     // 1,900 MB for requests at 10 kB per token and layer: 19,000 tokens in ten layers. Each request takes 1,000.
-    for (int at = 0; at < 5; ++at)
+    for (int i = 0; i < 5; ++i)
         pool.attemptStarted(*first, { 900, 100 });
     CHECK(pool.select("s", {}, now)->parts.front().target == "x");
     pool.setOtherGateways(4, 15);
@@ -288,7 +289,7 @@
     CHECK(pool.select("s", {}, now)->parts.back().target == "far");
     engine.linkMbps = 1000; // 80 ms for a prompt, with two gateways
     pool.setEngine("s", engine);
-    for (int at = 0; at < 100; ++at)
+    for (int i = 0; i < 100; ++i)
         pool.select("s", {}, now);
     CHECK(pool.select("s", {}, now)->parts.back().target == "near");
 }
@@ -302,14 +303,14 @@
     const auto far = pool.select("s", { { "x" }, {} }, now);
     REQUIRE(near->parts.front().target == "x");
     REQUIRE(far->parts.front().target == "y");
-    for (int at = 0; at < 20; ++at)
+    for (int i = 0; i < 20; ++i)
         pool.recordLatency(*far, latency_kind::NextEvent, 2.6, now);
-    for (int at = 0; at < 20; ++at)
+    for (int i = 0; i < 20; ++i)
         pool.recordLatency(*near, latency_kind::NextEvent, 2.6, now);
     CHECK(pool.select("s", {}, now)->parts.front().target == "x"); // both have the typical latency
     const auto kind = GENERATE(latency_kind::FirstEvent, latency_kind::NextEvent);
     pool.recordLatency(*far, kind, 2.6, now);
-    for (int at = 0; at < 5; ++at)
+    for (int i = 0; i < 5; ++i)
         pool.recordLatency(*near, kind, 26, now);
     CHECK(pool.select("s", {}, now)->parts.front().target == "y");
     CHECK(pool.select("s", {}, now + std::chrono::seconds(30))->parts.front().target == "x");
@@ -323,7 +324,7 @@
     options.usableShare = 1;
     shared_retry_budget budget(options);
     const steady_time now {};
-    for (int at = 0; at < 4; ++at)
+    for (int i = 0; i < 4; ++i)
         budget.countRequest(now);
     int taken = 0;
     budget.setGatewayCount(4, now);
@@ -349,13 +350,13 @@
     shared_retry_budgets budgets(options);
     const auto takeAll = [&budgets](steady_time when) {
         int taken = 0;
-        while (budgets.of("s").tryTake(true, when))
+        while (budgets.forService("s").tryTake(true, when))
             ++taken;
         return taken;
     };
     budgets.setGatewayCount(4, now);
-    for (int at = 0; at < 4; ++at)
-        budgets.of("s").countRequest(now);
+    for (int i = 0; i < 4; ++i)
+        budgets.forService("s").countRequest(now);
     CHECK(takeAll(now) == 2); // the ratio of its own requests
     CHECK_FALSE(budgets.isComplete(now));
 
@@ -364,14 +365,14 @@
         budgets.restoreSpent({ { "s", 6 }, { "other", 10 } }, now);
         CHECK(budgets.isComplete(now));
         CHECK(takeAll(now) == 4); // 4 * 0.5 + 40 / 4 - 2 - 6
-        CHECK_FALSE(budgets.of("other").tryTake(true, now));
-        CHECK(budgets.of("third").tryTake(true, now));
+        CHECK_FALSE(budgets.forService("other").tryTake(true, now));
+        CHECK(budgets.forService("third").tryTake(true, now));
     }
     SECTION("not reported, for a stream that has begun")
     {
         const auto later = now + options.window * 3 / 10;
         int taken = 0;
-        while (budgets.of("s").tryTake(false, later))
+        while (budgets.forService("s").tryTake(false, later))
             ++taken;
         CHECK(taken == 3); // 4 * 0.5 + 0.3 * 40 / 4 - 2
         CHECK(takeAll(later) == 0);
--- a/src/buckthornrail/gateway/shared_retry_budget.cpp
+++ b/src/buckthornrail/gateway/shared_retry_budget.cpp
@@ -20,13 +20,13 @@
 {
     dropExpired(now);
     m_options.slackFrom = std::min(m_options.slackFrom, now);
-    m_retriesEnd.insert(m_retriesEnd.end(), spent, now + m_options.window);
+    m_retryExpiries.insert(m_retryExpiries.end(), spent, now + m_options.window);
 }
 
 void shared_retry_budget::countRequest(steady_time now)
 {
     dropExpired(now);
-    m_requestsEnd.push_back(now + m_options.window);
+    m_requestExpiries.push_back(now + m_options.window);
 }
 
 bool shared_retry_budget::tryTake(bool wasRefused, steady_time now)
@@ -35,10 +35,10 @@
     const double ownSlack
         = gateways() == 0 ? 0 : slackShare(wasRefused, now) * m_options.slack / static_cast<double>(gateways());
     const double share = m_options.usableShare * (wasRefused ? m_options.refusedShare : 1);
-    const double allowed = share * (m_options.ratio * static_cast<double>(m_requestsEnd.size()) + ownSlack);
-    if (static_cast<double>(m_retriesEnd.size()) + 1 > allowed)
+    const double allowed = share * (m_options.ratio * static_cast<double>(m_requestExpiries.size()) + ownSlack);
+    if (static_cast<double>(m_retryExpiries.size()) + 1 > allowed)
         return false;
-    m_retriesEnd.push_back(now + m_options.window);
+    m_retryExpiries.push_back(now + m_options.window);
     return true;
 }
 
@@ -54,23 +54,23 @@
 std::uint32_t shared_retry_budget::spent(steady_time now)
 {
     dropExpired(now);
-    return static_cast<std::uint32_t>(m_retriesEnd.size());
+    return static_cast<std::uint32_t>(m_retryExpiries.size());
 }
 
 std::string shared_retry_budget::describe(steady_time now)
 {
     dropExpired(now);
-    return std::to_string(m_retriesEnd.size()) + " retries for " + std::to_string(m_requestsEnd.size())
+    return std::to_string(m_retryExpiries.size()) + " retries for " + std::to_string(m_requestExpiries.size())
         + " requests, one of " + std::to_string(gateways()) + " gateways"
         + (isComplete(now) ? "" : ", in its first window");
 }
 
 void shared_retry_budget::dropExpired(steady_time now)
 {
-    while (!m_requestsEnd.empty() && m_requestsEnd.front() <= now)
-        m_requestsEnd.pop_front();
-    while (!m_retriesEnd.empty() && m_retriesEnd.front() <= now)
-        m_retriesEnd.pop_front();
+    while (!m_requestExpiries.empty() && m_requestExpiries.front() <= now)
+        m_requestExpiries.pop_front();
+    while (!m_retryExpiries.empty() && m_retryExpiries.front() <= now)
+        m_retryExpiries.pop_front();
     std::erase_if(m_earlierGateways, [now](const auto& item) { return item.second <= now; });
 }
 
@@ -79,7 +79,7 @@
     return m_earlierGateways.empty() ? m_gateways : std::max(m_gateways, m_earlierGateways.rbegin()->first);
 }
 
-shared_retry_budget& shared_retry_budgets::of(const std::string& service)
+shared_retry_budget& shared_retry_budgets::forService(const std::string& service)
 {
     return m_byService.try_emplace(service, m_initial).first->second;
 }
@@ -94,11 +94,11 @@
 void shared_retry_budgets::restoreSpent(const registry::retry_counts& spent, steady_time now)
 {
     for (const auto& service : spent)
-        (void)of(service.service);
+        (void)forService(service.service);
     m_initial.restoreSpent(0, now);
     for (auto& [service, budget] : m_byService) {
         const auto found = std::find_if(
-            spent.begin(), spent.end(), [&name = service](const auto& one) { return one.service == name; });
+            spent.begin(), spent.end(), [&name = service](const auto& entry) { return entry.service == name; });
         budget.restoreSpent(found == spent.end() ? 0 : found->repeats, now);
     }
 }
@@ -107,8 +107,8 @@
 {
     registry::retry_counts rows;
     for (auto& [service, budget] : m_byService) {
-        if (const auto repeats = budget.spent(now); repeats > 0)
-            rows.push_back({ service, repeats });
+        if (const auto retries = budget.spent(now); retries > 0)
+            rows.push_back({ service, retries });
     }
     return rows;
 }
--- a/src/buckthornrail/gateway/target_incarnation_test.cpp
+++ b/src/buckthornrail/gateway/target_incarnation_test.cpp
@@ -50,7 +50,7 @@
     call.onSent(zero);
     call.onHead(authenticResponse(200), zero);
     call.onBody(zero);
-    CHECK(bench.port.outcome == "passed on");
+    CHECK(bench.port.outcome == "forwarded");
 }
 
 TEST_CASE("target incarnation: a request that may not be retried ends at once, as possibly executed",
@@ -63,8 +63,8 @@
     bench.restart(bench.port.target, secondStartMs);
     call.onTargetsChanged(zero);
     CHECK(bench.port.attempts == 1);
-    CHECK(bench.port.outcome == "answered");
-    CHECK(bench.port.answerRan == ran_state::Unknown);
+    CHECK(bench.port.outcome == "error");
+    CHECK(bench.port.errorRan == ran_state::Unknown);
 }
 
 TEST_CASE(
@@ -89,24 +89,24 @@
         bench.restart(domain + "1", secondStartMs);
     CHECK_FALSE(bench.pool.select("s", {}, zero));
     bench.restart("b1", secondStartMs, { 5, 10 });
-    const auto chosen = bench.pool.select("s", {}, zero);
-    REQUIRE(chosen);
-    CHECK(chosen->parts.back().target == registry::target_incarnation("b1", secondStartMs));
+    const auto selected = bench.pool.select("s", {}, zero);
+    REQUIRE(selected);
+    CHECK(selected->parts.back().target == registry::target_incarnation("b1", secondStartMs));
 }
 
 TEST_CASE(
     "target incarnation: load and failure history of the previous incarnation are dropped", "[gateway][incarnation]")
 {
     exchange_bench bench(request_kind::Safe, false, false);
-    const auto chosen = bench.pool.select("s", {}, zero);
-    REQUIRE(chosen);
-    const auto target = chosen->parts.front().target;
+    const auto selected = bench.pool.select("s", {}, zero);
+    REQUIRE(selected);
+    const auto target = selected->parts.front().target;
     const request_size size { 4000, 100 };
-    for (int at = 0; at < 5; ++at)
-        bench.pool.attemptStarted(*chosen, size);
+    for (int i = 0; i < 5; ++i)
+        bench.pool.attemptStarted(*selected, size);
     bench.pool.markUnreachable(target, zero);
     bench.pool.markEnded(target.id + ":1");
-    for (int at = 0; at < 20; ++at)
+    for (int i = 0; i < 20; ++i)
         bench.pool.failed(target);
     CHECK(bench.pool.select("s", {}, zero)->parts.front().target != target);
     CHECK(bench.pool.hasEnded(target));
@@ -122,8 +122,8 @@
     const auto again = bench.pool.select("s", {}, zero);
     bench.pool.attemptStarted(*again, size);
     const auto before = bench.pool.loads();
-    for (int at = 0; at < 5; ++at)
-        bench.pool.attemptEnded(*chosen, size, false);
+    for (int i = 0; i < 5; ++i)
+        bench.pool.attemptEnded(*selected, size, false);
     CHECK(bench.pool.loads() == before);
     bench.pool.attemptEnded(*again, size, false);
     // Late failure reports about the previous incarnation.
--- a/src/buckthornrail/gateway/target_limit_test.cpp
+++ b/src/buckthornrail/gateway/target_limit_test.cpp
@@ -8,19 +8,19 @@
 
 namespace {
 
-target_response answerWithLimit(int status, std::optional<double> perSecond, bool stream = false)
+target_response responseWithLimit(int status, std::optional<double> perSecond, bool stream = false)
 {
-    auto answer = authenticResponse(status, stream);
-    answer.pushback = target_pushback { perSecond, {} };
-    return answer;
+    auto response = authenticResponse(status, stream);
+    response.pushback = target_pushback { perSecond, {} };
+    return response;
 }
 
-steady_time at(int ms) { return zero + milliseconds(ms); }
+steady_time afterMs(int ms) { return zero + milliseconds(ms); }
 
 /// Merges a limit that another gateway received from a target.
 void mergeLimit(target_pool& pool, const std::string& target, std::optional<double> perSecond, int ms)
 {
-    (void)pool.mergeRemoteLimits(std::vector<registry::limit_report> { { target, perSecond, 0 } }, at(ms));
+    (void)pool.mergeRemoteLimits(std::vector<registry::limit_report> { { target, perSecond, 0 } }, afterMs(ms));
 }
 
 /// Makes `count` selections at intervals of 100 ms and counts each as sent.
@@ -28,11 +28,11 @@
 int countFirst(target_pool& pool, const std::string& target, int count, int fromMs)
 {
     int found = 0;
-    for (int one = 0; one < count; ++one) {
-        const auto chosen = pool.select("s", {}, at(fromMs + one * 100));
-        REQUIRE(chosen);
-        pool.noteSent(chosen->parts.front().target, at(fromMs + one * 100));
-        found += chosen->parts.front().target == target ? 1 : 0;
+    for (int i = 0; i < count; ++i) {
+        const auto selected = pool.select("s", {}, afterMs(fromMs + i * 100));
+        REQUIRE(selected);
+        pool.recordSent(selected->parts.front().target, afterMs(fromMs + i * 100));
+        found += selected->parts.front().target == target ? 1 : 0;
     }
     return found;
 }
@@ -60,10 +60,10 @@
         mergeLimit(bench.pool, target, 2, 0);
     int served = 0;
     for (int ms = 0; ms < 20000; ms += 50) {
-        const auto chosen = bench.pool.select("s", {}, at(ms));
-        served += chosen ? 1 : 0;
-        if (chosen)
-            bench.pool.noteSent(chosen->parts.front().target, at(ms));
+        const auto selected = bench.pool.select("s", {}, afterMs(ms));
+        served += selected ? 1 : 0;
+        if (selected)
+            bench.pool.recordSent(selected->parts.front().target, afterMs(ms));
     }
     CHECK(served >= 110); // of 120
     CHECK(served <= 135);
@@ -78,15 +78,15 @@
     for (const std::string target : { "a0", "b0", "c0" }) {
         mergeLimit(bench.pool, target, 0.5, 0);
         for (int sent = 0; sent < 5; ++sent)
-            bench.pool.noteSent(target, at(0));
+            bench.pool.recordSent(target, afterMs(0));
     }
     std::set<steady_time> times;
     for (int request = 0; request < 10; ++request) {
         bench.port.outcome.clear();
         auto call = bench.make();
         call.start(zero);
-        CHECK(bench.port.outcome == "answered");
-        CHECK(bench.port.answerRan == ran_state::No);
+        CHECK(bench.port.outcome == "error");
+        CHECK(bench.port.errorRan == ran_state::No);
         REQUIRE(call.earliestSendAt());
         CHECK(*call.earliestSendAt() > zero);
         times.insert(*call.earliestSendAt());
@@ -101,9 +101,9 @@
     for (const std::string target : { "a0", "b0" })
         (void)bench.pool.recordPushback(target, { {}, {}, milliseconds(3000) }, false, zero, zero);
     bench.setLayers("c0", {});
-    const auto room = bench.pool.earliestSendAt("s", zero);
-    REQUIRE(room);
-    CHECK(*room >= at(3000));
+    const auto sendAt = bench.pool.earliestSendAt("s", zero);
+    REQUIRE(sendAt);
+    CHECK(*sendAt >= afterMs(3000));
 }
 
 TEST_CASE("target limit: a refusal for another reason names no retry time", "[target_limit]")
@@ -114,7 +114,7 @@
         bench.setState(target, registry::target_state::Gone);
     auto call = bench.make();
     call.start(zero);
-    CHECK(bench.port.outcome == "answered");
+    CHECK(bench.port.outcome == "error");
     CHECK_FALSE(call.earliestSendAt());
 }
 
@@ -124,20 +124,21 @@
     exchange_bench bench(request_kind::Safe, false, false);
     bench.pool.setShare({ 1, 0 }, zero);
     const registry::target_incarnation a0 = "a0";
-    CHECK(bench.pool.recordPushback(a0, { 1, {} }, true, at(0), at(100)));
-    CHECK_FALSE(bench.pool.recordPushback(a0, { 1, {} }, true, at(0), at(150)));
-    CHECK_FALSE(bench.pool.recordPushback(a0, { {}, {} }, true, at(50), at(200)));
-    CHECK(bench.pool.limitedCount(at(200)) == 1);
+    CHECK(bench.pool.recordPushback(a0, { 1, {} }, true, afterMs(0), afterMs(100)));
+    CHECK_FALSE(bench.pool.recordPushback(a0, { 1, {} }, true, afterMs(0), afterMs(150)));
+    CHECK_FALSE(bench.pool.recordPushback(a0, { {}, {} }, true, afterMs(50), afterMs(200)));
+    CHECK(bench.pool.limitedCount(afterMs(200)) == 1);
+    CHECK_FALSE(bench.pool.recordPushback(
+        a0, { {}, {} }, false, afterMs(160), afterMs(200))); // not an answer of the target itself
     CHECK_FALSE(
-        bench.pool.recordPushback(a0, { {}, {} }, false, at(160), at(200))); // not an answer of the target itself
-    CHECK_FALSE(bench.pool.recordPushback(a0, { {}, {} }, true, at(160), at(200))); // a single one doesn't clear it
-    CHECK_FALSE(bench.pool.recordPushback(a0, { 1, {} }, true, at(160), at(210)));
-    CHECK_FALSE(bench.pool.recordPushback(a0, { {}, {} }, true, at(220), at(230)));
-    const auto over = bench.pool.recordPushback(a0, { {}, {} }, true, at(220), at(230));
+        bench.pool.recordPushback(a0, { {}, {} }, true, afterMs(160), afterMs(200))); // a single one doesn't clear it
+    CHECK_FALSE(bench.pool.recordPushback(a0, { 1, {} }, true, afterMs(160), afterMs(210)));
+    CHECK_FALSE(bench.pool.recordPushback(a0, { {}, {} }, true, afterMs(220), afterMs(230)));
+    const auto over = bench.pool.recordPushback(a0, { {}, {} }, true, afterMs(220), afterMs(230));
     REQUIRE(over);
     CHECK(over->before == 1.0);
     CHECK_FALSE(over->after);
-    CHECK(bench.pool.limitedCount(at(200)) == 0);
+    CHECK(bench.pool.limitedCount(afterMs(200)) == 0);
 }
 
 // Guards against limits that aren't announced, or are announced with every heartbeat.
@@ -147,19 +148,19 @@
     exchange_bench bench(request_kind::Safe, false, false);
     const registry::target_incarnation a0 = "a0";
     mergeLimit(bench.pool, "b0", 3, 0);
-    CHECK(bench.pool.takeLimitReports(false, at(0)).empty()); // received from the others
-    (void)bench.pool.recordPushback(a0, { 1, {} }, true, at(0), at(100));
-    const auto reports = bench.pool.takeLimitReports(false, at(150));
+    CHECK(bench.pool.takeLimitReports(false, afterMs(0)).empty()); // received from the others
+    (void)bench.pool.recordPushback(a0, { 1, {} }, true, afterMs(0), afterMs(100));
+    const auto reports = bench.pool.takeLimitReports(false, afterMs(150));
     REQUIRE(reports.size() == 1);
     CHECK(reports.front() == registry::limit_report { a0, 1, 50 });
-    (void)bench.pool.recordPushback(a0, { 1, {} }, true, at(200), at(300));
-    CHECK(bench.pool.takeLimitReports(false, at(300)).empty());
-    (void)bench.pool.recordPushback(a0, { 1, {} }, true, at(1200), at(1300));
-    CHECK(bench.pool.takeLimitReports(false, at(1300)).size() == 1); // an unchanged limit, once a second
-    (void)bench.pool.recordPushback(a0, { {}, {} }, true, at(1400), at(1500));
-    (void)bench.pool.recordPushback(a0, { {}, {} }, true, at(1400), at(1500));
-    CHECK(bench.pool.takeLimitReports(false, at(1500)).size() == 1);
-    CHECK(bench.pool.takeLimitReports(true, at(1500)).size() == 2); // a new session: everything
+    (void)bench.pool.recordPushback(a0, { 1, {} }, true, afterMs(200), afterMs(300));
+    CHECK(bench.pool.takeLimitReports(false, afterMs(300)).empty());
+    (void)bench.pool.recordPushback(a0, { 1, {} }, true, afterMs(1200), afterMs(1300));
+    CHECK(bench.pool.takeLimitReports(false, afterMs(1300)).size() == 1); // an unchanged limit, once a second
+    (void)bench.pool.recordPushback(a0, { {}, {} }, true, afterMs(1400), afterMs(1500));
+    (void)bench.pool.recordPushback(a0, { {}, {} }, true, afterMs(1400), afterMs(1500));
+    CHECK(bench.pool.takeLimitReports(false, afterMs(1500)).size() == 1);
+    CHECK(bench.pool.takeLimitReports(true, afterMs(1500)).size() == 2); // a new session: everything
 }
 
 // Guards against limits that an earlier incarnation of a target set.
@@ -168,17 +169,17 @@
     exchange_bench bench(request_kind::Safe, false, false);
     bench.pool.setShare({ 1, 0 }, zero);
     mergeLimit(bench.pool, "a0", 0, 0);
-    CHECK(bench.pool.limitedCount(at(0)) == 1);
+    CHECK(bench.pool.limitedCount(afterMs(0)) == 1);
     bench.restart("a0", 500);
-    CHECK(bench.pool.limitedCount(at(0)) == 0);
+    CHECK(bench.pool.limitedCount(afterMs(0)) == 0);
 }
 
 TEST_CASE("target limit: a field that can't be parsed changes nothing", "[target_limit]")
 {
     exchange_bench bench(request_kind::Safe, false, false);
-    (void)bench.pool.recordPushback("a0", { 1, {} }, true, at(0), at(100));
-    CHECK_FALSE(bench.pool.recordPushback("a0", { {}, "field: nan" }, true, at(200), at(300)));
-    CHECK(bench.pool.limitedCount(at(300)) == 1);
+    (void)bench.pool.recordPushback("a0", { 1, {} }, true, afterMs(0), afterMs(100));
+    CHECK_FALSE(bench.pool.recordPushback("a0", { {}, "field: nan" }, true, afterMs(200), afterMs(300)));
+    CHECK(bench.pool.limitedCount(afterMs(300)) == 1);
 }
 
 // Guards against limits that are ignored in some kinds of answers, such as refusals and failures.
@@ -188,14 +189,14 @@
     auto call = bench.make();
     call.start(zero);
     call.onSent(zero);
-    auto answer = GENERATE(answerWithLimit(200, 4), answerWithLimit(500, 4), answerWithLimit(404, 4));
+    auto response = GENERATE(responseWithLimit(200, 4), responseWithLimit(500, 4), responseWithLimit(404, 4));
     SECTION("answer of the service") { }
     SECTION("refusal")
     {
-        answer = refusal();
-        answer.pushback = target_pushback { 4, {} };
+        response = refusal();
+        response.pushback = target_pushback { 4, {} };
     }
-    call.onHead(answer, zero);
+    call.onHead(response, zero);
     CHECK(bench.pool.limitedCount(zero) == 1);
 }
 
@@ -210,10 +211,10 @@
     for (const auto& target : bench.firsts) {
         mergeLimit(bench.pool, target, 0, 0);
         for (int sent = 0; sent < 5; ++sent)
-            bench.pool.noteSent(target, at(0));
+            bench.pool.recordSent(target, afterMs(0));
     }
     for (int ms = 0; ms <= 900; ms += 50)
-        call.onTimer(at(ms));
+        call.onTimer(afterMs(ms));
     CHECK(bench.port.reports == 0);
     CHECK(bench.port.attempts == 1);
 }
@@ -235,12 +236,12 @@
     CHECK(bench.port.attempts == 2); // retried at another target at once
     for (int ms = 0; ms < 3000; ms += 50) {
         bench.pool.succeeded(target, 5); // of an earlier stream
-        const auto chosen = bench.pool.select("s", {}, at(ms));
-        REQUIRE(chosen);
-        CHECK(chosen->parts.front().target != target);
-        CHECK_FALSE(bench.pool.maySend(target, at(ms)));
+        const auto selected = bench.pool.select("s", {}, afterMs(ms));
+        REQUIRE(selected);
+        CHECK(selected->parts.front().target != target);
+        CHECK_FALSE(bench.pool.maySend(target, afterMs(ms)));
     }
-    CHECK(bench.pool.maySend(target, at(3000)));
+    CHECK(bench.pool.maySend(target, afterMs(3000)));
     CHECK(bench.pool.takeUnreachable().empty()); // it is reachable
 }
 
@@ -249,12 +250,12 @@
 {
     exchange_bench bench(request_kind::Safe, false, false);
     const registry::target_incarnation a0 = "a0";
-    (void)bench.pool.recordPushback(a0, { {}, {}, milliseconds(3000) }, false, at(0), at(0));
-    (void)bench.pool.recordPushback(a0, { {}, {}, milliseconds(200) }, false, at(1000), at(1000));
-    CHECK_FALSE(bench.pool.maySend(a0, at(2999)));
-    CHECK(bench.pool.maySend(a0, at(3000)));
+    (void)bench.pool.recordPushback(a0, { {}, {}, milliseconds(3000) }, false, afterMs(0), afterMs(0));
+    (void)bench.pool.recordPushback(a0, { {}, {}, milliseconds(200) }, false, afterMs(1000), afterMs(1000));
+    CHECK_FALSE(bench.pool.maySend(a0, afterMs(2999)));
+    CHECK(bench.pool.maySend(a0, afterMs(3000)));
     bench.restart("a0", 500);
-    CHECK(bench.pool.maySend({ "a0", 500 }, at(1500))); // not inherited by a new incarnation
+    CHECK(bench.pool.maySend({ "a0", 500 }, afterMs(1500))); // not inherited by a new incarnation
 }
 
 TEST_CASE("target backoff: with all targets in backoff, requests are refused at once until the first one ends",
@@ -266,11 +267,11 @@
             target, { {}, {}, milliseconds(target == "b0" ? 2000 : 3000) }, false, zero, zero);
     auto call = bench.make();
     call.start(zero);
-    CHECK(bench.port.outcome == "answered");
-    CHECK(bench.port.answerRan == ran_state::No);
+    CHECK(bench.port.outcome == "error");
+    CHECK(bench.port.errorRan == ran_state::No);
     REQUIRE(call.earliestSendAt());
-    CHECK(*call.earliestSendAt() >= at(2000));
-    CHECK(*call.earliestSendAt() <= at(2500));
+    CHECK(*call.earliestSendAt() >= afterMs(2000));
+    CHECK(*call.earliestSendAt() <= afterMs(2500));
 }
 
 // Guards against failing requests while the only target with some of the layers is in backoff.
@@ -279,9 +280,9 @@
 {
     exchange_bench bench(request_kind::Stream, true, true);
     (void)bench.pool.recordPushback("a1", { {}, {}, milliseconds(3000) }, false, zero, zero);
-    const auto chosen = bench.pool.select("s", {}, zero);
-    REQUIRE(chosen);
-    CHECK(chosen->parts.back().target != registry::target_incarnation("a1"));
+    const auto selected = bench.pool.select("s", {}, zero);
+    REQUIRE(selected);
+    CHECK(selected->parts.back().target != registry::target_incarnation("a1"));
     bench.setState("b1", registry::target_state::Gone);
     bench.setState("c1", registry::target_state::Gone);
     CHECK(bench.pool.select("s", {}, zero)->parts.back().target == registry::target_incarnation("a1"));
@@ -297,20 +298,20 @@
     leaving.isLeaving = true;
     const registry::target_incarnation a0 = "a0";
     (void)bench.pool.recordPushback(a0, leaving, true, zero, zero);
-    (void)bench.pool.recordPushback(a0, {}, true, at(50), at(100)); // leaving is final
-    CHECK_FALSE(bench.pool.maySend(a0, at(100)));
+    (void)bench.pool.recordPushback(a0, {}, true, afterMs(50), afterMs(100)); // leaving is final
+    CHECK_FALSE(bench.pool.maySend(a0, afterMs(100)));
     CHECK(bench.pool.isLeaving(a0));
     for (int ms = 0; ms < 2000; ms += 50) {
-        const auto chosen = bench.pool.select("s", {}, at(ms));
-        REQUIRE(chosen);
-        for (const auto& part : chosen->parts)
+        const auto selected = bench.pool.select("s", {}, afterMs(ms));
+        REQUIRE(selected);
+        for (const auto& part : selected->parts)
             CHECK(part.target != a0);
     }
     CHECK(bench.pool.unreportedLeaving() == std::vector<registry::target_incarnation> { a0 });
     bench.setState("a0", registry::target_state::Draining);
     CHECK(bench.pool.unreportedLeaving().empty());
     bench.restart("a0", 500);
-    CHECK(bench.pool.maySend({ "a0", 500 }, at(3000)));
+    CHECK(bench.pool.maySend({ "a0", 500 }, afterMs(3000)));
 }
 
 // Guards against an incomplete list for operators who ask why a target gets no requests.
@@ -323,11 +324,11 @@
     target_pushback leaving;
     leaving.isLeaving = true;
     (void)bench.pool.recordPushback("c0", leaving, false, zero, zero);
-    const auto held = bench.pool.restrictedTargets(at(1000));
-    REQUIRE(held.size() == 3);
-    CHECK(held[0].perSecond == 1.5);
-    CHECK(held[0].limitAge == milliseconds(1000));
-    CHECK(held[1].backoffLeft == milliseconds(2000));
-    CHECK(held[2].isLeaving);
-    CHECK(bench.pool.restrictedTargets(at(3000)).size() == 2);
+    const auto restricted = bench.pool.restrictedTargets(afterMs(1000));
+    REQUIRE(restricted.size() == 3);
+    CHECK(restricted[0].perSecond == 1.5);
+    CHECK(restricted[0].limitAge == milliseconds(1000));
+    CHECK(restricted[1].backoffLeft == milliseconds(2000));
+    CHECK(restricted[2].isLeaving);
+    CHECK(bench.pool.restrictedTargets(afterMs(3000)).size() == 2);
 }
--- a/src/buckthornrail/gateway/target_pool.cpp
+++ b/src/buckthornrail/gateway/target_pool.cpp
@@ -12,7 +12,7 @@
 /// Weight of a new sample in a target's moving averages: about the last ten samples count.
 constexpr double newestWeight = 0.2;
 /// Assumed for a target that hasn't answered yet, so that it is tried alongside known ones.
-constexpr double defaultAnswerMs = 10;
+constexpr double defaultResponseMs = 10;
 /// Weight of a new latency sample of a path in the slowdown of its targets.
 constexpr double slowdownWeight = 0.3;
 /// The typical latency ratio follows the paths without trouble: it falls fast and rises slowly.
@@ -59,7 +59,7 @@
 {
     const bool isUnchanged = m_targets.size() == records.size()
         && std::equal(m_targets.begin(), m_targets.end(), records.begin(),
-            [](const auto& held, const auto& reported) { return held.first == reported.second.incarnation(); });
+            [](const auto& known, const auto& reported) { return known.first == reported.second.incarnation(); });
     m_hasOtherGatewayLoads = m_hasOtherGatewayLoads && isUnchanged;
     std::erase_if(m_targets, [&records](const auto& item) {
         const auto reported = records.find(item.first.id);
@@ -67,8 +67,8 @@
     });
     std::vector<std::string> newAddresses;
     for (const auto& [id, record] : records) {
-        const auto [at, isNew] = m_targets.try_emplace(record.incarnation());
-        auto& target = at->second;
+        const auto [found, isNew] = m_targets.try_emplace(record.incarnation());
+        auto& target = found->second;
         if (isNew)
             newAddresses.push_back(record.address);
         const bool cameBack
@@ -127,7 +127,7 @@
     const auto engine = m_engines.find(service);
     if (engine != m_engines.end() && engine->second.layers > 0)
         return selectPath(service, engine->second, constraints, now);
-    return selectOne(service, constraints, now);
+    return selectTarget(service, constraints, now);
 }
 
 bool target_pool::acceptsWork(const registry::target_record& record)
@@ -163,10 +163,10 @@
     recordSelection(now);
     const auto targets = usableTargets(service, constraints.excluded);
     const path_weights spreadLoad { 1.0 / engine.stepsPerPass, spreadMemoryThreshold };
-    auto chosen = findSelection(targets, engine, constraints, spreadLoad, now);
+    auto selected = findSelection(targets, engine, constraints, spreadLoad, now);
     const double safeMs = safeGapShare * static_cast<double>(constraints.eventGapTarget.count());
-    if (!chosen || safeMs <= 0 || chosen->expectedPassMs <= safeMs)
-        return chosen;
+    if (!selected || safeMs <= 0 || selected->expectedPassMs <= safeMs)
+        return selected;
     return findSelection(targets, engine, constraints, { 1, latencyMemoryThreshold }, now);
 }
 
@@ -192,46 +192,47 @@
     const auto path = findPath(candidates, engine.layers, m_domains.size(), 0, costs);
     if (path.empty())
         return std::nullopt;
-    selection chosen;
+    selection selected;
     std::size_t penalized = 0;
-    double fullest = 0;
+    double highestMemoryUse = 0;
     for (const auto& part : path) {
         const auto& record = targets[part.candidate]->record;
         const auto& target = *targets[part.candidate];
-        chosen.parts.push_back({ record.incarnation(), record.address, part.layers, target.domain });
+        selected.parts.push_back({ record.incarnation(), record.address, part.layers, target.domain });
         const auto pass = passTime(target, engine);
-        chosen.expectedPassMs += path_costs().perPartMs + pass.sharedMs + pass.perLayerMs * part.layers.size();
+        selected.expectedPassMs += path_costs().perPartMs + pass.sharedMs + pass.perLayerMs * part.layers.size();
         penalized += failurePenaltyMs(target, now) + congestionMs(target, weights.memoryThreshold) > 0 ? 1 : 0;
-        chosen.hasCapacity = chosen.hasCapacity && hasCapacity(target, now);
-        fullest = std::max(fullest, memoryUse(target));
+        selected.hasCapacity = selected.hasCapacity && hasCapacity(target, now);
+        highestMemoryUse = std::max(highestMemoryUse, memoryUse(target));
     }
-    chosen.summary = std::to_string(targets.size()) + " usable, " + std::to_string(path.size()) + " parts, "
-        + std::to_string(penalized) + " penalized, highest memory use " + std::to_string(std::lround(fullest * percent))
-        + "%, loads "
+    selected.summary = std::to_string(targets.size()) + " usable, " + std::to_string(path.size()) + " parts, "
+        + std::to_string(penalized) + " penalized, highest memory use "
+        + std::to_string(std::lround(highestMemoryUse * percent)) + "%, loads "
         + (m_hasOtherGatewayLoads
                 ? std::to_string(std::chrono::duration_cast<milliseconds>(now - m_otherGatewayLoadsAt).count())
                     + " ms old"
                 : "unknown")
         + describeLimit(*targets[path.front().candidate], now);
-    return chosen;
+    return selected;
 }
 
-std::optional<selection> target_pool::selectOne(
+std::optional<selection> target_pool::selectTarget(
     const std::string& service, const selection_constraints& constraints, steady_time now)
 {
     auto targets = usableTargets(service, constraints.excluded);
     if (!constraints.allowedFirst.empty())
-        std::erase_if(targets,
-            [&constraints](const auto* one) { return !constraints.allowedFirst.contains(one->record.incarnation()); });
-    std::erase_if(targets, [now](const auto* one) { return !acceptsNow(*one, now); });
+        std::erase_if(targets, [&constraints](const auto* target) {
+            return !constraints.allowedFirst.contains(target->record.incarnation());
+        });
+    std::erase_if(targets, [now](const auto* target) { return !acceptsNow(*target, now); });
     std::uniform_real_distribution<double> draw(0, 1);
     const bool explores = draw(m_random) < exploreShare;
     const pool_target* best = nullptr;
     double bestCost = 0;
     for (const auto* target : targets) {
         const double waiting = target->sequences * loadScale() / std::max(target->record.slots, 1U);
-        const double answerMs = target->answerMs > 0 ? target->answerMs : defaultAnswerMs;
-        double cost = answerMs * (1 + waiting) * (target->domain == 0 ? 1 : crossDomainFactor)
+        const double responseMs = target->responseMs > 0 ? target->responseMs : defaultResponseMs;
+        double cost = responseMs * (1 + waiting) * (target->domain == 0 ? 1 : crossDomainFactor)
             * (1 + jitterShare * draw(m_random));
         if (explores)
             cost = draw(m_random);
@@ -243,11 +244,11 @@
     }
     if (best == nullptr)
         return std::nullopt;
-    selection chosen;
-    chosen.parts.push_back({ best->record.incarnation(), best->record.address, {}, best->domain });
-    chosen.summary = std::to_string(targets.size()) + " usable, expected "
+    selection selected;
+    selected.parts.push_back({ best->record.incarnation(), best->record.address, {}, best->domain });
+    selected.summary = std::to_string(targets.size()) + " usable, expected "
         + std::to_string(static_cast<int>(std::lround(bestCost))) + " ms" + describeLimit(*best, now);
-    return chosen;
+    return selected;
 }
 
 double target_pool::slowdownOf(const pool_target& target, std::size_t kind, steady_time now)
@@ -260,35 +261,35 @@
 
 double target_pool::slowdownOf(const pool_target& target, steady_time now)
 {
-    double most = 1;
+    double highest = 1;
     for (std::size_t kind = 0; kind < latencyKindCount; ++kind)
-        most = std::max(most, slowdownOf(target, kind, now));
-    return most;
+        highest = std::max(highest, slowdownOf(target, kind, now));
+    return highest;
 }
 
-void target_pool::recordLatency(const selection& chosen, latency_kind kind, double ms, steady_time now)
+void target_pool::recordLatency(const selection& selected, latency_kind kind, double ms, steady_time now)
 {
-    if (chosen.expectedPassMs <= 0)
+    if (selected.expectedPassMs <= 0)
         return;
-    const double ratio = ms / chosen.expectedPassMs;
-    const auto at = static_cast<std::size_t>(kind);
-    double& typical = m_typicalLatencyRatio[at];
+    const double ratio = ms / selected.expectedPassMs;
+    const auto index = static_cast<std::size_t>(kind);
+    double& typical = m_typicalLatencyRatio[index];
     if (typical == 0)
         typical = ratio;
     typical += (ratio < typical ? ratioFallWeight : ratioRiseWeight) * (ratio - typical);
     const double relative = ratio / typical;
-    const double measured = relative < normalSlowdown[at] ? 1 : std::min(relative, maxSlowdown);
-    for (const auto& part : chosen.parts) {
+    const double measured = relative < normalSlowdown[index] ? 1 : std::min(relative, maxSlowdown);
+    for (const auto& part : selected.parts) {
         const auto found = m_targets.find(part.target);
         if (found == m_targets.end())
             continue;
         auto& target = found->second;
-        target.slowdown[at] = (1 - slowdownWeight) * slowdownOf(target, at, now) + slowdownWeight * measured;
-        target.slowdownSince[at] = now;
+        target.slowdown[index] = (1 - slowdownWeight) * slowdownOf(target, index, now) + slowdownWeight * measured;
+        target.slowdownSince[index] = now;
     }
 }
 
-void target_pool::succeeded(const registry::target_incarnation& id, double answerMs)
+void target_pool::succeeded(const registry::target_incarnation& id, double responseMs)
 {
     const auto found = m_targets.find(id);
     if (found == m_targets.end())
@@ -296,7 +297,8 @@
     auto& target = found->second;
     target.failureShare *= 1 - newestWeight;
     target.refusalsInRow = 0;
-    target.answerMs = target.answerMs == 0 ? answerMs : (1 - newestWeight) * target.answerMs + newestWeight * answerMs;
+    target.responseMs
+        = target.responseMs == 0 ? responseMs : (1 - newestWeight) * target.responseMs + newestWeight * responseMs;
 }
 
 void target_pool::failed(const registry::target_incarnation& id)
@@ -385,8 +387,8 @@
 {
     if (layers.isEmpty() || isGone(id))
         return false;
-    const auto& held = m_targets.at(id).record.layers;
-    return layers.first < held.first || held.end < layers.end;
+    const auto& loaded = m_targets.at(id).record.layers;
+    return layers.first < loaded.first || loaded.end < layers.end;
 }
 
 std::size_t target_pool::readyCount(const std::string& service) const
--- a/src/buckthornrail/gateway/target_pool_limits.cpp
+++ b/src/buckthornrail/gateway/target_pool_limits.cpp
@@ -14,7 +14,7 @@
 constexpr milliseconds announcementInterval { 1000 };
 /// Consecutive responses without a limit that clear it: a single response that lacks it must not flood an overloaded
 /// target.
-constexpr std::uint32_t answersToClear = 2;
+constexpr std::uint32_t responsesToClear = 2;
 /// A limit that wasn't confirmed for this time no longer makes its target cost more. The target is then tried again
 /// within its limit, as only a response can show that the limit has been lifted.
 constexpr milliseconds limitFreshness { 5000 };
@@ -46,7 +46,7 @@
         limit.emplace(advertised_limit { std::nullopt, confirmedAt, false, {}, 0 });
     }
     limit->confirmedAt = confirmedAt;
-    limit->answersWithoutLimit = 0;
+    limit->responsesWithoutLimit = 0;
     if (!perSecond) {
         limit->limiter.reset();
     } else if (!limit->limiter) {
@@ -71,7 +71,7 @@
     if (!pushback.requestsPerSecond) {
         const bool reportsNoLimit = absenceMeansNone && pushback.unreadable.empty() && isLimited(found->second, now);
         // A request sent before the limit was received may have been answered before the target set the limit.
-        if (!reportsNoLimit || sentAt <= limit->confirmedAt || ++limit->answersWithoutLimit < answersToClear)
+        if (!reportsNoLimit || sentAt <= limit->confirmedAt || ++limit->responsesWithoutLimit < responsesToClear)
             return std::nullopt;
     }
     const auto change = setLimit(id, found->second, pushback.requestsPerSecond, now, now);
@@ -85,12 +85,12 @@
     std::span<const registry::limit_report> reports, steady_time now)
 {
     std::vector<limit_change> changes;
-    for (const auto& one : reports) {
-        const auto found = m_targets.find(one.target);
-        const steady_time confirmedAt = now - milliseconds(one.ageMs);
+    for (const auto& report : reports) {
+        const auto found = m_targets.find(report.target);
+        const steady_time confirmedAt = now - milliseconds(report.ageMs);
         if (found == m_targets.end() || (found->second.limit && confirmedAt <= found->second.limit->confirmedAt))
             continue;
-        const auto change = setLimit(one.target, found->second, one.perSecond, confirmedAt, now);
+        const auto change = setLimit(report.target, found->second, report.perSecond, confirmedAt, now);
         if (change.hasChanged())
             changes.push_back(change);
     }
@@ -172,11 +172,11 @@
     return found == m_targets.end() || acceptsNow(found->second, now);
 }
 
-void target_pool::noteSent(const registry::target_incarnation& id, steady_time now)
+void target_pool::recordSent(const registry::target_incarnation& id, steady_time now)
 {
     const auto found = m_targets.find(id);
     if (found != m_targets.end() && isLimited(found->second, now))
-        found->second.limit->limiter->noteSent(now);
+        found->second.limit->limiter->recordSent(now);
 }
 
 double target_pool::limitPenaltyMs(const pool_target& target, steady_time now)
@@ -197,9 +197,9 @@
         if (acceptsNow(*target, now))
             return std::nullopt;
         const bool limited = isLimited(*target, now);
-        const auto at = std::max(target->backoffUntil, limited ? target->limit->limiter->nextSendAt(now) : now);
-        if (!soonest || at < *soonest) {
-            soonest = at;
+        const auto sendAt = std::max(target->backoffUntil, limited ? target->limit->limiter->nextSendAt(now) : now);
+        if (!soonest || sendAt < *soonest) {
+            soonest = sendAt;
             spread = limited ? target->limit->limiter->interval() : retrySpread;
         }
     }
--- a/src/buckthornrail/gateway/target_pool_load.cpp
+++ b/src/buckthornrail/gateway/target_pool_load.cpp
@@ -45,7 +45,7 @@
 
 target_pool::pass_time target_pool::passTime(const pool_target& target, const layered_engine& engine) const
 {
-    const double usualTokens = engine.usualPromptTokens + engine.usualAnswerTokens;
+    const double usualTokens = engine.usualPromptTokens + engine.usualOutputTokens;
     const double tokenLayers = totalTokenLayers(target);
     const double sequenceLayers
         = usualTokens > 0 ? tokenLayers / usualTokens : target.sequences * loadScale() * target.record.layers.size();
@@ -113,9 +113,10 @@
 double target_pool::expectedTokens(const pool_target& target, const request_size& size) const
 {
     const auto engine = m_engines.find(target.record.service);
-    const bool isKnown = engine != m_engines.end() && engine->second.usualAnswerTokens > 0;
-    const double answer = isKnown ? std::min(size.answerTokens, engine->second.usualAnswerTokens) : size.answerTokens;
-    return size.promptTokens + answer;
+    const bool isKnown = engine != m_engines.end() && engine->second.usualOutputTokens > 0;
+    const double outputTokens
+        = isKnown ? std::min(size.maxOutputTokens, engine->second.usualOutputTokens) : size.maxOutputTokens;
+    return size.promptTokens + outputTokens;
 }
 
 void target_pool::setOtherGateways(std::size_t gateways, std::size_t openAttempts)
@@ -148,10 +149,10 @@
     return result;
 }
 
-void target_pool::addPrefill(const selection& chosen, double promptTokens)
+void target_pool::addPrefill(const selection& selected, double promptTokens)
 {
     const selected_part* before = nullptr;
-    for (const auto& part : chosen.parts) {
+    for (const auto& part : selected.parts) {
         const auto found = m_targets.find(part.target);
         if (found != m_targets.end()) {
             auto& prefill = found->second.prefillTokenLayers;
@@ -167,11 +168,11 @@
     }
 }
 
-void target_pool::attemptStarted(const selection& chosen, const request_size& size)
+void target_pool::attemptStarted(const selection& selected, const request_size& size)
 {
     ++m_openAttempts;
-    addPrefill(chosen, size.promptTokens);
-    for (const auto& part : chosen.parts) {
+    addPrefill(selected, size.promptTokens);
+    for (const auto& part : selected.parts) {
         const auto found = m_targets.find(part.target);
         if (found == m_targets.end())
             continue;
@@ -180,17 +181,17 @@
     }
 }
 
-void target_pool::prefillFinished(const selection& chosen, const request_size& size)
+void target_pool::prefillFinished(const selection& selected, const request_size& size)
 {
-    addPrefill(chosen, -size.promptTokens);
+    addPrefill(selected, -size.promptTokens);
 }
 
-void target_pool::attemptEnded(const selection& chosen, const request_size& size, bool isPrefillFinished)
+void target_pool::attemptEnded(const selection& selected, const request_size& size, bool isPrefillFinished)
 {
     m_openAttempts -= m_openAttempts > 0 ? 1 : 0;
     if (!isPrefillFinished)
-        addPrefill(chosen, -size.promptTokens);
-    for (const auto& part : chosen.parts) {
+        addPrefill(selected, -size.promptTokens);
+    for (const auto& part : selected.parts) {
         const auto found = m_targets.find(part.target);
         if (found == m_targets.end())
             continue;
--- a/tests/support/exchange_bench.hpp
+++ b/tests/support/exchange_bench.hpp
@@ -18,8 +18,8 @@
 public:
     dispatch_verdict requestDispatch(const selection& selected) override
     {
-        asked.push_back(selected.parts.front().target.id);
-        return verdicts.contains(asked.back()) ? verdicts.at(asked.back()) : verdict;
+        dispatchRequests.push_back(selected.parts.front().target.id);
+        return verdicts.contains(dispatchRequests.back()) ? verdicts.at(dispatchRequests.back()) : verdict;
     }
     bool mustCancel() override { return mustCancelAttempt; }
     void openAttempt(std::uint32_t number, const selection& selected, std::optional<std::uint64_t> lastEventId) override
@@ -39,16 +39,16 @@
         probeAliveSince = aliveSince;
     }
     steady_time probeAliveSince {}; ///< argument of the last probe
-    void forwardResponse() override { end("passed on"); }
+    void forwardResponse() override { end("forwarded"); }
     void beginStream() override { streamStarted = true; }
     void forwardEvent(std::string_view bytes) override { events += bytes; }
     void endStream() override { end("ended"); }
-    void abortStream() override { end("broken off"); }
+    void abortStream() override { end("aborted"); }
     void sendError(result_code code, ran_state ran, const std::string& /*reason*/) override
     {
-        answerCode = code;
-        answerRan = ran;
-        end("answered");
+        errorCode = code;
+        errorRan = ran;
+        end("error");
     }
     void setTimer(steady_time when) override { timer = when; }
     request_fingerprint fingerprint() override { return {}; }
@@ -56,7 +56,7 @@
 
     dispatch_verdict verdict = dispatch_verdict::Go;
     std::map<std::string, dispatch_verdict> verdicts; ///< by first target; `verdict` applies to any other
-    std::vector<std::string> asked; ///< first targets
+    std::vector<std::string> dispatchRequests; ///< first targets
     bool mustCancelAttempt = false;
     bool isOpen = false;
     bool streamStarted = false;
@@ -68,8 +68,8 @@
     int probes = 0;
     std::string events;
     std::string outcome; ///< empty: none yet
-    result_code answerCode = result_code::Ok;
-    ran_state answerRan = ran_state::No;
+    result_code errorCode = result_code::Ok;
+    ran_state errorRan = ran_state::No;
     steady_time timer {};
 
 private:
@@ -86,15 +86,15 @@
 public:
     exchange_bench(request_kind kind, bool resumable, bool layered)
     {
-        route one;
-        one.name = "r";
-        one.kind = kind;
-        one.resumable = resumable;
-        one.timeout = milliseconds(1000);
-        one.latencyTarget = milliseconds(100);
-        one.maxAttempts = 2;
-        one.services = { { "s", 1 } };
-        m_route = std::make_shared<route>(one);
+        route definition;
+        definition.name = "r";
+        definition.kind = kind;
+        definition.resumable = resumable;
+        definition.timeout = milliseconds(1000);
+        definition.latencyTarget = milliseconds(100);
+        definition.maxAttempts = 2;
+        definition.services = { { "s", 1 } };
+        m_route = std::make_shared<route>(definition);
         std::map<std::string, registry::target_record> records;
         for (const std::string domain : { "a", "b", "c" }) {
             for (const std::uint32_t part : { 0U, 1U }) {
@@ -149,8 +149,8 @@
         exchange_request request;
         request.id = "q";
         request.service = "s";
-        request.chosen = m_route;
-        request.arrived = zero;
+        request.route = m_route;
+        request.arrivedAt = zero;
         request.deadline = zero + milliseconds(1000);
         budget.setGatewayCount(1, zero);
         return { request, port, pool, budget };
