--- a/src/buckthornrail/gateway/crash_watch.cpp
+++ b/src/buckthornrail/gateway/crash_watch.cpp
@@ -29,12 +29,12 @@
 bool crash_watch::onConnectionLost(call_number call, const request_fingerprint& fingerprint, steady_time now)
 {
     const bool isSuspect = mayHaveCrashedTarget(call, now);
-    auto over = m_open.extract(call);
+    auto ended = m_open.extract(call);
     if (!isSuspect)
         return false;
     dropExpired(now);
     m_lost.push_back(
-        { call, fingerprint, std::move(over.mapped().parts), now + m_options.probeTimeout, now + m_options.lostTtl });
+        { call, fingerprint, std::move(ended.mapped().parts), now + m_options.probeTimeout, now + m_options.lostTtl });
     return true;
 }
 
@@ -64,11 +64,11 @@
         steady_time openedAt {};
     };
     std::map<registry::target_incarnation, std::vector<suspect>> suspectsByTarget;
-    for (const auto& [call, attempt] : m_open) {
+    for (const auto& [call, openAttempt] : m_open) {
         if (!mayHaveCrashedTarget(call, now))
             continue;
-        for (const auto& target : endedTargets(attempt.parts, address, replacement))
-            suspectsByTarget[target].push_back({ fingerprintOf(call), attempt.openedAt });
+        for (const auto& target : endedTargets(openAttempt.parts, address, replacement))
+            suspectsByTarget[target].push_back({ fingerprintOf(call), openAttempt.openedAt });
     }
     for (const auto& lost : m_lost) {
         for (const auto& target : endedTargets(lost.parts, address, replacement))
--- a/src/buckthornrail/gateway/document_assembly.cpp
+++ b/src/buckthornrail/gateway/document_assembly.cpp
@@ -41,8 +41,8 @@
 {
     if (slice.number != m_next || slice.number >= slice.count)
         return false;
-    const auto& open = m_partial.change;
-    return m_next == 0 || (slice.from == open.from && slice.to == open.to && slice.digest == open.digest);
+    const auto& partial = m_partial.change;
+    return m_next == 0 || (slice.from == partial.from && slice.to == partial.to && slice.digest == partial.digest);
 }
 
 tl::expected<void, failure> document_assembly::addSlice(const document::change_slice& slice)
--- a/src/buckthornrail/gateway/exchange_stream_test.cpp
+++ b/src/buckthornrail/gateway/exchange_stream_test.cpp
@@ -153,25 +153,25 @@
     exchange_bench bench(request_kind::Stream, true, true);
     auto call = bench.make();
     call.start(zero);
-    std::set<std::string> ranAt;
+    std::set<std::string> ranOn;
     std::uint64_t next = 1;
     const auto runAndBreak = [&] {
         beginStream(call);
         call.onEvent("e", next++, zero);
-        ranAt.insert(bench.port.target);
+        ranOn.insert(bench.port.target);
         call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
     };
     runAndBreak();
-    bench.setState(*ranAt.begin(), registry::target_state::Draining);
-    while (ranAt.size() < 2)
+    bench.setState(*ranOn.begin(), registry::target_state::Draining);
+    while (ranOn.size() < 2)
         runAndBreak();
     REQUIRE(bench.port.isOpen);
-    CHECK(ranAt.contains(bench.port.target));
+    CHECK(ranOn.contains(bench.port.target));
     const std::string third = *std::find_if(
-        bench.firsts.begin(), bench.firsts.end(), [&](const std::string& id) { return !ranAt.contains(id); });
+        bench.firsts.begin(), bench.firsts.end(), [&](const std::string& id) { return !ranOn.contains(id); });
     SECTION("both drain")
     {
-        for (const auto& id : ranAt)
+        for (const auto& id : ranOn)
             bench.setState(id, registry::target_state::Draining);
         call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
         CHECK_FALSE(bench.port.isOpen); // it waits and uses no third target
@@ -179,7 +179,7 @@
     }
     SECTION("both announced that they are gone, but may still serve")
     {
-        for (const auto& id : ranAt)
+        for (const auto& id : ranOn)
             bench.setState(id, registry::target_state::Gone);
         call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
         CHECK_FALSE(bench.port.isOpen);
@@ -188,7 +188,7 @@
     SECTION("both have ended: connections are refused")
     {
         call.onSent(zero);
-        for (const auto& id : ranAt) {
+        for (const auto& id : ranOn) {
             bench.setState(id, registry::target_state::Gone);
             bench.pool.markEnded(id + ":1");
         }
@@ -205,14 +205,14 @@
     exchange_bench bench(request_kind::Stream, true, true);
     auto call = bench.make();
     call.start(zero);
-    std::set<std::string> ranAt;
+    std::set<std::string> ranOn;
     auto now = zero;
     const auto runAndFallSilent = [&] {
         call.onSent(now);
         call.onHead(authenticResponse(200, true), now);
-        call.onEvent("e", ranAt.size() + 1, now);
+        call.onEvent("e", ranOn.size() + 1, now);
         const std::string first = bench.port.target;
-        ranAt.insert(first);
+        ranOn.insert(first);
         now += milliseconds(100);
         bench.pool.markUnresponsive(first + ":1");
         call.onUnreachable(first, now);
@@ -220,20 +220,20 @@
     runAndFallSilent();
     REQUIRE(bench.port.attempts == 2);
     runAndFallSilent();
-    REQUIRE(ranAt.size() == 2);
+    REQUIRE(ranOn.size() == 2);
     for (const auto& target : bench.port.targets)
-        CHECK(ranAt.contains(target));
+        CHECK(ranOn.contains(target));
     SECTION("its heartbeats have stopped too: it has ended")
     {
-        for (const auto& id : ranAt)
+        for (const auto& id : ranOn)
             bench.setState(id, registry::target_state::Lost);
         call.onAttemptFailed(attempt_failure::ConnectionLost, now);
-        CHECK_FALSE(ranAt.contains(bench.port.target));
+        CHECK_FALSE(ranOn.contains(bench.port.target));
     }
     SECTION("its heartbeats continue: it is alive")
     {
         call.onAttemptFailed(attempt_failure::ConnectionLost, now);
-        CHECK(ranAt.contains(bench.port.target));
+        CHECK(ranOn.contains(bench.port.target));
     }
 }
 
--- a/src/buckthornrail/gateway/heavy_load_test.cpp
+++ b/src/buckthornrail/gateway/heavy_load_test.cpp
@@ -16,7 +16,7 @@
 constexpr std::uint32_t layers = 80;
 
 registry::target_record targetWith(
-    const std::string& id, const std::string& domain, const std::string& kind, layer_range layers)
+    const std::string& id, const std::string& domain, const std::string& kind, layer_range range)
 {
     registry::target_record record;
     record.id = id;
@@ -25,7 +25,7 @@
     record.failureDomain = domain;
     record.accelerator = kind;
     record.slots = 192;
-    record.layers = layers;
+    record.layers = range;
     return record;
 }
 
--- a/src/buckthornrail/gateway/quarantine_gate.cpp
+++ b/src/buckthornrail/gateway/quarantine_gate.cpp
@@ -91,14 +91,14 @@
 
 void quarantine_gate::endTrial(call_number call)
 {
-    const auto over = m_trials.extract(call);
-    if (!over || over.mapped().state == claim_state::Refused)
+    const auto ended = m_trials.extract(call);
+    if (!ended || ended.mapped().state == claim_state::Refused)
         return;
-    const auto trial = over.mapped().claim.trial;
+    const auto trial = ended.mapped().claim.trial;
     const bool wasUnsent
         = std::erase_if(m_unsentChanges.claims, [trial](const auto& pending) { return pending.trial == trial; }) > 0;
     if (!wasUnsent)
-        m_unsentChanges.ends.push_back({ over.mapped().fingerprint, trial });
+        m_unsentChanges.ends.push_back({ ended.mapped().fingerprint, trial });
 }
 
 std::vector<call_number> quarantine_gate::callsOnTrial() const
--- a/src/buckthornrail/gateway/rate_limiter_test.cpp
+++ b/src/buckthornrail/gateway/rate_limiter_test.cpp
@@ -99,16 +99,16 @@
     gateways all(10, 20, 5, start);
     all.run(start, milliseconds(10000), 20);
     all.sent.clear();
-    const auto fell = start + milliseconds(10000);
+    const auto loweredAt = start + milliseconds(10000);
     for (std::size_t ordinal = 0; ordinal < all.limits.size(); ++ordinal)
-        all.limits[ordinal].setRate(0.5, { 10, ordinal }, fell);
-    all.run(fell, milliseconds(20000), 20);
+        all.limits[ordinal].setRate(0.5, { 10, ordinal }, loweredAt);
+    all.run(loweredAt, milliseconds(20000), 20);
     CHECK(static_cast<double>(all.maxPerWindow()) <= allowed(0.5));
     all.sent.clear();
-    const auto rose = fell + milliseconds(20000);
+    const auto raisedAt = loweredAt + milliseconds(20000);
     for (std::size_t ordinal = 0; ordinal < all.limits.size(); ++ordinal)
-        all.limits[ordinal].setRate(20, { 10, ordinal }, rose);
-    all.run(rose, milliseconds(4000), 20);
+        all.limits[ordinal].setRate(20, { 10, ordinal }, raisedAt);
+    all.run(raisedAt, milliseconds(4000), 20);
     CHECK(all.sent.size() >= 65); // of 80
 }
 
--- a/src/buckthornrail/gateway/route_index.cpp
+++ b/src/buckthornrail/gateway/route_index.cpp
@@ -116,12 +116,12 @@
     const auto found = m_routes.find(hash);
     if (found == m_routes.end())
         return; // a corrupt change lists it twice
-    const route_pointer gone = found->second;
+    const route_pointer removed = found->second;
     m_routes.erase(found);
     m_digest.remove(hash);
-    const auto host = m_byHost.find(gone->host);
-    host->second.byPrefix.erase(gone->pathPrefix);
-    const auto length = host->second.lengths.find(gone->pathPrefix.size());
+    const auto host = m_byHost.find(removed->host);
+    host->second.byPrefix.erase(removed->pathPrefix);
+    const auto length = host->second.lengths.find(removed->pathPrefix.size());
     if (--length->second == 0)
         host->second.lengths.erase(length);
     if (host->second.byPrefix.empty())
@@ -142,12 +142,12 @@
     const auto found = m_workspaces.find(hash);
     if (found == m_workspaces.end())
         return; // a corrupt change lists it twice
-    const workspace_pointer gone = found->second;
+    const workspace_pointer removed = found->second;
     m_workspaces.erase(found);
     m_digest.remove(hash);
-    for (const auto& key : gone->keys) {
+    for (const auto& key : removed->keys) {
         const auto [begin, end] = m_byKey.equal_range(key);
-        const auto entry = std::find_if(begin, end, [&gone](const auto& item) { return item.second == gone; });
+        const auto entry = std::find_if(begin, end, [&removed](const auto& item) { return item.second == removed; });
         if (entry != end)
             m_byKey.erase(entry);
     }
--- a/src/buckthornrail/gateway/shared_retry_budget.cpp
+++ b/src/buckthornrail/gateway/shared_retry_budget.cpp
@@ -105,12 +105,12 @@
 
 registry::retry_counts shared_retry_budgets::spent(steady_time now)
 {
-    registry::retry_counts rows;
+    registry::retry_counts counts;
     for (auto& [service, budget] : m_byService) {
         if (const auto retries = budget.spent(now); retries > 0)
-            rows.push_back({ service, retries });
+            counts.push_back({ service, retries });
     }
-    return rows;
+    return counts;
 }
 
 } // namespace buckthornrail::gateway
--- a/src/buckthornrail/gateway/target_pool_limits.cpp
+++ b/src/buckthornrail/gateway/target_pool_limits.cpp
@@ -188,7 +188,7 @@
 {
     const auto engine = m_engines.find(service);
     const bool isLayered = engine != m_engines.end() && engine->second.layers > 0;
-    std::optional<steady_time> soonest;
+    std::optional<steady_time> earliest;
     steady_time::duration spread {};
     for (const auto* target : usableTargets(service, {})) {
         const auto& layers = target->record.layers;
@@ -198,15 +198,15 @@
             return std::nullopt;
         const bool limited = isLimited(*target, now);
         const auto sendAt = std::max(target->backoffUntil, limited ? target->limit->limiter->nextSendAt(now) : now);
-        if (!soonest || sendAt < *soonest) {
-            soonest = sendAt;
+        if (!earliest || sendAt < *earliest) {
+            earliest = sendAt;
             spread = limited ? target->limit->limiter->interval() : retrySpread;
         }
     }
-    if (!soonest)
+    if (!earliest)
         return std::nullopt;
     std::uniform_real_distribution<double> jitter(0, 1);
-    return *soonest + std::chrono::duration_cast<steady_time::duration>(spread * jitter(m_random));
+    return *earliest + std::chrono::duration_cast<steady_time::duration>(spread * jitter(m_random));
 }
 
 std::string target_pool::describeLimit(const pool_target& first, steady_time now)
