--- a/include/buckthornrail/gateway/dialect.hpp
+++ b/include/buckthornrail/gateway/dialect.hpp
@@ -51,7 +51,7 @@
     /// decoded
     [[nodiscard]] virtual tl::expected<std::string, failure> readReport(
         const std::string& body, const std::string& requestId) const = 0;
-    /// @brief Header field that tells a caller when to retry. @param wait time until then
+    /// @brief Header field that states when a caller may retry. @param wait time until then
     [[nodiscard]] virtual http1::field writeRetryAfter(milliseconds wait) const = 0;
 };
 
@@ -116,7 +116,7 @@
     [[nodiscard]] virtual std::string writeAnnounceResponse(const std::string& address) const = 0;
     [[nodiscard]] virtual http1::request_head writeReportRequest(const std::string& targetId) const = 0;
     [[nodiscard]] virtual tl::expected<target_report, failure> readReport(const std::string& body) const = 0;
-    /// @return how long a target that refuses requests asks for none; empty: not stated
+    /// @return backoff that a target which refuses requests asks for; empty: not stated
     [[nodiscard]] virtual std::optional<milliseconds> readRetryAfter(const http1::response_head& head) const = 0;
     /// @brief Head and body of an order.
     [[nodiscard]] virtual std::pair<http1::request_head, std::string> writeOrder(const layer_order& order) const = 0;
--- a/include/buckthornrail/gateway/document_assembly.hpp
+++ b/include/buckthornrail/gateway/document_assembly.hpp
@@ -27,7 +27,7 @@
     tl::expected<void, failure> addSlice(const document::change_slice& slice);
     /// @return completed changes in order of arrival, each once
     [[nodiscard]] std::vector<completed_change> takeCompleted();
-    /// @brief Discards everything received; the sender is gone or starts again.
+    /// @brief Discards all slices and completed changes, as the sender is gone or starts again.
     void discard();
 
 private:
--- a/include/buckthornrail/gateway/exchange.hpp
+++ b/include/buckthornrail/gateway/exchange.hpp
@@ -1,8 +1,8 @@
 /// @file
 /// @brief State machine of one request of a caller, from its head to its final response. Does no I/O.
 ///
-/// The owner passes events in and carries out the actions that the exchange requests from its port. At most one attempt
-/// is open at a time.
+/// The owner passes events in and performs the actions that the exchange requests from its port. At most one attempt is
+/// open at a time.
 #pragma once
 
 #include "buckthornrail/core/event_code.hpp"
@@ -60,8 +60,8 @@
     exchange_port& operator=(const exchange_port&) = delete;
     virtual ~exchange_port() = default;
 
-    /// @brief Asks the quarantine whether an attempt may start at a selection. For any verdict but Go and Refuse the
-    /// exchange asks again, after onQuarantineChanged() or a poll interval.
+    /// @brief Requests the quarantine's verdict on an attempt at a selection. After any verdict but Go and Refuse the
+    /// exchange requests it again, on onQuarantineChanged() or after a poll interval.
     virtual dispatch_verdict requestDispatch(const selection& selected) = 0;
     /// @return whether the quarantine requires the open attempt, which has no response yet, to be cancelled
     [[nodiscard]] virtual bool mustCancel() = 0;
@@ -70,7 +70,8 @@
         = 0;
     /// @brief Cancels the open attempt. No event of it may be delivered afterwards.
     virtual void cancelAttempt() = 0;
-    /// @brief Asks the first target of the open attempt which member of the path stalls it; onReport() follows.
+    /// @brief Requests a report from the first target of the open attempt on which member of the path stalls it;
+    /// onReport() follows.
     virtual void requestReport() = 0;
     /// @brief Probes the members of the open attempt's path; onUnreachable() follows for each one that refuses
     /// connections. @param aliveSince a member that has delivered an event of another request since then is skipped
@@ -105,13 +106,13 @@
     milliseconds probeAgainAfter { 100 }; ///< doubles with each probe without a result
     /// A stream silent for this long leaves an unreachable member, whichever request's probe detected it.
     milliseconds minSilence { 40 };
-    /// The first target is asked for the stalled member when no event has arrived for this long. Events arrive every
-    /// 30 ms under low load; a report costs as much as a health check.
+    /// The first target is sent a report request when no event has arrived for this long. Events arrive every 30 ms
+    /// under low load; a report costs as much as a health check.
     milliseconds reportAfter { 250 };
     milliseconds reportAgainAfter { 200 }; ///< doubles with each report that names no member
     /// Events over which the event gap of a path is averaged for the pool.
     std::size_t latencySampleEvents = 8;
-    /// After this many unanswered report requests the first target counts as unreachable.
+    /// After this many report requests without a response the first target counts as unreachable.
     std::uint32_t maxReportsWithoutResponse = 2;
     /// A stream without an event for this long moves even if no member is known to be faulty: callers disconnect after
     /// 2 s.
@@ -126,13 +127,13 @@
     /// maxAttempts ignores.
     std::uint32_t maxTotalAttempts = 6;
     std::uint32_t maxTotalAttemptsOnceStarted = 20; ///< the same for a stream that has started
-    /// A suspect request that has not started is held back by the quarantine for at most this long, and asks again
-    /// after each poll interval.
+    /// A suspect request that has not started waits at most this long for a verdict that lets it start.
     milliseconds maxDispatchWait { 400 };
-    milliseconds dispatchPollInterval { 20 };
-    /// A started stream that finds no target, or no retry in the budget, tries again after this interval,
+    milliseconds dispatchPollInterval { 20 }; ///< between requests for that verdict
+    /// A started stream that finds no target, or no retry in the budget, is retried at this interval.
     milliseconds streamRetryInterval { 150 };
-    /// until its caller disconnects, usually after 2 s without an event, or this long after the last event.
+    /// These retries end when the caller disconnects, usually after 2 s without an event, or this long after the last
+    /// event.
     milliseconds maxStreamPause { 5000 };
 };
 
@@ -162,7 +163,7 @@
     void onAttemptFailed(attempt_failure how, steady_time now);
     /// @brief The report request of the open attempt has finished.
     /// @param responded whether the first target responded to the report request
-    /// @param faultyAddress of the member that stalls the request; empty: none, or no answer
+    /// @param faultyAddress of the member that stalls the request; empty: none, or no response
     void onReport(bool responded, const std::string& faultyAddress, steady_time now);
     /// @brief A target refuses connections. A silent stream over it moves at once.
     void onUnreachable(const registry::target_incarnation& target, steady_time now);
@@ -215,7 +216,7 @@
     [[nodiscard]] std::string whyNotRetryable(const attempt_end& last, steady_time now);
     /// @brief Starts an attempt as soon as the quarantine permits it.
     void scheduleAttempt(next_attempt next, steady_time now);
-    /// @brief Asks whether the pending attempt may start, and starts it, gives up or keeps waiting.
+    /// @brief Requests the verdict on the pending attempt, and starts it, gives up or continues to wait.
     void tryStartAttempt(steady_time now);
     /// @return verdict on the pending attempt, at another target if its own is taken
     dispatch_verdict requestDispatch(steady_time now);
@@ -229,7 +230,7 @@
     [[nodiscard]] steady_time eventCutoff(steady_time now) const;
     /// @brief Probes and moves a stream without events when due. @return true when it moved
     bool abandonSilentPath(steady_time now);
-    /// @brief Asks the first target which member stalls the request, unless sends to it are throttled.
+    /// @brief Sends a report request to the first target, unless sends to it are throttled.
     void requestReport(steady_time now);
     /// @brief Retries a safe request elsewhere when its response is late. @return true when it moved
     bool abandonSlowTarget(steady_time now);
@@ -272,7 +273,7 @@
     std::optional<attempt_end>
         m_pendingRetry; ///< outcome of the last attempt, while a started stream waits for a target
     steady_time m_retryAt {};
-    std::optional<next_attempt> m_pendingAttempt; ///< selected and taken from the budget, but held by the quarantine
+    std::optional<next_attempt> m_pendingAttempt; ///< selected and taken from the budget, but waiting for a verdict
     steady_time m_dispatchDeadline {}; ///< of the pending attempt
     std::uint32_t m_reportsWithoutResponse = 0;
     std::uint32_t m_emptyReports = 0; ///< reports that named no member
--- a/include/buckthornrail/gateway/quarantine_gate.hpp
+++ b/include/buckthornrail/gateway/quarantine_gate.hpp
@@ -24,7 +24,7 @@
 };
 
 struct quarantine_gate_options {
-    /// A suspect may run without a granted trial when no controller answers for this long: for each request that
+    /// A suspect may run without a granted trial when no controller responds for this long: for each request that
     /// crashes targets there are dozens of suspects that don't.
     milliseconds grantTimeout { 150 };
     /// Delay before a granted trial starts. By then concurrent copies of the request are cancelled, or are known to
--- a/include/buckthornrail/gateway/route_document.hpp
+++ b/include/buckthornrail/gateway/route_document.hpp
@@ -40,8 +40,8 @@
     std::string host;
     std::string pathPrefix; ///< begins and ends with a slash
     request_kind kind = request_kind::Safe;
-    milliseconds timeout { 0 }; ///< from the request's arrival to its final answer
-    milliseconds latencyTarget { 0 }; ///< target for the time to the answer, or to a stream's first event
+    milliseconds timeout { 0 }; ///< from the request's arrival to its final response
+    milliseconds latencyTarget { 0 }; ///< target for the time to the response, or to a stream's first event
     milliseconds eventGapTarget { 0 }; ///< target for the pause between two events of a stream; 0: none
     std::uint32_t priority = 5; ///< 0 is the highest
     std::vector<service_share> services; ///< the sum of the weights is positive
--- a/include/buckthornrail/gateway/route_index.hpp
+++ b/include/buckthornrail/gateway/route_index.hpp
@@ -66,7 +66,7 @@
 private:
     /// Hashes strings and views alike, so that look-ups don't copy.
     struct text_hash {
-        using is_transparent = void; // NOLINT(readability-identifier-naming): the library asks for this name
+        using is_transparent = void; // NOLINT(readability-identifier-naming): the standard library requires this name
         std::size_t operator()(std::string_view text) const { return std::hash<std::string_view>()(text); }
     };
 
--- a/include/buckthornrail/gateway/target_pool.hpp
+++ b/include/buckthornrail/gateway/target_pool.hpp
@@ -137,13 +137,13 @@
     /// @brief Records a latency of a stream over a path. Targets on paths that are slower than expected, relative to
     /// all other paths, cost more for a while.
     void recordLatency(const selection& selected, latency_kind kind, double ms, steady_time now);
-    /// @brief The target answered. @param responseMs time to the answer, used for targets without layers
+    /// @brief The target responded. @param responseMs time to the response, used for targets without layers
     void succeeded(const registry::target_incarnation& id, double responseMs);
     /// @brief The target failed an attempt.
     void failed(const registry::target_incarnation& id);
     /// @brief Records the flow control signals of a response.
     /// @param absenceMeansNone whether a response without a limit means that there is none
-    /// @param sentAt when the request that it answers was sent
+    /// @param sentAt when the request that it responds to was sent
     /// @return the change of the target's limit, if it changed
     std::optional<limit_change> recordPushback(const registry::target_incarnation& id, const target_pushback& pushback,
         bool absenceMeansNone, steady_time sentAt, steady_time now);
--- a/src/buckthornrail/gateway/exchange.cpp
+++ b/src/buckthornrail/gateway/exchange.cpp
@@ -9,8 +9,7 @@
 namespace buckthornrail::gateway {
 namespace {
 
-/// Statuses that state that a request was not executed. Only a response with the target's marker header is trusted to
-/// mean it.
+/// Statuses that imply that a request was not executed, trusted only in a response with the target's marker header.
 constexpr std::array notExecutedStatuses { 408, 421, 429, 503 };
 constexpr int firstServerErrorStatus = 500;
 constexpr int firstNonSuccessStatus = 300;
--- a/src/buckthornrail/gateway/exchange_stream_test.cpp
+++ b/src/buckthornrail/gateway/exchange_stream_test.cpp
@@ -114,14 +114,14 @@
         CHECK(bench.port.target == "w");
         CHECK(bench.port.resumeAfter == 1U);
     }
-    SECTION("none does, and the caller waits longer than most")
+    SECTION("no target comes back, and the caller waits longer than most")
     {
         for (int i = 2; (i + 1) * 150 < 1000; ++i) { // with less time left no attempt is started
             call.onTimer(zero + milliseconds(150 * i));
             CHECK(bench.port.outcome.empty());
         }
     }
-    SECTION("none does until its deadline")
+    SECTION("no target comes back until the deadline")
     {
         for (int i = 2; i < 20 && bench.port.outcome.empty(); ++i)
             call.onTimer(zero + milliseconds(150 * i));
@@ -254,7 +254,7 @@
     CHECK(bench.port.attempts == 1);
 }
 
-TEST_CASE("exchange: a stream leaves a first target that answers no report requests", "[exchange]")
+TEST_CASE("exchange: a stream leaves a first target that doesn't respond to report requests", "[exchange]")
 {
     exchange_bench bench(request_kind::Stream, true, true);
     auto call = bench.make();
@@ -262,7 +262,7 @@
     call.onSent(zero);
     call.onTimer(zero + milliseconds(250));
     call.onReport(false, "", zero + milliseconds(450));
-    CHECK(bench.port.attempts == 1); // a single unanswered report request may be a coincidence
+    CHECK(bench.port.attempts == 1); // a single report request without a response may be a coincidence
     call.onTimer(zero + milliseconds(450));
     call.onReport(false, "", zero + milliseconds(650));
     CHECK(bench.port.attempts == 2);
--- a/src/buckthornrail/gateway/heavy_load_test.cpp
+++ b/src/buckthornrail/gateway/heavy_load_test.cpp
@@ -139,7 +139,7 @@
         CHECK(bench.port.errorCode == result_code::Busy);
         CHECK(bench.port.errorRan == ran_state::No);
     }
-    SECTION("as full, but with one gateway per domain: the excess is freed within half a second")
+    SECTION("equally full, but with one gateway per domain: the excess is freed within half a second")
     {
         bench.pool.setOtherGateways(3, 40);
         bench.pool.setOtherGatewayLoads(
--- a/src/buckthornrail/gateway/quarantine_gate_test.cpp
+++ b/src/buckthornrail/gateway/quarantine_gate_test.cpp
@@ -81,7 +81,7 @@
     }
 }
 
-TEST_CASE("crash watch: an attempt that had run for a while, or was over, awaits no verdict", "[crash]")
+TEST_CASE("crash watch: an attempt that had run for a while, or was over, awaits no target state", "[crash]")
 {
     crash_watch watch;
     watch.onAttemptOpened(1, { partAt("a", "a:1") }, zero);
@@ -135,12 +135,12 @@
         CHECK(gate.requestDispatch(1, fingerprintWith(1), "b", zero + milliseconds(200)) == dispatch_verdict::Wait);
         CHECK(gate.hasUnsentChanges()); // claimed again
     }
-    SECTION("no controller answers: a suspect runs, as most suspects crash nothing")
+    SECTION("no controller responds: a suspect runs, as most suspects crash nothing")
     {
         CHECK(gate.requestDispatch(1, fingerprintWith(1), "b", zero + milliseconds(149)) == dispatch_verdict::Wait);
         CHECK(gate.requestDispatch(1, fingerprintWith(1), "b", zero + milliseconds(150)) == dispatch_verdict::Go);
     }
-    SECTION("no controller answers: a held request keeps waiting")
+    SECTION("no controller responds: a held request continues to wait")
     {
         gate.applyDelta(deltaWith(2, fingerprintWith(1), quarantine_stage::Held));
         CHECK(gate.requestDispatch(1, fingerprintWith(1), "b", zero) == dispatch_verdict::Wait);
--- a/src/buckthornrail/gateway/route_document.cpp
+++ b/src/buckthornrail/gateway/route_document.cpp
@@ -24,7 +24,7 @@
 tl::expected<void, failure> checkRoute(const route& route, const std::set<std::string_view>& services)
 {
     if (route.timeout.count() <= 0)
-        return invalid("route " + route.name + " leaves no time to answer");
+        return invalid("route " + route.name + ": the timeout must be positive");
     if (totalWeight(route) == 0)
         return invalid("route " + route.name + ": the weights add up to 0");
     for (const auto& share : route.services) {
@@ -46,7 +46,7 @@
         if (auto checked = checkRoute(route, services); !checked)
             return checked;
         if (!places.emplace(route.host, route.pathPrefix).second)
-            return invalid("route " + route.name + " shares its host and prefix with another one");
+            return invalid("route " + route.name + " shares its host and prefix with another route");
     }
     std::map<std::string_view, std::string_view> workspaceOfKey;
     for (const auto& workspace : document.workspaces) {
--- a/src/buckthornrail/gateway/routing_test.cpp
+++ b/src/buckthornrail/gateway/routing_test.cpp
@@ -84,7 +84,7 @@
 
 } // namespace
 
-TEST_CASE("document: each fault is rejected with its reason", "[gateway]")
+TEST_CASE("document: each error is rejected with its reason", "[gateway]")
 {
     REQUIRE(checkDocument(validDocument()));
     const auto reasonOf = [](auto&& corrupt) {
@@ -102,7 +102,8 @@
         d.routes[0].services = { { "s", 0 }, { "t", 0 } };
     }).find("add up to 0")
         != std::string::npos);
-    CHECK(reasonOf([](auto& d) { d.routes[0].timeout = milliseconds(0); }).find("no time") != std::string::npos);
+    CHECK(reasonOf([](auto& d) { d.routes[0].timeout = milliseconds(0); }).find("timeout must be positive")
+        != std::string::npos);
     CHECK(reasonOf([](auto& d) { d.workspaces[1].keys = { "k1" }; }).find("share a key") != std::string::npos);
 }
 
--- a/src/buckthornrail/gateway/target_limit_test.cpp
+++ b/src/buckthornrail/gateway/target_limit_test.cpp
@@ -129,7 +129,7 @@
     CHECK_FALSE(bench.pool.recordPushback(a0, { {}, {} }, true, afterMs(50), afterMs(200)));
     CHECK(bench.pool.limitedCount(afterMs(200)) == 1);
     CHECK_FALSE(bench.pool.recordPushback(
-        a0, { {}, {} }, false, afterMs(160), afterMs(200))); // not an answer of the target itself
+        a0, { {}, {} }, false, afterMs(160), afterMs(200))); // not a response of the target itself
     CHECK_FALSE(
         bench.pool.recordPushback(a0, { {}, {} }, true, afterMs(160), afterMs(200))); // a single one doesn't clear it
     CHECK_FALSE(bench.pool.recordPushback(a0, { 1, {} }, true, afterMs(160), afterMs(210)));
@@ -182,15 +182,15 @@
     CHECK(bench.pool.limitedCount(afterMs(300)) == 1);
 }
 
-// Guards against limits that are ignored in some kinds of answers, such as refusals and failures.
-TEST_CASE("target limit: it is read from any answer of the target", "[target_limit]")
+// Guards against limits that are ignored in some kinds of responses, such as refusals and failures.
+TEST_CASE("target limit: it is read from any response of the target", "[target_limit]")
 {
     exchange_bench bench(request_kind::Safe, false, false);
     auto call = bench.make();
     call.start(zero);
     call.onSent(zero);
     auto response = GENERATE(responseWithLimit(200, 4), responseWithLimit(500, 4), responseWithLimit(404, 4));
-    SECTION("answer of the service") { }
+    SECTION("response of the service") { }
     SECTION("refusal")
     {
         response = refusal();
--- a/src/buckthornrail/gateway/target_pool.cpp
+++ b/src/buckthornrail/gateway/target_pool.cpp
@@ -11,7 +11,7 @@
 constexpr double bytesPerMb = 1e6;
 /// Weight of a new sample in a target's moving averages: about the last ten samples count.
 constexpr double newestWeight = 0.2;
-/// Assumed for a target that hasn't answered yet, so that it is tried alongside known ones.
+/// Assumed for a target that hasn't responded yet, so that it is tried alongside known ones.
 constexpr double defaultResponseMs = 10;
 /// Weight of a new latency sample of a path in the slowdown of its targets.
 constexpr double slowdownWeight = 0.3;
--- a/src/buckthornrail/gateway/target_pool_limits.cpp
+++ b/src/buckthornrail/gateway/target_pool_limits.cpp
@@ -70,7 +70,7 @@
     auto& limit = found->second.limit;
     if (!pushback.requestsPerSecond) {
         const bool reportsNoLimit = absenceMeansNone && pushback.unreadable.empty() && isLimited(found->second, now);
-        // A request sent before the limit was received may have been answered before the target set the limit.
+        // The response to a request sent before the limit was received may predate the limit.
         if (!reportsNoLimit || sentAt <= limit->confirmedAt || ++limit->responsesWithoutLimit < responsesToClear)
             return std::nullopt;
     }
--- a/src/buckthornrail/gateway/target_pool_load.cpp
+++ b/src/buckthornrail/gateway/target_pool_load.cpp
@@ -109,7 +109,7 @@
     return 1 + m_othersOpenAttempts / std::max(static_cast<double>(m_openAttempts), 1.0);
 }
 
-/// The caller names an upper bound that few answers come near, so the service's typical answer length caps it.
+/// The caller names an upper bound that few outputs come near, so the service's usual output length caps it.
 double target_pool::expectedTokens(const pool_target& target, const request_size& size) const
 {
     const auto engine = m_engines.find(target.record.service);
--- a/tests/support/exchange_bench.hpp
+++ b/tests/support/exchange_bench.hpp
@@ -75,7 +75,7 @@
 private:
     void end(const std::string& how)
     {
-        CHECK(outcome.empty()); // one final answer
+        CHECK(outcome.empty()); // one final response
         CHECK_FALSE(isOpen);
         outcome = how;
     }
