--- a/include/buckthornrail/gateway/route_document.hpp
+++ b/include/buckthornrail/gateway/route_document.hpp
@@ -40,8 +40,8 @@
     std::string host;
     std::string pathPrefix; ///< begins and ends with a slash
     request_kind kind = request_kind::Safe;
-    milliseconds timeout { 0 }; ///< from the request's arrival to its final answer
-    milliseconds latencyTarget { 0 }; ///< target for the time to the answer, or to a stream's first event
+    milliseconds timeout { 0 }; ///< from the request's arrival to its final response
+    milliseconds latencyTarget { 0 }; ///< target for the time to the response, or to a stream's first event
     milliseconds eventGapTarget { 0 }; ///< target for the pause between two events of a stream; 0: none
     std::uint32_t priority = 5; ///< 0 is the highest
     std::vector<service_share> services; ///< the sum of the weights is positive
@@ -70,7 +70,7 @@
     std::uint32_t stepsPerPass = 1; ///< tokens that an engine generates for each sequence before it admits new work
     double prefillTokensPerSecond = 0; ///< over all layers with prefillFactor 1; 0: not known
     double usualPromptTokens = 0;
-    double usualAnswerTokens = 0;
+    double usualOutputTokens = 0;
     double loadSeconds = 0; ///< time to load all layers
     double activationBytes = 0; ///< size of a token's activations between two targets
     double linkMbps = 0; ///< bandwidth of the shared link between two failure domains; 0: unlimited
--- a/src/buckthornrail/gateway/exchange_stream_test.cpp
+++ b/src/buckthornrail/gateway/exchange_stream_test.cpp
@@ -47,7 +47,7 @@
     beginStream(call);
     call.onEvent("1", 1, zero);
     call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
-    CHECK(bench.port.outcome == "broken off");
+    CHECK(bench.port.outcome == "aborted");
 }
 
 TEST_CASE("exchange: a stream stalled by a member moves to a path without it", "[exchange]")
@@ -114,18 +114,18 @@
         CHECK(bench.port.target == "w");
         CHECK(bench.port.resumeAfter == 1U);
     }
-    SECTION("none does, and the caller waits longer than most")
+    SECTION("no target comes back, and the caller waits longer than most")
     {
-        for (int at = 2; (at + 1) * 150 < 1000; ++at) { // with less time left no attempt is started
-            call.onTimer(zero + milliseconds(150 * at));
+        for (int i = 2; (i + 1) * 150 < 1000; ++i) { // with less time left no attempt is started
+            call.onTimer(zero + milliseconds(150 * i));
             CHECK(bench.port.outcome.empty());
         }
     }
-    SECTION("none does until its deadline")
+    SECTION("no target comes back until the deadline")
     {
-        for (int at = 2; at < 20 && bench.port.outcome.empty(); ++at)
-            call.onTimer(zero + milliseconds(150 * at));
-        CHECK(bench.port.outcome == "broken off");
+        for (int i = 2; i < 20 && bench.port.outcome.empty(); ++i)
+            call.onTimer(zero + milliseconds(150 * i));
+        CHECK(bench.port.outcome == "aborted");
     }
 }
 
@@ -137,7 +137,7 @@
     beginStream(call);
     call.onEvent("1", 1, zero);
     call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
-    for (int at = 0; at < 30 && bench.port.isOpen; ++at) {
+    for (int i = 0; i < 30 && bench.port.isOpen; ++i) {
         call.onSent(zero);
         call.onHead(refusal(), zero);
     }
@@ -153,25 +153,25 @@
     exchange_bench bench(request_kind::Stream, true, true);
     auto call = bench.make();
     call.start(zero);
-    std::set<std::string> ranAt;
+    std::set<std::string> ranOn;
     std::uint64_t next = 1;
     const auto runAndBreak = [&] {
         beginStream(call);
         call.onEvent("e", next++, zero);
-        ranAt.insert(bench.port.target);
+        ranOn.insert(bench.port.target);
         call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
     };
     runAndBreak();
-    bench.setState(*ranAt.begin(), registry::target_state::Draining);
-    while (ranAt.size() < 2)
+    bench.setState(*ranOn.begin(), registry::target_state::Draining);
+    while (ranOn.size() < 2)
         runAndBreak();
     REQUIRE(bench.port.isOpen);
-    CHECK(ranAt.contains(bench.port.target));
+    CHECK(ranOn.contains(bench.port.target));
     const std::string third = *std::find_if(
-        bench.firsts.begin(), bench.firsts.end(), [&](const std::string& id) { return !ranAt.contains(id); });
+        bench.firsts.begin(), bench.firsts.end(), [&](const std::string& id) { return !ranOn.contains(id); });
     SECTION("both drain")
     {
-        for (const auto& id : ranAt)
+        for (const auto& id : ranOn)
             bench.setState(id, registry::target_state::Draining);
         call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
         CHECK_FALSE(bench.port.isOpen); // it waits and uses no third target
@@ -179,7 +179,7 @@
     }
     SECTION("both announced that they are gone, but may still serve")
     {
-        for (const auto& id : ranAt)
+        for (const auto& id : ranOn)
             bench.setState(id, registry::target_state::Gone);
         call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
         CHECK_FALSE(bench.port.isOpen);
@@ -188,7 +188,7 @@
     SECTION("both have ended: connections are refused")
     {
         call.onSent(zero);
-        for (const auto& id : ranAt) {
+        for (const auto& id : ranOn) {
             bench.setState(id, registry::target_state::Gone);
             bench.pool.markEnded(id + ":1");
         }
@@ -205,14 +205,14 @@
     exchange_bench bench(request_kind::Stream, true, true);
     auto call = bench.make();
     call.start(zero);
-    std::set<std::string> ranAt;
+    std::set<std::string> ranOn;
     auto now = zero;
     const auto runAndFallSilent = [&] {
         call.onSent(now);
         call.onHead(authenticResponse(200, true), now);
-        call.onEvent("e", ranAt.size() + 1, now);
+        call.onEvent("e", ranOn.size() + 1, now);
         const std::string first = bench.port.target;
-        ranAt.insert(first);
+        ranOn.insert(first);
         now += milliseconds(100);
         bench.pool.markUnresponsive(first + ":1");
         call.onUnreachable(first, now);
@@ -220,20 +220,20 @@
     runAndFallSilent();
     REQUIRE(bench.port.attempts == 2);
     runAndFallSilent();
-    REQUIRE(ranAt.size() == 2);
+    REQUIRE(ranOn.size() == 2);
     for (const auto& target : bench.port.targets)
-        CHECK(ranAt.contains(target));
+        CHECK(ranOn.contains(target));
     SECTION("its heartbeats have stopped too: it has ended")
     {
-        for (const auto& id : ranAt)
+        for (const auto& id : ranOn)
             bench.setState(id, registry::target_state::Lost);
         call.onAttemptFailed(attempt_failure::ConnectionLost, now);
-        CHECK_FALSE(ranAt.contains(bench.port.target));
+        CHECK_FALSE(ranOn.contains(bench.port.target));
     }
     SECTION("its heartbeats continue: it is alive")
     {
         call.onAttemptFailed(attempt_failure::ConnectionLost, now);
-        CHECK(ranAt.contains(bench.port.target));
+        CHECK(ranOn.contains(bench.port.target));
     }
 }
 
@@ -243,9 +243,9 @@
     auto call = bench.make();
     call.start(zero);
     beginStream(call);
-    for (std::uint64_t at = 1; at < 10; ++at) {
-        const auto now = zero + milliseconds(40 * at);
-        call.onEvent("e", at, now);
+    for (std::uint64_t i = 1; i < 10; ++i) {
+        const auto now = zero + milliseconds(40 * i);
+        call.onEvent("e", i, now);
         call.onTimer(now + milliseconds(39));
     }
     call.onTimer(zero + milliseconds(620));
@@ -254,7 +254,7 @@
     CHECK(bench.port.attempts == 1);
 }
 
-TEST_CASE("exchange: a stream leaves a first target that answers no report requests", "[exchange]")
+TEST_CASE("exchange: a stream leaves a first target that doesn't respond to report requests", "[exchange]")
 {
     exchange_bench bench(request_kind::Stream, true, true);
     auto call = bench.make();
@@ -262,7 +262,7 @@
     call.onSent(zero);
     call.onTimer(zero + milliseconds(250));
     call.onReport(false, "", zero + milliseconds(450));
-    CHECK(bench.port.attempts == 1); // a single unanswered report request may be a coincidence
+    CHECK(bench.port.attempts == 1); // a single report request without a response may be a coincidence
     call.onTimer(zero + milliseconds(450));
     call.onReport(false, "", zero + milliseconds(650));
     CHECK(bench.port.attempts == 2);
@@ -273,7 +273,7 @@
     exchange_bench bench(request_kind::Stream, true, true);
     auto call = bench.make();
     call.start(zero);
-    for (int at = 0; at < 10 && bench.port.outcome.empty(); ++at) {
+    for (int i = 0; i < 10 && bench.port.outcome.empty(); ++i) {
         beginStream(call);
         call.onAttemptFailed(attempt_failure::ConnectionLost, zero);
     }
@@ -361,7 +361,7 @@
     call.start(zero);
     beginStream(call);
     auto now = zero;
-    for (int at = 0; at < 20; ++at) {
+    for (int i = 0; i < 20; ++i) {
         now += gap;
         call.onEvent("e", std::nullopt, now);
     }
