--- a/src/buckthornrail/link/link_hub_test.cpp
+++ b/src/buckthornrail/link/link_hub_test.cpp
@@ -1,8 +1,8 @@
 /// @file
 /// @brief Open timeouts of links, and chunked messages over slow ones.
 #include "buckthornrail/link/link_hub.hpp"
-#include "support/mute_listener.hpp"
 #include "support/relay.hpp"
+#include "support/unresponsive_listener.hpp"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck/catch.h>
@@ -14,7 +14,7 @@
 {
     constexpr milliseconds openTimeout { 50 };
     constexpr milliseconds runTime { 600 };
-    const test_support::mute_listener mute;
+    const test_support::unresponsive_listener unresponsive;
     event_loop loop;
     std::vector<channel_number> closed;
     std::vector<channel_number> opened;
@@ -33,7 +33,7 @@
     channel_number dead = 0;
     channel_number alive = 0;
     loop.post([&] {
-        dead = hub.dial(mute.address());
+        dead = hub.dial(unresponsive.address());
         alive = hub.dial("127.0.0.1:" + std::to_string(port));
     });
     loop.runAt(boot_clock::now() + runTime, [&loop] { loop.stop(); });
--- a/src/buckthornrail/net/reachability_test.cpp
+++ b/src/buckthornrail/net/reachability_test.cpp
@@ -1,13 +1,13 @@
 /// @file
 /// @brief Probes of addresses that accept connections, refuse them or don't respond, and watched addresses that close.
 #include "buckthornrail/net/reachability.hpp"
-#include "support/mute_listener.hpp"
+#include "support/unresponsive_listener.hpp"
 
 #include <catch2/catch.hpp>
 
 using namespace buckthornrail;
 using namespace buckthornrail::net;
-using test_support::mute_listener;
+using test_support::unresponsive_listener;
 
 namespace {
 
@@ -40,7 +40,7 @@
 
 TEST_CASE("reachability: an open address is not reported, and not probed again while its result is cached", "[net]")
 {
-    const mute_listener open;
+    const unresponsive_listener open;
     probe_fixture fixture;
     fixture.run(runTime, [&] {
         fixture.prober.probe(open.address());
@@ -52,7 +52,7 @@
 
 TEST_CASE("reachability: a port without a listener is reported for every call, with one probe", "[net]")
 {
-    mute_listener ended;
+    unresponsive_listener ended;
     const auto address = ended.address();
     ended.stop();
     probe_fixture fixture;
@@ -66,8 +66,8 @@
 
 TEST_CASE("reachability: an address that doesn't respond to a SYN is silent", "[net]")
 {
-    mute_listener full(0);
-    full.fill();
+    unresponsive_listener full(0);
+    full.fillBacklog();
     probe_fixture fixture;
     fixture.run(runTime, [&] { fixture.prober.probe(full.address()); });
     CHECK(fixture.results == std::vector<probe_result> { { full.address(), reachability::Silent } });
@@ -75,7 +75,7 @@
 
 TEST_CASE("reachability: the end of a watched process is reported without a call of probe()", "[net]")
 {
-    mute_listener watched;
+    unresponsive_listener watched;
     probe_fixture fixture;
     fixture.run(runTime, [&] {
         fixture.prober.watch(watched.address());
--- a/tests/demo/fleet_demo.cpp
+++ b/tests/demo/fleet_demo.cpp
@@ -35,13 +35,13 @@
 std::string streamPath() { return "/stream/n" + std::to_string(events); }
 
 /// @brief A stream that is under way.
-std::future<caller_answer> beginStream(gateway_world& world, const std::string& gateway, const std::string& id)
+std::future<caller_response> beginStream(gateway_world& world, const std::string& gateway, const std::string& id)
 {
     return std::async(
         std::launch::async, [&world, gateway, id] { return world.call(gateway, "POST", streamPath(), id, patience); });
 }
 
-void showWhole(const std::string& id, const caller_answer& answer)
+void showWhole(const std::string& id, const caller_response& answer)
 {
     require(answer.body == gateway_world::streamBody(streamPath(), events), id + " did not get its whole answer");
     std::cout << "  " << id << ": " << events << " events, each once and in order\n";
@@ -51,7 +51,7 @@
 {
     std::cout << "  leader " << world.leader() << "; sessions";
     for (const auto& name : world.registries())
-        std::cout << "  " << name << " " << world.sessionsAt(name);
+        std::cout << "  " << name << " " << world.sessionCount(name);
     std::cout << "\n";
 }
 
@@ -84,7 +84,7 @@
         << "== three registries, three gateways, 12 targets with layers in three failure domains, a plain service\n";
     const auto isSpread = [&world] {
         return std::all_of(world.registries().begin(), world.registries().end(),
-            [&world](const auto& name) { return world.sessionsAt(name) == 1; });
+            [&world](const auto& name) { return world.sessionCount(name) == 1; });
     };
     require(waitUntil(isSpread, patience), "sessions did not spread over the registries");
     showSessions(world);
@@ -102,8 +102,7 @@
     stream = beginStream(world, world.gateways()[1], "demo-leader-killed");
     const std::string leader = world.leader();
     world.killHard(leader);
-    require(
-        waitUntil([&] { return world.publishAnywhere(2, "changed") == 200; }, patience), "no registry took a change");
+    require(waitUntil([&] { return world.publishToAny(2, "changed") == 200; }, patience), "no registry took a change");
     for (const auto& gateway : world.gateways()) {
         const std::string id = "demo-changed-" + gateway;
         require(waitUntil([&] { return world.call(gateway, "GET", "/changed/x", id).status == 200; }, seconds(2)),
--- a/tests/gateway_process_test.cpp
+++ b/tests/gateway_process_test.cpp
@@ -40,9 +40,9 @@
         INFO(gateway);
         const auto stream = world.call(gateway, "POST", "/stream/n20", "s-" + gateway);
         CHECK(stream.status == 200);
-        CHECK(stream.isWhole);
+        CHECK(stream.isComplete);
         CHECK(stream.body == gateway_world::streamBody("/stream/n20", 20));
-        CHECK(stream.stamp.starts_with("stamp.i-"));
+        CHECK(stream.serverStamp.starts_with("stamp.i-"));
         const auto plain = world.call(gateway, "POST", "/unsafe/a?b=c", "u-" + gateway);
         CHECK(plain.status == 200);
         CHECK(plain.body == stand_in_fleet::plainBody("/unsafe/a?b=c"));
@@ -72,7 +72,7 @@
     gateway_world world;
     REQUIRE(world.start());
     for (const bool silent : { false, true }) {
-        std::vector<caller_answer> results(8);
+        std::vector<caller_response> results(8);
         std::vector<std::thread> callers;
         for (std::size_t at = 0; at < results.size(); ++at) {
             callers.emplace_back([&, at] {
@@ -92,7 +92,7 @@
         for (const auto& result : results) {
             INFO((silent ? "silent" : "crashed"));
             CHECK(result.status == 200);
-            CHECK(result.isWhole);
+            CHECK(result.isComplete);
             CHECK(result.body == gateway_world::streamBody("/stream/n150", 150));
         }
         world.fleet().restart(victim);
@@ -128,7 +128,7 @@
     gateway_world world;
     REQUIRE(world.start());
     const std::string gateway = world.gateways()[0];
-    std::vector<caller_answer> results(6);
+    std::vector<caller_response> results(6);
     std::vector<std::thread> callers;
     for (std::size_t at = 0; at < results.size(); ++at) {
         callers.emplace_back([&, at] {
@@ -157,7 +157,7 @@
     std::thread longCall([&] { world.call(gateway, "POST", "/stream/n900", "long", seconds(9)); });
     std::this_thread::sleep_for(milliseconds(300));
     world.signal(gateway, SIGTERM);
-    caller_answer refused;
+    caller_response refused;
     int number = 0;
     CHECK(waitUntil(
         [&] {
@@ -165,8 +165,8 @@
             return refused.status == 503;
         },
         seconds(6)));
-    REQUIRE_FALSE(refused.comeBack.empty());
-    CHECK(std::stod(refused.comeBack) >= minRetryAfter);
+    REQUIRE_FALSE(refused.retryAfter.empty());
+    CHECK(std::stod(refused.retryAfter) >= minRetryAfter);
     longCall.join();
     CHECK(world.waitForExit(gateway, seconds(9)) == 0);
 }
@@ -177,7 +177,7 @@
     gateway_world world;
     REQUIRE(world.start());
     std::uint64_t version = 10;
-    const auto publishes = [&] { return world.publishAnywhere(version, "v" + std::to_string(version)) == 200; };
+    const auto publishes = [&] { return world.publishToAny(version, "v" + std::to_string(version)) == 200; };
     const auto isInForceEverywhere = [&] {
         for (const auto& gateway : world.gateways()) {
             if (!answersWith(world, gateway, "v" + std::to_string(version), 200))
@@ -263,8 +263,8 @@
     gateway_world world;
     world.loseDisk(world.registries()[1]); // so that it doesn't bootstrap a log of its own
     world.startProcess(world.registries()[1]);
-    REQUIRE(waitUntil([&] { return world.announceTo(world.registries()[1]) != 0; }, waitTimeout));
-    CHECK(world.announceTo(world.registries()[1]) == 503);
+    REQUIRE(waitUntil([&] { return world.announceUnreachableTarget(world.registries()[1]) != 0; }, waitTimeout));
+    CHECK(world.announceUnreachableTarget(world.registries()[1]) == 503);
 }
 
 TEST_CASE("registry: a target that stops announcing itself but answers probes is not lost", "[gateway_process]")
@@ -286,7 +286,7 @@
     gateway_world world(1);
     REQUIRE(world.start());
     const std::string gateway = world.gateways()[0];
-    caller_answer result;
+    caller_response result;
     std::thread caller([&] { result = world.call(gateway, "POST", "/stream/n100", "h-1"); });
     std::this_thread::sleep_for(milliseconds(200));
     world.signal(gateway, SIGHUP);
--- a/tests/incident_crashing_request_test.cpp
+++ b/tests/incident_crashing_request_test.cpp
@@ -56,7 +56,7 @@
     ~retrying_caller() { stop(); }
 
     /// @return the answers, in order
-    const std::vector<caller_answer>& stop()
+    const std::vector<caller_response>& stop()
     {
         m_isStopping = true;
         if (m_thread.joinable())
@@ -80,7 +80,7 @@
     std::string m_method;
     std::string m_path;
     std::atomic<bool> m_isStopping { false };
-    std::vector<caller_answer> m_answers;
+    std::vector<caller_response> m_answers;
     std::thread m_thread;
 };
 
@@ -99,7 +99,7 @@
     static int number = 0;
     return std::all_of(world.gateways().begin(), world.gateways().end(), [&world](const auto& gateway) {
         const auto answer = world.call(gateway, "POST", "/stream/n5", "well-" + std::to_string(++number));
-        return answer.isWhole && answer.body == gateway_world::streamBody("/stream/n5", 5);
+        return answer.isComplete && answer.body == gateway_world::streamBody("/stream/n5", 5);
     });
 }
 
@@ -121,7 +121,7 @@
         REQUIRE(answers.size() > 5);
         // A final answer without a time to retry.
         CHECK(answers.back().status == 400);
-        CHECK(answers.back().comeBack.empty());
+        CHECK(answers.back().retryAfter.empty());
     }
     checkCrashes(world, path);
     CHECK(waitUntil([&] { return allGatewaysServe(world); }, waitTimeout));
@@ -206,7 +206,8 @@
     std::this_thread::sleep_for(seconds(1));
     for (auto& caller : callers) {
         const auto& answers = caller->stop();
-        const auto isServed = [&body](const auto& one) { return one.isWhole && one.status == 200 && one.body == body; };
+        const auto isServed
+            = [&body](const auto& one) { return one.isComplete && one.status == 200 && one.body == body; };
         // Refused only for a short time, and never with a final answer.
         CHECK(std::none_of(answers.begin(), answers.end(), [](const auto& one) { return one.status == 400; }));
         CHECK(isServed(answers.back()));
@@ -235,18 +236,18 @@
         const auto& answers = caller->stop();
         // Streams that lost their target have continued on other targets.
         CHECK(std::all_of(answers.begin(), answers.end(), [](const auto& one) { return one.status != 400; }));
-        CHECK((answers.back().isWhole && answers.back().status == 200));
+        CHECK((answers.back().isComplete && answers.back().status == 200));
     }
     checkCrashes(world, path);
     const std::string registry = world.registries().front();
-    const auto list = world.control(registry, "GET", "/quarantine");
+    const auto list = world.callRegistry(registry, "GET", "/quarantine");
     CHECK(list.body.find("\"stage\":\"proven\"") != std::string::npos);
     const auto at = list.body.find("\"fingerprint\":\"");
     REQUIRE(at != std::string::npos);
-    CHECK(world.control(registry, "DELETE", "/quarantine/nonsense").status == 400);
-    CHECK(world.control(registry, "DELETE", "/quarantine/" + std::string(32, '0')).status == 404);
-    CHECK(world.control(registry, "DELETE", "/quarantine/all").status == 200);
-    CHECK(world.control(registry, "GET", "/quarantine").body == R"({"requests":[]})");
+    CHECK(world.callRegistry(registry, "DELETE", "/quarantine/nonsense").status == 400);
+    CHECK(world.callRegistry(registry, "DELETE", "/quarantine/" + std::string(32, '0')).status == 404);
+    CHECK(world.callRegistry(registry, "DELETE", "/quarantine/all").status == 200);
+    CHECK(world.callRegistry(registry, "GET", "/quarantine").body == R"({"requests":[]})");
     const std::size_t before = crashCount(world, path);
     REQUIRE(waitUntil([&] { return allGatewaysServe(world); }, waitTimeout));
     sendToAllGateways(world, "POST", path, 1);
--- a/tests/incident_large_change_test.cpp
+++ b/tests/incident_large_change_test.cpp
@@ -27,7 +27,7 @@
 {
     document_options options;
     options.extraRoute = extraRoute;
-    options.fillers = 1400; // 280 KB
+    options.fillerRoutes = 1400; // 280 KB
     return options;
 }
 
@@ -36,8 +36,8 @@
 {
     document_options options;
     options.extraRoute = extraRoute;
-    options.fillers = 800;
-    options.fillerLength = 320;
+    options.fillerRoutes = 800;
+    options.fillerPathLength = 320;
     return options;
 }
 
--- a/tests/incident_named_limit_test.cpp
+++ b/tests/incident_named_limit_test.cpp
@@ -3,8 +3,8 @@
 ///
 /// Targets with limits of 1.7 and 11.5 requests per second got 17 and 103 requests within 4 s; 15 and 74 are allowed.
 /// Gateways ignored the limits in the answers of targets, and no limit was shared by all gateways.
-#include "support/busy_callers.hpp"
-#include "support/limit_promise.hpp"
+#include "support/continuous_callers.hpp"
+#include "support/rate_limit_bounds.hpp"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -30,9 +30,9 @@
 /// Checks that a target got no more requests than its limit allows; keeps the logs otherwise.
 void checkLimitKept(gateway_world& world, std::size_t target, double perSecond, clock_type::time_point from)
 {
-    const auto maxArrivals = mostInWindow(world.fleet().arrivalsAt(target), from);
-    CHECK(static_cast<double>(maxArrivals) <= allowedUnder(perSecond));
-    if (static_cast<double>(maxArrivals) > allowedUnder(perSecond))
+    const auto maxArrivals = peakRequestsPerWindow(world.fleet().arrivalsAt(target), from);
+    CHECK(static_cast<double>(maxArrivals) <= maxRequestsPerWindow(perSecond));
+    if (static_cast<double>(maxArrivals) > maxRequestsPerWindow(perSecond))
         WARN("logs: " << world.keepFolder());
 }
 
@@ -47,15 +47,15 @@
     gateway_world world(gatewayCount);
     REQUIRE(world.start());
     const auto target = world.plainTargets().front();
-    busy_callers callers(world, "GET", "/safe/x");
+    continuous_callers callers(world, "GET", "/safe/x");
     std::this_thread::sleep_for(seconds(1));
     world.fleet().setLimit(target, limit);
     const auto limitSetAt = clock_type::now();
-    std::this_thread::sleep_for(limitSettling + seconds(7));
+    std::this_thread::sleep_for(limitGracePeriod + seconds(7));
     callers.stop();
-    checkLimitKept(world, target, limit, limitSetAt + limitSettling);
+    checkLimitKept(world, target, limit, limitSetAt + limitGracePeriod);
     CHECK(callers.served() > 200);
-    CHECK(callers.others() == 0);
+    CHECK(callers.notServed() == 0);
 }
 
 // Guards against limits that apply only to plain services, and not to streams over paths and their retries.
@@ -63,16 +63,16 @@
 {
     gateway_world world(gatewayCount);
     REQUIRE(world.start());
-    busy_callers callers(world, "POST", "/stream/n3");
+    continuous_callers callers(world, "POST", "/stream/n3");
     std::this_thread::sleep_for(seconds(1));
-    const auto target = busiestFirst(world);
+    const auto target = busiestEngine(world);
     world.fleet().setLimit(target, 1.5);
     const auto limitSetAt = clock_type::now();
-    std::this_thread::sleep_for(limitSettling + seconds(6));
+    std::this_thread::sleep_for(limitGracePeriod + seconds(6));
     callers.stop();
-    checkLimitKept(world, target, 1.5, limitSetAt + limitSettling);
+    checkLimitKept(world, target, 1.5, limitSetAt + limitGracePeriod);
     CHECK(callers.served() > 100);
-    CHECK(callers.others() == 0);
+    CHECK(callers.notServed() == 0);
 }
 
 // Guards against a limit that is lost, or divided among too few gateways, when gateways restart and the leader changes.
@@ -81,11 +81,11 @@
     gateway_world world(gatewayCount);
     REQUIRE(world.start());
     const auto target = world.plainTargets().front();
-    busy_callers callers(world, "GET", "/safe/x");
+    continuous_callers callers(world, "GET", "/safe/x");
     std::this_thread::sleep_for(seconds(1));
     world.fleet().setLimit(target, 2);
     const auto limitSetAt = clock_type::now();
-    std::this_thread::sleep_for(limitSettling);
+    std::this_thread::sleep_for(limitGracePeriod);
     for (const std::size_t at : { 0U, 1U }) {
         world.killHard(world.gateways().at(at));
         world.startProcess(world.gateways().at(at));
@@ -98,7 +98,7 @@
     world.startProcess(leader);
     std::this_thread::sleep_for(seconds(3));
     callers.stop();
-    checkLimitKept(world, target, 2, limitSetAt + limitSettling);
+    checkLimitKept(world, target, 2, limitSetAt + limitGracePeriod);
 }
 
 // Guards against callers that wait, or retry at the same time, when every target is limited.
@@ -106,21 +106,21 @@
 {
     gateway_world world(gatewayCount);
     REQUIRE(world.start());
-    busy_callers callers(world, "GET", "/safe/x");
+    continuous_callers callers(world, "GET", "/safe/x");
     std::this_thread::sleep_for(seconds(1));
     for (const auto target : world.plainTargets())
         world.fleet().setLimit(target, 2);
     const auto limitSetAt = clock_type::now();
-    std::this_thread::sleep_for(limitSettling + seconds(6));
+    std::this_thread::sleep_for(limitGracePeriod + seconds(6));
     callers.stop();
     // Any registry lists the limited targets.
-    const auto listed = world.control(world.registries().back(), "GET", "/pushback").body;
+    const auto listed = world.callRegistry(world.registries().back(), "GET", "/pushback").body;
     for (const auto target : world.plainTargets()) {
-        checkLimitKept(world, target, 2, limitSetAt + limitSettling);
+        checkLimitKept(world, target, 2, limitSetAt + limitGracePeriod);
         CHECK(listed.find("\"" + world.fleet().idOf(target) + "\"") != std::string::npos);
     }
-    CHECK(callers.others() > 0);
-    CHECK(callers.untimed() == 0);
+    CHECK(callers.notServed() > 0);
+    CHECK(callers.refusedWithoutRetryAfter() == 0);
 }
 
 // Guards against limits that still apply after they were withdrawn.
@@ -129,12 +129,12 @@
     gateway_world world(gatewayCount);
     REQUIRE(world.start());
     const auto target = world.plainTargets().front();
-    busy_callers callers(world, "GET", "/safe/x");
+    continuous_callers callers(world, "GET", "/safe/x");
     std::this_thread::sleep_for(seconds(1));
     world.fleet().setLimit(target, 2);
-    std::this_thread::sleep_for(limitSettling);
+    std::this_thread::sleep_for(limitGracePeriod);
     world.fleet().setLimit(target, std::nullopt);
-    std::this_thread::sleep_for(limitSettling);
+    std::this_thread::sleep_for(limitGracePeriod);
     const auto from = clock_type::now();
     std::this_thread::sleep_for(seconds(2));
     callers.stop();
--- a/tests/incident_rest_test.cpp
+++ b/tests/incident_rest_test.cpp
@@ -4,7 +4,7 @@
 /// Within the 3 s that the target named, two gateways sent 7 and 5 requests; two are allowed, from half a second after
 /// the refusal on. Gateways ignored the Retry-After: they used their own backoff, which began at 100 ms, doubled with
 /// each refusal and was reset whenever an earlier stream at the target succeeded.
-#include "support/busy_callers.hpp"
+#include "support/continuous_callers.hpp"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -63,9 +63,9 @@
     CAPTURE(path);
     gateway_world world(1);
     REQUIRE(world.start());
-    busy_callers callers(world, method, path);
+    continuous_callers callers(world, method, path);
     std::this_thread::sleep_for(seconds(1));
-    const auto target = std::string(path) == "/safe/x" ? world.plainTargets().front() : busiestFirst(world);
+    const auto target = std::string(path) == "/safe/x" ? world.plainTargets().front() : busiestEngine(world);
     world.fleet().setRest(target, retryAfter);
     REQUIRE(waitUntil([&] { return world.fleet().restAskedAt(target).has_value(); }, waitTimeout));
     std::this_thread::sleep_for(retryAfter - milliseconds(100));
@@ -77,7 +77,7 @@
     checkAtMost(world, requestsBetween(world, target, refusedAt + inFlightTime, backoffEnd - milliseconds(300)),
         maxDuringBackoff);
     CHECK(requestsBetween(world, target, backoffEnd, backoffEnd + seconds(2)) > 5);
-    CHECK(callers.others() == 0);
+    CHECK(callers.notServed() == 0);
 }
 
 // Guards against a backoff that is reset when an earlier stream succeeds.
@@ -85,9 +85,9 @@
 {
     gateway_world world(1);
     REQUIRE(world.start());
-    busy_callers callers(world, "POST", "/stream/n3");
+    continuous_callers callers(world, "POST", "/stream/n3");
     std::this_thread::sleep_for(seconds(1));
-    const auto target = busiestFirst(world);
+    const auto target = busiestEngine(world);
     std::vector<std::thread> streams;
     for (int events = 40; events <= 360; events += 40) {
         streams.emplace_back([&world, events] {
@@ -113,7 +113,7 @@
     for (const auto target : world.plainTargets())
         world.fleet().setRest(target, retryAfter);
     const auto startedAt = clock_type::now();
-    busy_callers callers(world, "GET", "/safe/x");
+    continuous_callers callers(world, "GET", "/safe/x");
     std::this_thread::sleep_for(retryAfter);
     callers.stop();
     std::ptrdiff_t requests = 0;
@@ -122,8 +122,8 @@
             += requestsBetween(world, target, startedAt + inFlightTime, startedAt + retryAfter - milliseconds(100));
     checkAtMost(world, requests, maxDuringBackoff * static_cast<std::ptrdiff_t>(world.plainTargets().size()));
     CHECK(callers.served() == 0);
-    CHECK(callers.others() > 20);
-    CHECK(callers.untimed() == 0);
+    CHECK(callers.notServed() > 20);
+    CHECK(callers.refusedWithoutRetryAfter() == 0);
 }
 
 // Guards against registries that keep sending orders and probes to a target in backoff, or consider it lost.
@@ -153,14 +153,14 @@
     CAPTURE(path);
     gateway_world world(3);
     REQUIRE(world.start());
-    busy_callers callers(world, method, path);
+    continuous_callers callers(world, method, path);
     std::this_thread::sleep_for(seconds(1));
-    const auto target = std::string(path) == "/safe/x" ? world.plainTargets().front() : busiestFirst(world);
+    const auto target = std::string(path) == "/safe/x" ? world.plainTargets().front() : busiestEngine(world);
     world.fleet().setSaysLeaving(target, true);
     const auto announcedAt = clock_type::now();
     std::this_thread::sleep_for(drainTime + seconds(3));
     callers.stop();
     checkAtMost(world, requestsBetween(world, target, announcedAt + drainTime, clock_type::now()), 0);
-    CHECK(callers.others() == 0);
+    CHECK(callers.notServed() == 0);
     CHECK(world.targetState(world.leader(), world.fleet().idOf(target)) == "draining");
 }
--- a/tests/lost_disk_test.cpp
+++ b/tests/lost_disk_test.cpp
@@ -46,7 +46,7 @@
     for (std::uint64_t round = 0; round < 2; ++round) {
         const std::uint64_t version = 10 + round;
         const std::string route = "extra" + std::to_string(round);
-        REQUIRE(waitUntil([&] { return world.publishAnywhere(version, route) == 200; }, waitTimeout));
+        REQUIRE(waitUntil([&] { return world.publishToAny(version, route) == 200; }, waitTimeout));
         killAll(world);
         world.loseDisk(world.registries()[(firstLost + round) % world.registries().size()]);
         startAll(world);
--- a/tests/session_spread_test.cpp
+++ b/tests/session_spread_test.cpp
@@ -31,7 +31,7 @@
 bool eachRegistryHasOneSession(gateway_world& world)
 {
     const auto& all = world.registries();
-    return std::all_of(all.begin(), all.end(), [&world](const auto& name) { return world.sessionsAt(name) == 1; });
+    return std::all_of(all.begin(), all.end(), [&world](const auto& name) { return world.sessionCount(name) == 1; });
 }
 
 /// @return a registry that is not the leader
@@ -72,7 +72,7 @@
         const std::string nearest = world.addressOf(world.registries()[domain]);
         for (const auto& registry : world.registries())
             CHECK(waitUntil(
-                [&] { return world.answerToRecord(registry, "i-far", record).find(nearest) != std::string::npos; },
+                [&] { return world.responseToRecord(registry, "i-far", record).find(nearest) != std::string::npos; },
                 waitTimeout));
     }
 }
@@ -87,7 +87,10 @@
     const std::string leader = world.leader();
     SECTION("frozen") { world.signal(silent, SIGSTOP); }
     SECTION("its links are cut, and it considers its state current") { world.linkRelay(silent).setSilent(true); }
-    SECTION("it receives nothing, but its messages arrive") { world.linkRelay(silent).setMode(relay_mode::InwardOnly); }
+    SECTION("it receives nothing, but its messages arrive")
+    {
+        world.linkRelay(silent).setMode(relay_mode::DownstreamOnly);
+    }
     REQUIRE(world.publish(2, leader, "two") == 200);
     CHECK(waitUntil([&] { return servesRoute(world, gateway, "two"); }, inForceTimeout));
     world.signal(silent, SIGCONT);
@@ -134,6 +137,6 @@
     world.startProcess(blank);
     CHECK(waitUntil([&] { return servesRoute(world, gateway, "two"); }, inForceTimeout));
     // The gateway returns to the nearest registry.
-    CHECK(waitUntil([&] { return world.sessionsAt(blank) == 1; }, waitTimeout));
+    CHECK(waitUntil([&] { return world.sessionCount(blank) == 1; }, waitTimeout));
     CHECK(servesRoute(world, gateway, "two"));
 }
--- a/tests/soak/callers.hpp
+++ b/tests/soak/callers.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "support/gateway_world.hpp"
-#include "support/kept_caller.hpp"
+#include "support/keep_alive_caller.hpp"
 
 #include <atomic>
 #include <random>
@@ -18,7 +18,7 @@
 struct call_record {
     std::string requestId;
     std::string path;
-    caller_answer answer;
+    caller_response answer;
     std::chrono::steady_clock::time_point answeredAt;
 };
 
@@ -48,7 +48,7 @@
     void run(std::size_t number, std::uint64_t seed)
     {
         std::mt19937_64 random(seed * 100 + number);
-        kept_caller kept(m_world);
+        keep_alive_caller kept(m_world);
         const bool keepsConnections = number % 2 == 0;
         for (std::size_t at = 0; !m_stopping; ++at) {
             const std::string id = "c" + std::to_string(number) + "-" + std::to_string(at);
--- a/tests/soak/judge_call.hpp
+++ b/tests/soak/judge_call.hpp
@@ -23,14 +23,14 @@
     }
     if (answer.status != 200)
         return;
-    if (answer.stamp.empty())
+    if (answer.serverStamp.empty())
         found.broken(what + " bears no target's mark");
     const std::string expected = record.path.starts_with("/stream/")
         ? gateway_world::streamBody(record.path, eventsOf(record.path))
         : stand_in_fleet::plainBody(record.path);
-    const bool isRight = answer.isWhole ? answer.body == expected : expected.starts_with(answer.body);
+    const bool isRight = answer.isComplete ? answer.body == expected : expected.starts_with(answer.body);
     if (!isRight)
-        found.broken(what + (answer.isWhole ? " looks whole and isn't its own" : " begins with other bytes"));
+        found.broken(what + (answer.isComplete ? " looks whole and isn't its own" : " begins with other bytes"));
 }
 
 } // namespace test_support
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -5,7 +5,7 @@
 /// soak --seed N [--seconds S] [--gateways G] [--engines E] [--pushback]. Ends 0 when every promise held; else it
 /// prints what broke and leaves the logs.
 #include "soak/judge_call.hpp"
-#include "support/limit_promise.hpp"
+#include "support/rate_limit_bounds.hpp"
 
 #include <algorithm>
 #include <atomic>
@@ -294,8 +294,8 @@
         const double perSecond = static_cast<double>(1 + m_pushbackRandom() % 50) / 10;
         m_world.fleet().setLimit(target, perSecond);
         begin("target " + std::to_string(target) + " takes " + std::to_string(perSecond) + " a second",
-            limitSettling + milliseconds(2000 + m_pushbackRandom() % 6000),
-            [this, target, perSecond, from = clock_type::now() + limitSettling] {
+            limitGracePeriod + milliseconds(2000 + m_pushbackRandom() % 6000),
+            [this, target, perSecond, from = clock_type::now() + limitGracePeriod] {
                 checkLimit(target, perSecond, from);
                 m_world.fleet().setLimit(target, std::nullopt);
                 m_claimed.erase("pushback" + std::to_string(target));
@@ -304,15 +304,15 @@
 
     void checkLimit(std::size_t target, double perSecond, clock_type::time_point from)
     {
-        const auto most = mostInWindow(m_world.fleet().arrivalsAt(target), from);
-        if (static_cast<double>(most) > allowedUnder(perSecond))
+        const auto most = peakRequestsPerWindow(m_world.fleet().arrivalsAt(target), from);
+        if (static_cast<double>(most) > maxRequestsPerWindow(perSecond))
             m_verdict.broken("target " + std::to_string(target) + " takes " + std::to_string(perSecond)
                 + " a second and got " + std::to_string(most) + " in 4 s");
     }
 
     void harmLink()
     {
-        static constexpr std::array modes { relay_mode::Silent, relay_mode::OutwardOnly, relay_mode::InwardOnly,
+        static constexpr std::array modes { relay_mode::Silent, relay_mode::UpstreamOnly, relay_mode::DownstreamOnly,
             relay_mode::Slow };
         const std::string name = m_world.registries()[m_random() % m_world.registries().size()];
         if (!claim("link" + name))
@@ -340,7 +340,7 @@
     void resetLinks()
     {
         const std::string name = m_world.registries()[m_random() % m_world.registries().size()];
-        m_world.linkRelay(name).resetAll();
+        m_world.linkRelay(name).resetConnections();
         std::cout << "! reset the links of " << name << std::endl;
     }
 
@@ -384,8 +384,8 @@
             document_options options;
             options.extraRoute = "v" + std::to_string(version);
             if (m_random() % 4 == 0) {
-                options.fillers = 500;
-                options.fillerLength = 300; // 100 KB that no compression makes shorter
+                options.fillerRoutes = 500;
+                options.fillerPathLength = 300; // 100 KB that no compression makes shorter
             }
             if (m_world.publish(version, registry, options) == 200)
                 m_acknowledged.emplace_back(clock_type::now(), version);
@@ -416,7 +416,7 @@
         std::size_t number = 0;
         const auto serves = [&](const std::string& gateway) {
             const std::string id = "end-" + gateway + std::to_string(++number);
-            return m_world.call(gateway, "POST", "/stream/" + id + "/n5", id).isWhole
+            return m_world.call(gateway, "POST", "/stream/" + id + "/n5", id).isComplete
                 && m_world.call(gateway, "POST", "/safe/" + id, id + "s").status == 200;
         };
         for (const auto& name : m_world.gateways()) {
--- a/tests/support/gateway_world.cpp
+++ b/tests/support/gateway_world.cpp
@@ -18,8 +18,8 @@
 using nlohmann::json;
 
 constexpr std::size_t seedCount = 3; ///< registries that every process is told of
-constexpr milliseconds startPatience { 20000 };
-constexpr milliseconds controlPatience { 1500 };
+constexpr milliseconds startTimeout { 20000 };
+constexpr milliseconds controlTimeout { 1500 };
 
 json routeOf(const std::string& name, const std::string& prefix, const std::string& kind, const std::string& service)
 {
@@ -36,9 +36,9 @@
     if (!extraRoute.empty())
         routes.push_back(routeOf(extraRoute, "/" + extraRoute + "/", "safe", "app"));
     std::mt19937 letters(1);
-    for (std::size_t at = 0; at < options.fillers; ++at) {
+    for (std::size_t at = 0; at < options.fillerRoutes; ++at) {
         std::string name;
-        while (name.size() < options.fillerLength)
+        while (name.size() < options.fillerPathLength)
             name += static_cast<char>('a' + letters() % 26);
         routes.push_back(routeOf("filler-" + std::to_string(at), "/" + name + "/", "safe", "app"));
     }
@@ -53,8 +53,8 @@
     return document.dump();
 }
 
-http::client_response ask(const std::string& address, const std::string& method, const std::string& path,
-    const std::string& body, std::vector<http::header_field> headers, milliseconds patience)
+http::client_response sendRequest(const std::string& address, const std::string& method, const std::string& path,
+    const std::string& body, std::vector<http::header_field> headers, milliseconds timeout)
 {
     http::client_request request;
     request.address = address;
@@ -63,7 +63,7 @@
     request.body = body;
     request.headers = std::move(headers);
     request.contentType = body.empty() ? "" : "application/json";
-    request.deadline = buckthornrail::boot_clock::now() + patience;
+    request.deadline = buckthornrail::boot_clock::now() + timeout;
     return http::call(request);
 }
 
@@ -168,10 +168,10 @@
             return call(name, "POST", "/stream/n1", id).status == 200;
         });
     };
-    return waitUntil([this] { return publishAnywhere(1) == 200; }, startPatience)
+    return waitUntil([this] { return publishToAny(1) == 200; }, startTimeout)
         && waitUntil([this] { return m_fleet->hasChain("d1") && m_fleet->hasChain("d2") && m_fleet->hasChain("d3"); },
-            startPatience)
-        && waitUntil(isServing, startPatience);
+            startTimeout)
+        && waitUntil(isServing, startTimeout);
 }
 
 void gateway_world::startProcess(const std::string& name)
@@ -181,9 +181,9 @@
 
 void gateway_world::signal(const std::string& name, int number) { ::kill(m_pids.at(name), number); }
 
-int gateway_world::waitForExit(const std::string& name, std::chrono::milliseconds patience)
+int gateway_world::waitForExit(const std::string& name, std::chrono::milliseconds timeout)
 {
-    const int status = waitForProcess(m_pids.at(name), patience);
+    const int status = waitForProcess(m_pids.at(name), timeout);
     if (status != -1)
         m_pids.erase(name);
     return status;
@@ -215,10 +215,11 @@
 
 int gateway_world::publish(std::uint64_t version, const std::string& registry, const document_options& options)
 {
-    return ask(m_addresses.at(registry), "PUT", "/config", documentOf(version, options), {}, controlPatience).status;
+    return sendRequest(m_addresses.at(registry), "PUT", "/config", documentOf(version, options), {}, controlTimeout)
+        .status;
 }
 
-int gateway_world::publishAnywhere(std::uint64_t version, const std::string& extraRoute)
+int gateway_world::publishToAny(std::uint64_t version, const std::string& extraRoute)
 {
     int status = 0;
     for (const auto& name : m_registries) {
@@ -231,7 +232,7 @@
 
 std::optional<std::uint64_t> gateway_world::readVersion(const std::string& registry)
 {
-    const auto response = ask(m_addresses.at(registry), "GET", "/config", "", {}, controlPatience);
+    const auto response = sendRequest(m_addresses.at(registry), "GET", "/config", "", {}, controlTimeout);
     if (response.status != 200)
         return std::nullopt;
     return json::parse(response.body).at("version").get<std::uint64_t>();
@@ -242,83 +243,84 @@
     for (const auto& name : m_registries) {
         if (!isRunning(name))
             continue;
-        const auto response = ask(m_addresses.at(name), "GET", "/metrics", "", {}, controlPatience);
+        const auto response = sendRequest(m_addresses.at(name), "GET", "/metrics", "", {}, controlTimeout);
         if (response.body.find("buckthornrail_is_leader 1") != std::string::npos)
             return name;
     }
     return {};
 }
 
-caller_answer gateway_world::call(const std::string& gateway, const std::string& method, const std::string& path,
-    const std::string& requestId, std::chrono::milliseconds patience, const std::string& key)
+caller_response gateway_world::call(const std::string& gateway, const std::string& method, const std::string& path,
+    const std::string& requestId, std::chrono::milliseconds timeout, const std::string& key)
 {
     std::vector<http::header_field> headers;
-    for (auto& [name, value] : callerFields(requestId, patience, key))
+    for (auto& [name, value] : callerFields(requestId, timeout, key))
         headers.push_back({ name, value });
-    const auto response = ask(m_addresses.at(gateway), method, path, "", std::move(headers), patience);
-    caller_answer answer;
-    answer.status = response.status;
-    answer.isWhole = response.outcome == http::client_outcome::Ok;
-    answer.body = response.body;
+    const auto response = sendRequest(m_addresses.at(gateway), method, path, "", std::move(headers), timeout);
+    caller_response result;
+    result.status = response.status;
+    result.isComplete = response.outcome == http::client_outcome::Ok;
+    result.body = response.body;
     for (const auto& header : response.headers) {
         if (header.name == "X-Buckthornrail-Server-Stamp")
-            answer.stamp = header.value;
+            result.serverStamp = header.value;
         if (header.name == "Retry-After")
-            answer.comeBack = header.value;
+            result.retryAfter = header.value;
     }
-    return answer;
+    return result;
 }
 
 std::vector<std::pair<std::string, std::string>> gateway_world::callerFields(
-    const std::string& requestId, std::chrono::milliseconds patience, const std::string& key)
+    const std::string& requestId, std::chrono::milliseconds timeout, const std::string& key)
 {
     return { { "Host", "h.example" }, { "X-Buckthornrail-Attempt-Id", requestId },
-        { "X-Buckthornrail-Deadline-Ms", std::to_string(patience.count()) }, { "Authorization", "Bearer " + key },
+        { "X-Buckthornrail-Deadline-Ms", std::to_string(timeout.count()) }, { "Authorization", "Bearer " + key },
         { "X-Buckthornrail-Token-Count", "10,10" } };
 }
 
 int gateway_world::readyStatus(const std::string& gateway)
 {
-    return ask(m_health.at(gateway), "GET", "/readyz", "", {}, controlPatience).status;
+    return sendRequest(m_health.at(gateway), "GET", "/readyz", "", {}, controlTimeout).status;
 }
 
 std::string gateway_world::targetLine(const std::string& registry, const std::string& targetId)
 {
-    const auto response = ask(m_addresses.at(registry), "GET", "/status", "", {}, controlPatience);
+    const auto response = sendRequest(m_addresses.at(registry), "GET", "/status", "", {}, controlTimeout);
     const auto at = response.body.find("target " + targetId + " ");
     return at == std::string::npos ? std::string() : response.body.substr(at, response.body.find('\n', at) - at);
 }
 
 std::string gateway_world::metricsOf(const std::string& registry)
 {
-    return ask(m_addresses.at(registry), "GET", "/metrics", "", {}, controlPatience).body;
+    return sendRequest(m_addresses.at(registry), "GET", "/metrics", "", {}, controlTimeout).body;
 }
 
-caller_answer gateway_world::control(const std::string& registry, const std::string& method, const std::string& path)
+caller_response gateway_world::callRegistry(
+    const std::string& registry, const std::string& method, const std::string& path)
 {
-    const auto response = ask(m_addresses.at(registry), method, path, "", {}, controlPatience);
-    caller_answer answer;
-    answer.status = response.status;
-    answer.isWhole = response.outcome == http::client_outcome::Ok;
-    answer.body = response.body;
-    return answer;
+    const auto response = sendRequest(m_addresses.at(registry), method, path, "", {}, controlTimeout);
+    caller_response result;
+    result.status = response.status;
+    result.isComplete = response.outcome == http::client_outcome::Ok;
+    result.body = response.body;
+    return result;
 }
 
 int gateway_world::sendRecord(
     const std::string& registry, const std::string& method, const std::string& id, const std::string& body)
 {
-    return ask(m_addresses.at(registry), method, "/instances/" + id, body, {}, controlPatience).status;
+    return sendRequest(m_addresses.at(registry), method, "/instances/" + id, body, {}, controlTimeout).status;
 }
 
-std::string gateway_world::answerToRecord(const std::string& registry, const std::string& id, const std::string& body)
+std::string gateway_world::responseToRecord(const std::string& registry, const std::string& id, const std::string& body)
 {
-    return ask(m_addresses.at(registry), "PUT", "/instances/" + id, body, {}, controlPatience).body;
+    return sendRequest(m_addresses.at(registry), "PUT", "/instances/" + id, body, {}, controlTimeout).body;
 }
 
-int gateway_world::sessionsAt(const std::string& registry)
+int gateway_world::sessionCount(const std::string& registry)
 {
     const std::string word = "\ngateways ";
-    const auto response = ask(m_addresses.at(registry), "GET", "/status", "", {}, controlPatience);
+    const auto response = sendRequest(m_addresses.at(registry), "GET", "/status", "", {}, controlTimeout);
     const auto found = response.body.find(word);
     return found == std::string::npos ? -1 : std::stoi(response.body.substr(found + word.size()));
 }
@@ -332,7 +334,7 @@
     return word;
 }
 
-int gateway_world::announceTo(const std::string& registry)
+int gateway_world::announceUnreachableTarget(const std::string& registry)
 {
     return sendRecord(
         registry, "PUT", "i-alone", R"({"service":"app","address":"127.0.0.1:9","zone":"d1","state":"ready","seq":1})");
--- a/tests/support/gateway_world.hpp
+++ b/tests/support/gateway_world.hpp
@@ -14,20 +14,20 @@
 namespace test_support {
 
 /// What a caller got.
-struct caller_answer {
+struct caller_response {
     int status = 0; ///< 0: no answer
-    bool isWhole = false; ///< with the end that its form demands
+    bool isComplete = false; ///< with the end that its form demands
     std::string body;
-    std::string stamp; ///< of the target
-    std::string comeBack;
+    std::string serverStamp; ///< of the target
+    std::string retryAfter;
 };
 
 /// A document to publish.
 struct document_options {
     std::string extraRoute; ///< named in its host's path; empty: none
-    std::size_t fillers = 0; ///< routes besides, each with a path of its own
+    std::size_t fillerRoutes = 0; ///< routes besides, each with a path of its own
     /// Length of a filler's path: letters drawn from a fixed seed, which no compression makes short.
-    std::size_t fillerLength = 20;
+    std::size_t fillerPathLength = 20;
 };
 
 /// @brief Registries, gateways, three failure domains of engines, and a plain service. Ends its processes by id.
@@ -48,7 +48,7 @@
     bool start();
     void startProcess(const std::string& name);
     void signal(const std::string& name, int number);
-    int waitForExit(const std::string& name, std::chrono::milliseconds patience);
+    int waitForExit(const std::string& name, std::chrono::milliseconds timeout);
     void killHard(const std::string& name);
     void loseDisk(const std::string& registry);
     [[nodiscard]] bool isRunning(const std::string& name) const { return m_pids.contains(name); }
@@ -57,37 +57,37 @@
     int publish(std::uint64_t version, const std::string& registry, const std::string& extraRoute = {});
     int publish(std::uint64_t version, const std::string& registry, const document_options& options);
     /// @brief Publishes until one of the registries acknowledges. @return the last status
-    int publishAnywhere(std::uint64_t version, const std::string& extraRoute = {});
+    int publishToAny(std::uint64_t version, const std::string& extraRoute = {});
     /// @brief The version that a registry reads back; nothing when it doesn't know.
     std::optional<std::uint64_t> readVersion(const std::string& registry);
     /// @brief Name of the registry that leads, or empty.
     std::string leader();
 
     /// @brief One request through a gateway. @param requestId the caller's, unique
-    caller_answer call(const std::string& gateway, const std::string& method, const std::string& path,
-        const std::string& requestId, std::chrono::milliseconds patience = std::chrono::milliseconds(5000),
+    caller_response call(const std::string& gateway, const std::string& method, const std::string& path,
+        const std::string& requestId, std::chrono::milliseconds timeout = std::chrono::milliseconds(5000),
         const std::string& key = "key-1");
     /// @brief Names and values of the fields that a caller sends.
     static std::vector<std::pair<std::string, std::string>> callerFields(
-        const std::string& requestId, std::chrono::milliseconds patience, const std::string& key = "key-1");
+        const std::string& requestId, std::chrono::milliseconds timeout, const std::string& key = "key-1");
     [[nodiscard]] const std::string& addressOf(const std::string& process) const { return m_addresses.at(process); }
     int readyStatus(const std::string& gateway);
     /// @brief State of a target as a registry shows it; empty when it is unknown there.
     std::string targetState(const std::string& registry, const std::string& targetId);
     /// @brief Announces a target that isn't there, to one registry. @return the status
-    int announceTo(const std::string& registry);
+    int announceUnreachableTarget(const std::string& registry);
     /// @brief What a target, or another writer, sends to a registry. @return the status
     int sendRecord(
         const std::string& registry, const std::string& method, const std::string& id, const std::string& body);
     /// @brief The body of the answer to such a call; empty: none came.
-    std::string answerToRecord(const std::string& registry, const std::string& id, const std::string& body);
+    std::string responseToRecord(const std::string& registry, const std::string& id, const std::string& body);
     /// @brief How many gateways have their session with a registry. @return -1: it didn't answer
-    int sessionsAt(const std::string& registry);
+    int sessionCount(const std::string& registry);
     /// @brief A registry's line on a target at its status page; empty when it is unknown there.
     std::string targetLine(const std::string& registry, const std::string& targetId);
     std::string metricsOf(const std::string& registry);
     /// @brief An operator's call to a registry that is not of the platform.
-    caller_answer control(const std::string& registry, const std::string& method, const std::string& path);
+    caller_response callRegistry(const std::string& registry, const std::string& method, const std::string& path);
 
     /// @brief The relay before a registry's links.
     relay& linkRelay(const std::string& registry) { return *m_relays.at(registry); }
--- a/tests/support/kept_caller.cpp
+++ b/tests/support/keep_alive_caller.cpp
@@ -1,25 +1,25 @@
 /// @file
 /// @brief Kept connections by cpp-httplib.
-#include "support/kept_caller.hpp"
+#include "support/keep_alive_caller.hpp"
 
 #include <httplib.h>
 
 namespace test_support {
 
-struct kept_caller::implementation {
+struct keep_alive_caller::implementation {
     const gateway_world& world;
     std::map<std::string, std::unique_ptr<httplib::Client>> clients; ///< by gateway
 };
 
-kept_caller::kept_caller(const gateway_world& world)
+keep_alive_caller::keep_alive_caller(const gateway_world& world)
     : m_implementation(new implementation { world, {} })
 {
 }
 
-kept_caller::~kept_caller() = default;
+keep_alive_caller::~keep_alive_caller() = default;
 
-caller_answer kept_caller::call(const std::string& gateway, const std::string& method, const std::string& path,
-    const std::string& requestId, std::chrono::milliseconds patience)
+caller_response keep_alive_caller::call(const std::string& gateway, const std::string& method, const std::string& path,
+    const std::string& requestId, std::chrono::milliseconds timeout)
 {
     auto& client = m_implementation->clients[gateway];
     if (!client) {
@@ -27,26 +27,26 @@
         client->set_keep_alive(true);
         client->set_tcp_nodelay(true);
     }
-    client->set_connection_timeout(patience);
-    client->set_read_timeout(patience);
-    client->set_write_timeout(patience);
+    client->set_connection_timeout(timeout);
+    client->set_read_timeout(timeout);
+    client->set_write_timeout(timeout);
     httplib::Request request;
     request.method = method;
     request.path = path;
-    for (const auto& [name, value] : gateway_world::callerFields(requestId, patience))
+    for (const auto& [name, value] : gateway_world::callerFields(requestId, timeout))
         request.headers.emplace(name, value);
     const auto result = client->send(request);
-    caller_answer answer;
+    caller_response response;
     if (!result) {
         client.reset(); // what may still come on it belongs to no request
-        return answer;
+        return response;
     }
-    answer.status = result->status;
-    answer.isWhole = true;
-    answer.body = result->body;
-    answer.stamp = result->get_header_value("X-Buckthornrail-Server-Stamp");
-    answer.comeBack = result->get_header_value("Retry-After");
-    return answer;
+    response.status = result->status;
+    response.isComplete = true;
+    response.body = result->body;
+    response.serverStamp = result->get_header_value("X-Buckthornrail-Server-Stamp");
+    response.retryAfter = result->get_header_value("Retry-After");
+    return response;
 }
 
 } // namespace test_support
--- a/tests/support/kept_caller.hpp
+++ b/tests/support/keep_alive_caller.hpp
@@ -7,16 +7,16 @@
 namespace test_support {
 
 /// @brief Used by one thread.
-class kept_caller {
+class keep_alive_caller {
 public:
-    explicit kept_caller(const gateway_world& world);
-    kept_caller(const kept_caller&) = delete;
-    kept_caller& operator=(const kept_caller&) = delete;
-    ~kept_caller();
+    explicit keep_alive_caller(const gateway_world& world);
+    keep_alive_caller(const keep_alive_caller&) = delete;
+    keep_alive_caller& operator=(const keep_alive_caller&) = delete;
+    ~keep_alive_caller();
 
     /// @brief One request over the connection that is open to a gateway, or a new one.
-    caller_answer call(const std::string& gateway, const std::string& method, const std::string& path,
-        const std::string& requestId, std::chrono::milliseconds patience);
+    caller_response call(const std::string& gateway, const std::string& method, const std::string& path,
+        const std::string& requestId, std::chrono::milliseconds timeout);
 
 private:
     struct implementation;
--- a/tests/support/relay.cpp
+++ b/tests/support/relay.cpp
@@ -14,139 +14,143 @@
 
 using asio::ip::tcp;
 
-constexpr std::chrono::milliseconds checkPeriod { 20 };
-constexpr std::chrono::milliseconds slowness { 120 }; ///< of each piece in mode Slow
+constexpr std::chrono::milliseconds modeCheckInterval { 20 };
+constexpr std::chrono::milliseconds slowModeDelay { 120 }; ///< of each piece in mode Slow
 
 /// A bound on what all lanes of one direction carry together. Used on the relay's thread; the rate may be set from
 /// others.
-class shared_rate {
+class shared_rate_limit {
 public:
-    explicit shared_rate(std::atomic<std::uint64_t>& bytesPerSecond)
+    explicit shared_rate_limit(std::atomic<std::uint64_t>& bytesPerSecond)
         : m_rate(bytesPerSecond)
     {
     }
 
     /// @brief Books a piece. @return when it may go on
-    std::chrono::steady_clock::time_point book(std::size_t size)
+    std::chrono::steady_clock::time_point reserve(std::size_t size)
     {
         const auto now = std::chrono::steady_clock::now();
         const std::uint64_t rate = m_rate.load();
         if (rate == 0)
             return now;
-        m_free = std::max(m_free, now) + std::chrono::microseconds(size * 1'000'000 / rate);
-        return m_free;
+        m_nextFreeAt = std::max(m_nextFreeAt, now) + std::chrono::microseconds(size * 1'000'000 / rate);
+        return m_nextFreeAt;
     }
 
     /// @brief As much as goes on in a hundredth of a second, so that bytes come evenly.
-    [[nodiscard]] std::size_t pieceBytes(std::size_t longest) const
+    [[nodiscard]] std::size_t maxChunkBytes(std::size_t bufferSize) const
     {
-        constexpr std::uint64_t piecesPerSecond = 100;
+        constexpr std::uint64_t chunksPerSecond = 100;
         const std::uint64_t rate = m_rate.load();
-        return rate == 0 ? longest : std::clamp<std::size_t>(rate / piecesPerSecond, 1, longest);
+        return rate == 0 ? bufferSize : std::clamp<std::size_t>(rate / chunksPerSecond, 1, bufferSize);
     }
 
 private:
     std::atomic<std::uint64_t>& m_rate;
-    std::chrono::steady_clock::time_point m_free;
+    std::chrono::steady_clock::time_point m_nextFreeAt;
 };
 
-/// One direction of a bridge.
-struct lane {
-    lane(asio::io_context& io, tcp::socket& source, tcp::socket& sink, bool isOutward, shared_rate& bound)
+/// One direction of a connection_pair.
+struct stream_direction {
+    stream_direction(asio::io_context& io, tcp::socket& source, tcp::socket& sink, bool isUpstreamDirection,
+        shared_rate_limit& rateLimit)
         : from(source)
         , to(sink)
         , timer(io)
-        , outward(isOutward)
-        , rate(bound)
+        , isUpstream(isUpstreamDirection)
+        , rate(rateLimit)
     {
     }
     tcp::socket& from;
     tcp::socket& to;
     asio::steady_timer timer;
-    bool outward;
-    shared_rate& rate;
+    bool isUpstream;
+    shared_rate_limit& rate;
     std::array<char, 16384> buffer {};
 };
 
 /// Two sockets whose bytes go from one to the other.
-struct bridge : std::enable_shared_from_this<bridge> {
-    bridge(asio::io_context& io, std::atomic<relay_mode>& chosen, shared_rate& outwardRate, shared_rate& inwardRate)
-        : near(io)
-        , far(io)
-        , mode(chosen)
-        , outward(io, near, far, true, outwardRate)
-        , inward(io, far, near, false, inwardRate)
+struct connection_pair : std::enable_shared_from_this<connection_pair> {
+    connection_pair(asio::io_context& io, std::atomic<relay_mode>& relayMode, shared_rate_limit& upstreamRate,
+        shared_rate_limit& downstreamRate)
+        : client(io)
+        , server(io)
+        , mode(relayMode)
+        , upstream(io, client, server, true, upstreamRate)
+        , downstream(io, server, client, false, downstreamRate)
     {
     }
 
-    [[nodiscard]] bool isHeld(const lane& one) const
+    [[nodiscard]] bool isBlocked(const stream_direction& direction) const
     {
-        const auto now = mode.load();
-        return now == relay_mode::Silent || (now == relay_mode::OutwardOnly && !one.outward)
-            || (now == relay_mode::InwardOnly && one.outward);
+        const auto currentMode = mode.load();
+        return currentMode == relay_mode::Silent || (currentMode == relay_mode::UpstreamOnly && !direction.isUpstream)
+            || (currentMode == relay_mode::DownstreamOnly && direction.isUpstream);
     }
 
-    void pump(lane& one)
+    void readNext(stream_direction& direction)
     {
-        one.from.async_read_some(asio::buffer(one.buffer, one.rate.pieceBytes(one.buffer.size())),
-            [self = shared_from_this(), &one](auto error, auto size) {
+        direction.from.async_read_some(
+            asio::buffer(direction.buffer, direction.rate.maxChunkBytes(direction.buffer.size())),
+            [self = shared_from_this(), &direction](auto error, auto size) {
                 if (error)
                     self->close();
                 else
-                    self->hold(one, size);
+                    self->waitForRate(direction, size);
             });
     }
 
-    /// Lets a piece wait for its turn under the bound on the rate.
-    void hold(lane& one, std::size_t size)
+    /// Lets a piece wait for its sendAt under the bound on the rate.
+    void waitForRate(stream_direction& direction, std::size_t size)
     {
-        const bool slow = mode.load() == relay_mode::Slow;
-        const auto turn = one.rate.book(size);
-        if (turn <= std::chrono::steady_clock::now()) {
-            pass(one, size, slow);
+        const bool isSlow = mode.load() == relay_mode::Slow;
+        const auto sendAt = direction.rate.reserve(size);
+        if (sendAt <= std::chrono::steady_clock::now()) {
+            forward(direction, size, isSlow);
             return;
         }
-        one.timer.expires_at(turn);
-        one.timer.async_wait([self = shared_from_this(), &one, size, slow](auto error) {
+        direction.timer.expires_at(sendAt);
+        direction.timer.async_wait([self = shared_from_this(), &direction, size, isSlow](auto error) {
             if (!error)
-                self->pass(one, size, slow);
+                self->forward(direction, size, isSlow);
         });
     }
 
-    void pass(lane& one, std::size_t size, bool slow)
+    void forward(stream_direction& direction, std::size_t size, bool isSlow)
     {
-        if (slow || isHeld(one)) {
-            one.timer.expires_after(slow ? slowness : checkPeriod);
-            one.timer.async_wait([self = shared_from_this(), &one, size](auto error) {
+        if (isSlow || isBlocked(direction)) {
+            direction.timer.expires_after(isSlow ? slowModeDelay : modeCheckInterval);
+            direction.timer.async_wait([self = shared_from_this(), &direction, size](auto error) {
                 if (!error)
-                    self->pass(one, size, false);
+                    self->forward(direction, size, false);
             });
             return;
         }
-        asio::async_write(one.to, asio::buffer(one.buffer, size), [self = shared_from_this(), &one](auto error, auto) {
-            if (error)
-                self->close();
-            else
-                self->pump(one);
-        });
+        asio::async_write(direction.to, asio::buffer(direction.buffer, size),
+            [self = shared_from_this(), &direction](auto error, auto) {
+                if (error)
+                    self->close();
+                else
+                    self->readNext(direction);
+            });
     }
 
     void close()
     {
         std::error_code ignored;
-        for (auto* socket : { &near, &far }) {
+        for (auto* socket : { &client, &server }) {
             socket->set_option(asio::socket_base::linger(true, 0), ignored);
             socket->close(ignored);
         }
-        outward.timer.cancel();
-        inward.timer.cancel();
+        upstream.timer.cancel();
+        downstream.timer.cancel();
     }
 
-    tcp::socket near;
-    tcp::socket far;
+    tcp::socket client;
+    tcp::socket server;
     std::atomic<relay_mode>& mode;
-    lane outward;
-    lane inward;
+    stream_direction upstream;
+    stream_direction downstream;
 };
 
 } // namespace
@@ -170,18 +174,18 @@
 
     void accept()
     {
-        auto one = std::make_shared<bridge>(io, mode, outwardRate, inwardRate);
-        bridges.push_back(one);
-        acceptor.async_accept(one->near, [this, one](auto error) {
+        auto connection = std::make_shared<connection_pair>(io, mode, upstreamRate, downstreamRate);
+        connections.push_back(connection);
+        acceptor.async_accept(connection->client, [this, connection](auto error) {
             if (error)
                 return;
-            one->far.async_connect(target, [one](auto failed) {
+            connection->server.async_connect(target, [connection](auto failed) {
                 if (failed) {
-                    one->close();
+                    connection->close();
                     return;
                 }
-                one->pump(one->outward);
-                one->pump(one->inward);
+                connection->readNext(connection->upstream);
+                connection->readNext(connection->downstream);
             });
             accept();
         });
@@ -190,9 +194,9 @@
     asio::io_context io;
     std::atomic<relay_mode> mode { relay_mode::Pass };
     std::atomic<std::uint64_t> bytesPerSecond { 0 };
-    shared_rate outwardRate { bytesPerSecond };
-    shared_rate inwardRate { bytesPerSecond };
-    std::vector<std::weak_ptr<bridge>> bridges;
+    shared_rate_limit upstreamRate { bytesPerSecond };
+    shared_rate_limit downstreamRate { bytesPerSecond };
+    std::vector<std::weak_ptr<connection_pair>> connections;
     tcp::acceptor acceptor;
     tcp::endpoint target;
     std::thread thread;
@@ -214,11 +218,11 @@
 
 void relay::setRate(std::uint64_t bytesPerSecond) { m_implementation->bytesPerSecond = bytesPerSecond; }
 
-void relay::resetAll()
+void relay::resetConnections()
 {
     asio::post(m_implementation->io, [this] {
-        for (const auto& one : std::exchange(m_implementation->bridges, {})) {
-            if (const auto open = one.lock())
+        for (const auto& connection : std::exchange(m_implementation->connections, {})) {
+            if (const auto open = connection.lock())
                 open->close();
         }
     });
--- a/tests/support/relay.hpp
+++ b/tests/support/relay.hpp
@@ -10,7 +10,7 @@
 namespace test_support {
 
 /// What becomes of bytes. "Outward" is from who dials to who is dialled.
-enum class relay_mode { Pass, Silent, OutwardOnly, InwardOnly, Slow };
+enum class relay_mode { Pass, Silent, UpstreamOnly, DownstreamOnly, Slow };
 
 class relay {
 public:
@@ -26,7 +26,7 @@
     /// @brief What all connections together carry in each direction, in bytes a second; 0: no bound.
     void setRate(std::uint64_t bytesPerSecond);
     /// @brief Breaks every connection that it carries.
-    void resetAll();
+    void resetConnections();
 
 private:
     struct implementation;
--- a/tests/support/mute_listener.hpp
+++ b/tests/support/unresponsive_listener.hpp
@@ -12,39 +12,40 @@
 
 namespace test_support {
 
-class mute_listener {
+class unresponsive_listener {
 public:
-    explicit mute_listener(int backlog = 8)
+    explicit unresponsive_listener(int backlog = 8)
         : m_socket(socket(AF_INET, SOCK_STREAM, 0))
     {
         m_address.sin_family = AF_INET;
         m_address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
         socklen_t size = sizeof(m_address);
-        REQUIRE(bind(m_socket, plainAddress(), size) == 0);
+        REQUIRE(bind(m_socket, socketAddress(), size) == 0);
         REQUIRE(listen(m_socket, backlog) == 0);
-        REQUIRE(getsockname(m_socket, plainAddress(), &size) == 0);
+        REQUIRE(getsockname(m_socket, socketAddress(), &size) == 0);
     }
-    mute_listener(const mute_listener&) = delete;
-    mute_listener& operator=(const mute_listener&) = delete;
-    ~mute_listener() { stop(); }
+    unresponsive_listener(const unresponsive_listener&) = delete;
+    unresponsive_listener& operator=(const unresponsive_listener&) = delete;
+    ~unresponsive_listener() { stop(); }
 
     [[nodiscard]] std::string address() const { return "127.0.0.1:" + std::to_string(ntohs(m_address.sin_port)); }
 
     /// Connections that hang in the queue: with a backlog of 0 the system drops the opening packets that follow.
-    void fill()
+    void fillBacklog()
     {
         for (int at = 0; at < 3; ++at) {
-            m_fillers.push_back(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
-            (void)connect(m_fillers.back(), plainAddress(), sizeof(m_address)); // most of them stay under way
+            m_pendingConnections.push_back(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
+            (void)connect(
+                m_pendingConnections.back(), socketAddress(), sizeof(m_address)); // most of them stay under way
         }
     }
 
     /// Ends as a crashed process does: its connections are reset, and later ones are refused.
     void stop()
     {
-        for (const int filler : m_fillers)
-            close(filler);
-        m_fillers.clear();
+        for (const int connection : m_pendingConnections)
+            close(connection);
+        m_pendingConnections.clear();
         if (m_socket >= 0)
             close(m_socket);
         m_socket = -1;
@@ -52,11 +53,11 @@
 
 private:
     // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): the sockets' own way
-    sockaddr* plainAddress() { return reinterpret_cast<sockaddr*>(&m_address); }
+    sockaddr* socketAddress() { return reinterpret_cast<sockaddr*>(&m_address); }
 
     int m_socket;
     sockaddr_in m_address {};
-    std::vector<int> m_fillers;
+    std::vector<int> m_pendingConnections;
 };
 
 } // namespace test_support
--- a/tests/suspended_machine_test.cpp
+++ b/tests/suspended_machine_test.cpp
@@ -37,11 +37,11 @@
     world.suspendClocks();
     REQUIRE(world.start());
     const std::string gateway = world.gateways().front();
-    REQUIRE(world.publishAnywhere(2, "extra") == 200);
+    REQUIRE(world.publishToAny(2, "extra") == 200);
     REQUIRE(waitUntil([&] { return world.call(gateway, "GET", "/extra/x", "before").status == 200; }, waitTimeout));
     world.signal(gateway, SIGSTOP);
     std::this_thread::sleep_for(suspension);
-    REQUIRE(world.publishAnywhere(3) == 200);
+    REQUIRE(world.publishToAny(3) == 200);
     // In flight when the machine wakes.
     auto inFlight
         = std::async(std::launch::async, [&] { return world.call(gateway, "GET", "/extra/x", "early", seconds(4)); });
--- a/tests/target_restart_test.cpp
+++ b/tests/target_restart_test.cpp
@@ -61,7 +61,7 @@
         for (const auto& gateway : gateways()) {
             const auto number = std::to_string(++m_calls);
             const auto stream = call(gateway, "POST", "/stream/n10", "s-" + number);
-            isServed = isServed && stream.isWhole && stream.body == gateway_world::streamBody("/stream/n10", 10);
+            isServed = isServed && stream.isComplete && stream.body == gateway_world::streamBody("/stream/n10", 10);
             isServed = isServed && call(gateway, "GET", "/safe/x", "p-" + number).status == 200;
         }
         return isServed;
@@ -84,7 +84,7 @@
 {
     restart_world world;
     REQUIRE(world.startAndRestartTargets());
-    std::vector<caller_answer> results(8);
+    std::vector<caller_response> results(8);
     std::vector<std::thread> callers;
     for (std::size_t at = 0; at < results.size(); ++at) {
         callers.emplace_back([&, at] {
@@ -296,7 +296,7 @@
     const std::size_t engine = world.engines()[0];
     std::uint64_t version = 100;
     for (int at = 0; at < changes; ++at) {
-        (void)world.publishAnywhere(++version);
+        (void)world.publishToAny(++version);
         if (at % 40 == 20)
             world.fleet().restart(engine);
     }
