--- a/tests/support/continuous_callers.hpp
+++ b/tests/support/continuous_callers.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A caller at each gateway of a world, each on a thread of its own.
+/// @brief Callers that send requests to all gateways without interruption.
 #pragma once
 
 #include "support/gateway_world.hpp"
@@ -9,7 +9,7 @@
 
 namespace test_support {
 
-/// @brief Calls until it is stopped, with a short pause after each response.
+/// @brief One caller per gateway, each on its own thread, with a short pause after each response.
 class continuous_callers {
 public:
     continuous_callers(gateway_world& world, const std::string& method, const std::string& path)
@@ -31,7 +31,7 @@
     }
     [[nodiscard]] int served() const { return m_served; }
     [[nodiscard]] int notServed() const { return m_notServed; } ///< refused or failed
-    /// @brief Refused without a time to come back.
+    /// @return responses with status 503 and without Retry-After
     [[nodiscard]] int refusedWithoutRetryAfter() const { return m_refusedWithoutRetryAfter; }
 
 private:
@@ -56,7 +56,7 @@
     std::vector<std::thread> m_threads;
 };
 
-/// @brief The engine at which most requests have come first.
+/// @return the engine that most requests reached as the first engine of their chain
 inline std::size_t busiestEngine(gateway_world& world)
 {
     std::size_t busiest = world.engines().front();
--- a/tests/support/gateway_world.cpp
+++ b/tests/support/gateway_world.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Starting, harming and asking registries and gateways.
+/// @brief Start, faults and requests of the registries and gateways.
 #include "support/gateway_world.hpp"
 
 #include "buckthornrail/http/http_client.hpp"
@@ -17,7 +17,7 @@
 using namespace buckthornrail;
 using nlohmann::json;
 
-constexpr std::size_t seedCount = 3; ///< registries that every process is told of
+constexpr std::size_t seedCount = 3; ///< registries that the settings of every process list
 constexpr milliseconds startTimeout { 20000 };
 constexpr milliseconds controlTimeout { 1500 };
 
@@ -103,7 +103,7 @@
 
 void gateway_world::writeSettings()
 {
-    // Ports are the same on all registries, as on the machines that they stand for; the addresses differ.
+    // The registries have the same ports and different IP addresses, as on separate machines.
     const std::string linkPort = freeAddress().substr(10);
     const std::string controlPort = freeAddress().substr(10);
     std::string links;
@@ -198,7 +198,7 @@
 void gateway_world::loseDisk(const std::string& registry)
 {
     std::filesystem::remove_all(m_folder + "/data-" + registry);
-    // The first start is over: a blank member must join, not form a log.
+    // A blank member must join the others, not form a new log.
     std::string text = readFile(m_folder + "/" + registry + ".ini");
     const std::string first = "bootstrap = true";
     if (const auto at = text.find(first); at != std::string::npos)
--- a/tests/support/gateway_world.hpp
+++ b/tests/support/gateway_world.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Registries and gateways as real processes on loopback, before stand-in targets.
+/// @brief Registries and gateways as real processes on loopback, with stand-in targets.
 #pragma once
 
 #include "support/child_process.hpp"
@@ -13,83 +13,98 @@
 
 namespace test_support {
 
-/// What a caller got.
+/// The response that a caller received from a gateway or registry.
 struct caller_response {
-    int status = 0; ///< 0: no answer
-    bool isComplete = false; ///< with the end that its form demands
+    int status = 0; ///< 0: no response
+    bool isComplete = false; ///< it ended as its framing requires
     std::string body;
-    std::string serverStamp; ///< of the target
-    std::string retryAfter;
+    std::string serverStamp; ///< X-Buckthornrail-Server-Stamp, set by the target
+    std::string retryAfter; ///< Retry-After; empty: none
 };
 
-/// A document to publish.
+/// Options of a configuration document to publish.
 struct document_options {
-    std::string extraRoute; ///< named in its host's path; empty: none
-    std::size_t fillerRoutes = 0; ///< routes besides, each with a path of its own
-    /// Length of a filler's path: letters drawn from a fixed seed, which no compression makes short.
+    std::string extraRoute; ///< name of a further route, also its path prefix; empty: none
+    std::size_t fillerRoutes = 0; ///< further routes, each with its own path
+    /// Letters in the path of a filler route. They are random with a fixed seed, so that the document compresses badly.
     std::size_t fillerPathLength = 20;
 };
 
-/// @brief Registries, gateways, three failure domains of engines, and a plain service. Ends its processes by id.
+/// @brief Runs registries and gateways, and in three failure domains engines and a target of a plain service.
+///
+/// The destructor kills the processes, each by its id.
 class gateway_world {
 public:
-    /// @param registries of which all processes are told the first three
-    /// @param gatewaySettings further lines of the gateways' section of their settings
+    /// @param gateways number of gateways
+    /// @param enginesPerDomain number of engines in each failure domain
+    /// @param registries number of registries; the settings of all processes list the first three
+    /// @param gatewaySettings lines added to section [gateway] of the gateways' settings
     explicit gateway_world(std::size_t gateways = 2, std::size_t enginesPerDomain = 4, std::size_t registries = 3,
         std::string gatewaySettings = {});
     gateway_world(const gateway_world&) = delete;
     gateway_world& operator=(const gateway_world&) = delete;
     ~gateway_world();
 
-    /// @brief From now on the steady clock of a process stands still while it is stopped by a signal, as that of a
-    /// suspended machine does. Call before start().
+    /// @brief Makes the steady clock of each process stand still while a signal stops the process, as on a suspended
+    /// machine. Call before start().
     void suspendClocks();
-    /// @brief Starts all and waits until requests can be served. @return false when that didn't come
+    /// @brief Starts all processes and targets, and waits until every gateway serves requests.
+    /// @return false: a step timed out
     bool start();
     void startProcess(const std::string& name);
     void signal(const std::string& name, int number);
+    /// @return the exit status, or the negated signal that ended the process; -1: it still runs after the timeout
     int waitForExit(const std::string& name, std::chrono::milliseconds timeout);
+    /// @brief Sends SIGKILL and waits for the end of the process.
     void killHard(const std::string& name);
+    /// @brief Deletes the storage of a stopped registry, which joins as a blank member at its next start.
     void loseDisk(const std::string& registry);
     [[nodiscard]] bool isRunning(const std::string& name) const { return m_pids.contains(name); }
 
-    /// @brief Publishes a document under a version to one registry. @return the status; 0: no answer
+    /// @brief Publishes a document with this version at one registry. @return the status; 0: no response
     int publish(std::uint64_t version, const std::string& registry, const std::string& extraRoute = {});
     int publish(std::uint64_t version, const std::string& registry, const document_options& options);
-    /// @brief Publishes until one of the registries acknowledges. @return the last status
+    /// @brief Tries the registries in order until one acknowledges the document. @return the last status
     int publishToAny(std::uint64_t version, const std::string& extraRoute = {});
-    /// @brief The version that a registry reads back; nothing when it doesn't know.
+    /// @return the version of a registry's current document; std::nullopt: it responded with an error or not at all
     std::optional<std::uint64_t> readVersion(const std::string& registry);
-    /// @brief Name of the registry that leads, or empty.
+    /// @return name of the registry that is the leader; empty: none is
     std::string leader();
 
-    /// @brief One request through a gateway. @param requestId the caller's, unique
+    /// @brief Sends one request to a gateway over a new connection.
+    /// @param requestId sent as the attempt's id, unique
+    /// @param timeout also sent as the request's deadline
+    /// @param key API key of the tenant
     caller_response call(const std::string& gateway, const std::string& method, const std::string& path,
         const std::string& requestId, std::chrono::milliseconds timeout = std::chrono::milliseconds(5000),
         const std::string& key = "key-1");
-    /// @brief Names and values of the fields that a caller sends.
+    /// @return names and values of the header fields that a caller sends
     static std::vector<std::pair<std::string, std::string>> callerFields(
         const std::string& requestId, std::chrono::milliseconds timeout, const std::string& key = "key-1");
+    /// @return the address for callers of a gateway, or for control of a registry
     [[nodiscard]] const std::string& addressOf(const std::string& process) const { return m_addresses.at(process); }
+    /// @return the status of a gateway's /readyz; 0: no response
     int readyStatus(const std::string& gateway);
-    /// @brief State of a target as a registry shows it; empty when it is unknown there.
+    /// @return state of a target on a registry's status page; empty: the registry doesn't know the target
     std::string targetState(const std::string& registry, const std::string& targetId);
-    /// @brief Announces a target that isn't there, to one registry. @return the status
+    /// @brief Announces a target that doesn't exist to one registry. @return the status; 0: no response
     int announceUnreachableTarget(const std::string& registry);
-    /// @brief What a target, or another writer, sends to a registry. @return the status
+    /// @brief Sends a target's record to a registry, as the target or another writer does.
+    /// @param method PUT announces the target, DELETE removes it
+    /// @return the status; 0: no response
     int sendRecord(
         const std::string& registry, const std::string& method, const std::string& id, const std::string& body);
-    /// @brief The body of the answer to such a call; empty: none came.
+    /// @brief Announces a target as sendRecord() does. @return the body of the response; empty: no response
     std::string responseToRecord(const std::string& registry, const std::string& id, const std::string& body);
-    /// @brief How many gateways have their session with a registry. @return -1: it didn't answer
+    /// @return how many gateways have their session with a registry; -1: no usable response
     int sessionCount(const std::string& registry);
-    /// @brief A registry's line on a target at its status page; empty when it is unknown there.
+    /// @return a target's line on a registry's status page; empty: the registry doesn't know the target
     std::string targetLine(const std::string& registry, const std::string& targetId);
     std::string metricsOf(const std::string& registry);
-    /// @brief An operator's call to a registry that is not of the platform.
+    /// @brief Sends an operator's request, which no platform sends, to a registry's control address.
     caller_response callRegistry(const std::string& registry, const std::string& method, const std::string& path);
 
-    /// @brief The relay before a registry's links.
+    /// @brief The relay in front of a registry's link address.
     relay& linkRelay(const std::string& registry) { return *m_relays.at(registry); }
     stand_in_fleet& fleet() { return *m_fleet; }
     [[nodiscard]] const std::vector<std::string>& registries() const { return m_registries; }
@@ -97,10 +112,10 @@
     [[nodiscard]] const std::vector<std::size_t>& engines() const { return m_engines; }
     [[nodiscard]] const std::vector<std::size_t>& plainTargets() const { return m_plainTargets; }
     [[nodiscard]] std::string logOf(const std::string& name) const;
-    /// @brief Leaves the logs where they are. @return their folder
+    /// @brief Keeps the logs when the destructor runs. @return their folder
     std::string keepFolder();
 
-    /// @brief Body of a stream with so many events.
+    /// @return body of a stream with this number of events
     static std::string streamBody(const std::string& path, std::uint64_t events);
 
 private:
@@ -110,8 +125,8 @@
     bool m_keepsFolder = false;
     std::map<std::string, std::vector<std::string>> m_commands;
     std::map<std::string, pid_t> m_pids;
-    std::map<std::string, std::string> m_addresses; ///< for callers, or for control
-    std::map<std::string, std::string> m_health;
+    std::map<std::string, std::string> m_addresses; ///< of gateways for callers, of registries for control
+    std::map<std::string, std::string> m_health; ///< addresses of the gateways' health pages
     std::map<std::string, std::unique_ptr<relay>> m_relays; ///< by registry
     std::vector<std::string> m_registries;
     std::vector<std::string> m_gateways;
--- a/tests/support/keep_alive_caller.cpp
+++ b/tests/support/keep_alive_caller.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Kept connections by cpp-httplib.
+/// @brief Keep-alive connections with cpp-httplib.
 #include "support/keep_alive_caller.hpp"
 
 #include <httplib.h>
@@ -38,7 +38,7 @@
     const auto result = client->send(request);
     caller_response response;
     if (!result) {
-        client.reset(); // what may still come on it belongs to no request
+        client.reset(); // late bytes on this connection would be taken for the next response
         return response;
     }
     response.status = result->status;
--- a/tests/support/keep_alive_caller.hpp
+++ b/tests/support/keep_alive_caller.hpp
@@ -1,20 +1,23 @@
 /// @file
-/// @brief A caller that uses its connections again, each until it is gone.
+/// @brief A caller that reuses its connections (HTTP keep-alive).
 #pragma once
 
 #include "support/gateway_world.hpp"
 
 namespace test_support {
 
-/// @brief Used by one thread.
+/// @brief Holds one connection per gateway until it breaks. Not thread-safe.
 class keep_alive_caller {
 public:
+    /// @param world must outlive the caller
     explicit keep_alive_caller(const gateway_world& world);
     keep_alive_caller(const keep_alive_caller&) = delete;
     keep_alive_caller& operator=(const keep_alive_caller&) = delete;
     ~keep_alive_caller();
 
-    /// @brief One request over the connection that is open to a gateway, or a new one.
+    /// @brief Sends one request over the open connection to a gateway; opens one if there is none.
+    /// @param timeout for each of connecting, reading and writing; also sent as the request's deadline
+    /// @return status 0: no complete response
     caller_response call(const std::string& gateway, const std::string& method, const std::string& path,
         const std::string& requestId, std::chrono::milliseconds timeout);
 
--- a/tests/support/rate_limit_bounds.hpp
+++ b/tests/support/rate_limit_bounds.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What a target may get under a limit that it has named, as callers and targets see it.
+/// @brief Bounds on the requests that reach a target with a rate limit.
 #pragma once
 
 #include "support/stand_in_fleet.hpp"
@@ -9,19 +9,20 @@
 
 namespace test_support {
 
-inline constexpr std::chrono::seconds limitGracePeriod {
-    3
-}; ///< from the first time that a limit is named until it counts
-inline constexpr std::chrono::seconds limitWindow { 4 };
+/// Time from a target's first response with a limit until the bounds apply.
+inline constexpr std::chrono::seconds limitGracePeriod { 3 };
+inline constexpr std::chrono::seconds limitWindow { 4 }; ///< in which requests are counted
 
-/// @brief What a target may get in a window under a limit: half as much again, and five.
+/// @brief Upper bound on a target's requests in one window: 1.5 times what the limit allows, and 5 more.
+/// @param perSecond the target's limit in requests per second
 inline double maxRequestsPerWindow(double perSecond)
 {
     return 1.5 * perSecond * static_cast<double>(limitWindow.count()) + 5;
 }
 
-/// @param arrivals in the order in which they came
-/// @return the peak requests that came in one window, from a moment on
+/// @param arrivals in order of time
+/// @param from earlier arrivals are ignored
+/// @return the highest number of arrivals in any one window
 inline std::ptrdiff_t peakRequestsPerWindow(
     std::span<const fleet_arrival> arrivals, std::chrono::steady_clock::time_point from)
 {
--- a/tests/support/relay.cpp
+++ b/tests/support/relay.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Relay by asio.
+/// @brief TCP relay with asio.
 #include "support/relay.hpp"
 
 #include <algorithm>
@@ -14,11 +14,11 @@
 
 using asio::ip::tcp;
 
-constexpr std::chrono::milliseconds modeCheckInterval { 20 };
-constexpr std::chrono::milliseconds slowModeDelay { 120 }; ///< of each piece in mode Slow
+constexpr std::chrono::milliseconds modeCheckInterval { 20 }; ///< while the mode holds a chunk back
+constexpr std::chrono::milliseconds slowModeDelay { 120 }; ///< of each chunk
 
-/// A bound on what all lanes of one direction carry together. Used on the relay's thread; the rate may be set from
-/// others.
+/// Limits the throughput of all connections in one direction. Used on the relay's thread; other threads may set the
+/// rate.
 class shared_rate_limit {
 public:
     explicit shared_rate_limit(std::atomic<std::uint64_t>& bytesPerSecond)
@@ -26,7 +26,7 @@
     {
     }
 
-    /// @brief Books a piece. @return when it may go on
+    /// @brief Reserves bandwidth for a chunk. @param size in bytes @return when the chunk may be forwarded
     std::chrono::steady_clock::time_point reserve(std::size_t size)
     {
         const auto now = std::chrono::steady_clock::now();
@@ -37,7 +37,7 @@
         return m_nextFreeAt;
     }
 
-    /// @brief As much as goes on in a hundredth of a second, so that bytes come evenly.
+    /// @brief The bytes that the rate allows in 10 ms, so that they are forwarded evenly.
     [[nodiscard]] std::size_t maxChunkBytes(std::size_t bufferSize) const
     {
         constexpr std::uint64_t chunksPerSecond = 100;
@@ -50,7 +50,7 @@
     std::chrono::steady_clock::time_point m_nextFreeAt;
 };
 
-/// One direction of a connection_pair.
+/// One direction of a relayed connection.
 struct stream_direction {
     stream_direction(asio::io_context& io, tcp::socket& source, tcp::socket& sink, bool isUpstreamDirection,
         shared_rate_limit& rateLimit)
@@ -69,7 +69,7 @@
     std::array<char, 16384> buffer {};
 };
 
-/// Two sockets whose bytes go from one to the other.
+/// A relayed connection: the client's socket and the one to the relay's target.
 struct connection_pair : std::enable_shared_from_this<connection_pair> {
     connection_pair(asio::io_context& io, std::atomic<relay_mode>& relayMode, shared_rate_limit& upstreamRate,
         shared_rate_limit& downstreamRate)
@@ -100,7 +100,7 @@
             });
     }
 
-    /// Lets a piece wait for its sendAt under the bound on the rate.
+    /// Forwards a chunk once the rate limit allows it.
     void waitForRate(stream_direction& direction, std::size_t size)
     {
         const bool isSlow = mode.load() == relay_mode::Slow;
@@ -116,6 +116,7 @@
         });
     }
 
+    /// Forwards a chunk, in mode Slow after a delay, once the mode lets this direction pass.
     void forward(stream_direction& direction, std::size_t size, bool isSlow)
     {
         if (isSlow || isBlocked(direction)) {
--- a/tests/support/relay.hpp
+++ b/tests/support/relay.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A TCP relay that can harm what it carries while the connections stay open.
+/// @brief A TCP relay that injects faults into open connections.
 #pragma once
 
 #include <atomic>
@@ -9,23 +9,32 @@
 
 namespace test_support {
 
-/// What becomes of bytes. "Outward" is from who dials to who is dialled.
-enum class relay_mode { Pass, Silent, UpstreamOnly, DownstreamOnly, Slow };
+/// How bytes are forwarded. Upstream is from the side that dialled the relay to the relay's target. Bytes that a mode
+/// holds back are forwarded once a later mode allows it.
+enum class relay_mode {
+    Pass,
+    Silent, ///< neither direction
+    UpstreamOnly,
+    DownstreamOnly,
+    Slow, ///< both directions, each chunk with a delay
+};
 
 class relay {
 public:
-    /// @brief Listens on a free loopback port and forwards to "IP:port".
+    /// @brief Listens on a free loopback port. @param target "IP:port" to forward to
     explicit relay(const std::string& target);
     relay(const relay&) = delete;
     relay& operator=(const relay&) = delete;
     ~relay();
 
+    /// @return "IP:port" on which the relay listens
     [[nodiscard]] std::string address() const;
     void setMode(relay_mode mode);
     void setSilent(bool silent) { setMode(silent ? relay_mode::Silent : relay_mode::Pass); }
-    /// @brief What all connections together carry in each direction, in bytes a second; 0: no bound.
+    /// @brief Limits the throughput of all connections together, in each direction.
+    /// @param bytesPerSecond 0: no limit
     void setRate(std::uint64_t bytesPerSecond);
-    /// @brief Breaks every connection that it carries.
+    /// @brief Resets every open connection.
     void resetConnections();
 
 private:
--- a/tests/support/unresponsive_listener.hpp
+++ b/tests/support/unresponsive_listener.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A port on loopback that takes connections, or lets them hang, and never says a word.
+/// @brief A loopback port that accepts connections, or leaves them pending, and never sends a byte.
 #pragma once
 
 #include <arpa/inet.h>
@@ -30,17 +30,18 @@
 
     [[nodiscard]] std::string address() const { return "127.0.0.1:" + std::to_string(ntohs(m_address.sin_port)); }
 
-    /// Connections that hang in the queue: with a backlog of 0 the system drops the opening packets that follow.
+    /// @brief Fills the accept queue with connections. With a backlog of 0 the kernel drops the SYN packets of later
+    /// ones.
     void fillBacklog()
     {
         for (int at = 0; at < 3; ++at) {
             m_pendingConnections.push_back(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
-            (void)connect(
-                m_pendingConnections.back(), socketAddress(), sizeof(m_address)); // most of them stay under way
+            // Most of them never complete.
+            (void)connect(m_pendingConnections.back(), socketAddress(), sizeof(m_address));
         }
     }
 
-    /// Ends as a crashed process does: its connections are reset, and later ones are refused.
+    /// @brief Closes the port as the crash of a process does: connections are reset, and later ones are refused.
     void stop()
     {
         for (const int connection : m_pendingConnections)
@@ -52,7 +53,7 @@
     }
 
 private:
-    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): the sockets' own way
+    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): required by the sockets API
     sockaddr* socketAddress() { return reinterpret_cast<sockaddr*>(&m_address); }
 
     int m_socket;
