--- a/tests/support/gateway_world.cpp
+++ b/tests/support/gateway_world.cpp
@@ -20,6 +20,7 @@
 constexpr std::size_t seedCount = 3; ///< registries that the settings of every process list
 constexpr milliseconds startTimeout { 20000 };
 constexpr milliseconds controlTimeout { 1500 };
+constexpr milliseconds killTimeout { 5000 }; ///< until a process that got SIGKILL has ended
 
 json routeOf(const std::string& name, const std::string& prefix, const std::string& kind, const std::string& service)
 {
@@ -35,12 +36,12 @@
         routeOf("safe", "/safe/", "safe", "app"), routeOf("unsafe", "/unsafe/", "unsafe", "app") });
     if (!extraRoute.empty())
         routes.push_back(routeOf(extraRoute, "/" + extraRoute + "/", "safe", "app"));
-    std::mt19937 letters(1);
+    std::mt19937 random(1);
     for (std::size_t at = 0; at < options.fillerRoutes; ++at) {
-        std::string name;
-        while (name.size() < options.fillerPathLength)
-            name += static_cast<char>('a' + letters() % 26);
-        routes.push_back(routeOf("filler-" + std::to_string(at), "/" + name + "/", "safe", "app"));
+        std::string path;
+        while (path.size() < options.fillerPathLength)
+            path += static_cast<char>('a' + random() % 26);
+        routes.push_back(routeOf("filler-" + std::to_string(at), "/" + path + "/", "safe", "app"));
     }
     const json engine { { "layers", stand_in_fleet::layers }, { "layer-mb", 100 }, { "kv-token-bytes", 16 },
         { "step_ms", 1 }, { "usual", { { "prompt", 10 }, { "answer", 10 } } },
@@ -74,8 +75,8 @@
     : m_enginesPerDomain(enginesPerDomain)
     , m_gatewaySettings(std::move(gatewaySettings))
 {
-    std::string pattern = (std::filesystem::temp_directory_path() / "gateway-world-XXXXXX").string();
-    m_folder = ::mkdtemp(pattern.data());
+    std::string folderTemplate = (std::filesystem::temp_directory_path() / "gateway-world-XXXXXX").string();
+    m_folder = ::mkdtemp(folderTemplate.data());
     for (std::size_t at = 0; at < registries; ++at)
         m_registries.push_back("registry-" + std::to_string(at + 1));
     for (std::size_t at = 0; at < gateways; ++at)
@@ -88,7 +89,7 @@
     for (const auto& [name, pid] : m_pids)
         ::kill(pid, SIGKILL);
     for (const auto& [name, pid] : m_pids)
-        (void)waitForProcess(pid, std::chrono::seconds(5));
+        (void)waitForProcess(pid, killTimeout);
     m_fleet.reset();
     std::error_code ignored;
     if (!m_keepsFolder)
@@ -108,12 +109,12 @@
     const std::string controlPort = freeAddress().substr(10);
     std::string links;
     for (std::size_t at = 0; at < m_registries.size(); ++at) {
-        auto& before = m_relays[m_registries[at]];
-        before = std::make_unique<relay>("127.0.0.1" + std::to_string(at + 1) + ":" + linkPort);
+        auto& registryRelay = m_relays[m_registries[at]];
+        registryRelay = std::make_unique<relay>("127.0.0.1" + std::to_string(at + 1) + ":" + linkPort);
         if (at < seedCount)
-            links += (at == 0 ? "" : ", ") + before->address();
+            links += (at == 0 ? "" : ", ") + registryRelay->address();
     }
-    const auto write = [this](const std::string& name, const std::string& role, const std::string& text) {
+    const auto writeFile = [this](const std::string& name, const std::string& role, const std::string& text) {
         const std::string file = m_folder + "/" + name + ".ini";
         std::ofstream(file) << text;
         m_commands[name] = { binaryPath("buckthornrail"), role, "--settings", file };
@@ -122,7 +123,7 @@
         const std::string& name = m_registries[at];
         const std::string ip = "127.0.0.1" + std::to_string(at + 1);
         m_addresses[name] = ip + ":" + controlPort;
-        write(name, "registry",
+        writeFile(name, "registry",
             "[instance]\nid = " + name + "\nfailure_domain = d" + std::to_string(at + 1)
                 + "\n[http]\naddress = " + m_addresses[name] + "\n[link]\naddress = " + ip + ":" + linkPort
                 + "\nannounce = " + m_relays.at(name)->address() + "\nkeep_alive_ms = 300\n[controllers]\naddresses = "
@@ -133,7 +134,7 @@
         const std::string& name = m_gateways[at];
         m_addresses[name] = freeAddress();
         m_health[name] = freeAddress();
-        write(name, "gateway",
+        writeFile(name, "gateway",
             "[instance]\nid = " + name + "\nfailure_domain = d" + std::to_string(at % 3 + 1) + "\n[http]\naddress = "
                 + m_health[name] + "\n[gateway]\naddress = " + m_addresses[name] + "\n" + m_gatewaySettings
                 + "\n[controllers]\naddresses = " + links + "\nheartbeat_ms = 200\n[link]\nkeep_alive_ms = 300\n");
@@ -153,10 +154,10 @@
         startProcess(name);
     for (const auto& name : m_gateways)
         startProcess(name);
-    std::vector<std::string> controls;
+    std::vector<std::string> controlAddresses;
     for (const auto& name : m_registries)
-        controls.push_back(m_addresses.at(name));
-    m_fleet = std::make_unique<stand_in_fleet>(controls);
+        controlAddresses.push_back(m_addresses.at(name));
+    m_fleet = std::make_unique<stand_in_fleet>(controlAddresses);
     for (const std::string domain : { "d1", "d2", "d3" }) {
         for (std::size_t at = 0; at < m_enginesPerDomain; ++at)
             m_engines.push_back(m_fleet->add("llm", domain, "l4"));
@@ -192,7 +193,7 @@
 void gateway_world::killHard(const std::string& name)
 {
     signal(name, SIGKILL);
-    (void)waitForExit(name, std::chrono::seconds(5));
+    (void)waitForExit(name, killTimeout);
 }
 
 void gateway_world::loseDisk(const std::string& registry)
@@ -200,9 +201,9 @@
     std::filesystem::remove_all(m_folder + "/data-" + registry);
     // A blank member must join the others, not form a new log.
     std::string text = readFile(m_folder + "/" + registry + ".ini");
-    const std::string first = "bootstrap = true";
-    if (const auto at = text.find(first); at != std::string::npos)
-        text.replace(at, first.size(), "bootstrap = false");
+    const std::string setting = "bootstrap = true";
+    if (const auto at = text.find(setting); at != std::string::npos)
+        text.replace(at, setting.size(), "bootstrap = false");
     std::ofstream(m_folder + "/" + registry + ".ini") << text;
 }
 
@@ -319,19 +320,19 @@
 
 int gateway_world::sessionCount(const std::string& registry)
 {
-    const std::string word = "\ngateways ";
+    const std::string linePrefix = "\ngateways ";
     const auto response = sendRequest(m_addresses.at(registry), "GET", "/status", "", {}, controlTimeout);
-    const auto found = response.body.find(word);
-    return found == std::string::npos ? -1 : std::stoi(response.body.substr(found + word.size()));
+    const auto found = response.body.find(linePrefix);
+    return found == std::string::npos ? -1 : std::stoi(response.body.substr(found + linePrefix.size()));
 }
 
 std::string gateway_world::targetState(const std::string& registry, const std::string& targetId)
 {
     std::istringstream line(targetLine(registry, targetId));
-    std::string word;
+    std::string state;
     for (int column = 0; column < 5; ++column)
-        line >> word;
-    return word;
+        line >> state; // the fifth column
+    return state;
 }
 
 int gateway_world::announceUnreachableTarget(const std::string& registry)
--- a/tests/support/gateway_world.hpp
+++ b/tests/support/gateway_world.hpp
@@ -13,6 +13,8 @@
 
 namespace test_support {
 
+inline constexpr std::chrono::milliseconds defaultCallTimeout { 5000 };
+
 /// The response that a caller received from a gateway or registry.
 struct caller_response {
     int status = 0; ///< 0: no response
@@ -76,7 +78,7 @@
     /// @param timeout also sent as the request's deadline
     /// @param key API key of the tenant
     caller_response call(const std::string& gateway, const std::string& method, const std::string& path,
-        const std::string& requestId, std::chrono::milliseconds timeout = std::chrono::milliseconds(5000),
+        const std::string& requestId, std::chrono::milliseconds timeout = defaultCallTimeout,
         const std::string& key = "key-1");
     /// @return names and values of the header fields that a caller sends
     static std::vector<std::pair<std::string, std::string>> callerFields(
--- a/tests/support/unresponsive_listener.hpp
+++ b/tests/support/unresponsive_listener.hpp
@@ -34,7 +34,8 @@
     /// ones.
     void fillBacklog()
     {
-        for (int at = 0; at < 3; ++at) {
+        constexpr int connections = 3;
+        for (int at = 0; at < connections; ++at) {
             m_pendingConnections.push_back(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
             // Most of them never complete.
             (void)connect(m_pendingConnections.back(), socketAddress(), sizeof(m_address));
