--- a/tests/demo/fleet_demo.cpp
+++ b/tests/demo/fleet_demo.cpp
@@ -35,13 +35,13 @@
 std::string streamPath() { return "/stream/n" + std::to_string(eventCount); }
 
 /// @brief Requests a stream in another thread.
-std::future<caller_answer> startStream(gateway_world& world, const std::string& gateway, const std::string& id)
+std::future<caller_response> startStream(gateway_world& world, const std::string& gateway, const std::string& id)
 {
     return std::async(
         std::launch::async, [&world, gateway, id] { return world.call(gateway, "POST", streamPath(), id, timeout); });
 }
 
-void requireComplete(const std::string& id, const caller_answer& response)
+void requireComplete(const std::string& id, const caller_response& response)
 {
     require(response.body == gateway_world::streamBody(streamPath(), eventCount),
         id + " didn't receive its complete response");
@@ -52,7 +52,7 @@
 {
     std::cout << "  leader " << world.leader() << "; sessions";
     for (const auto& name : world.registries())
-        std::cout << "  " << name << " " << world.sessionsAt(name);
+        std::cout << "  " << name << " " << world.sessionCount(name);
     std::cout << "\n";
 }
 
@@ -85,7 +85,7 @@
         << "== three registries, three gateways, 12 targets with layers in three failure domains, a plain service\n";
     const auto isBalanced = [&world] {
         return std::all_of(world.registries().begin(), world.registries().end(),
-            [&world](const auto& name) { return world.sessionsAt(name) == 1; });
+            [&world](const auto& name) { return world.sessionCount(name) == 1; });
     };
     require(waitUntil(isBalanced, timeout), "sessions weren't balanced over the registries");
     printSessions(world);
@@ -103,7 +103,7 @@
     stream = startStream(world, world.gateways()[1], "demo-leader-killed");
     const std::string leader = world.leader();
     world.killHard(leader);
-    require(waitUntil([&] { return world.publishAnywhere(2, "changed") == 200; }, timeout),
+    require(waitUntil([&] { return world.publishToAny(2, "changed") == 200; }, timeout),
         "no registry accepted the change");
     for (const auto& gateway : world.gateways()) {
         const std::string id = "demo-changed-" + gateway;
--- a/tests/soak/check_call.hpp
+++ b/tests/soak/check_call.hpp
@@ -25,15 +25,15 @@
     }
     if (response.status != 200)
         return;
-    if (response.stamp.empty())
+    if (response.serverStamp.empty())
         violations.report(what + " has no server stamp");
     const std::string expected = record.path.starts_with("/stream/")
         ? gateway_world::streamBody(record.path, eventCountOf(record.path))
         : stand_in_fleet::plainBody(record.path);
-    const bool isRight = response.isWhole ? response.body == expected : expected.starts_with(response.body);
+    const bool isRight = response.isComplete ? response.body == expected : expected.starts_with(response.body);
     if (!isRight)
         violations.report(what
-            + (response.isWhole ? " is complete, but isn't the response to its request"
+            + (response.isComplete ? " is complete, but isn't the response to its request"
                                 : " isn't a prefix of the response to its request"));
 }
 
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -4,7 +4,7 @@
 /// soak --seed N [--seconds S] [--gateways G] [--engines E] [--pushback]. Exits with 0 if no invariant
 /// was violated, with 1 after a violation (it is printed, and the logs are kept), with 2 after an error.
 #include "soak/check_call.hpp"
-#include "support/limit_promise.hpp"
+#include "support/rate_limit_bounds.hpp"
 
 #include <algorithm>
 #include <atomic>
@@ -297,8 +297,8 @@
         m_world.fleet().setLimit(target, perSecond);
         beginFault("target " + std::to_string(target) + " names a limit of " + std::to_string(perSecond)
                 + " requests per second",
-            limitSettling + milliseconds(2000 + m_pushbackRandom() % 6000),
-            [this, target, perSecond, from = clock_type::now() + limitSettling] {
+            limitGracePeriod + milliseconds(2000 + m_pushbackRandom() % 6000),
+            [this, target, perSecond, from = clock_type::now() + limitGracePeriod] {
                 checkLimit(target, perSecond, from);
                 m_world.fleet().setLimit(target, std::nullopt);
                 m_reserved.erase("pushback" + std::to_string(target));
@@ -307,15 +307,15 @@
 
     void checkLimit(std::size_t target, double perSecond, clock_type::time_point from)
     {
-        const auto most = mostInWindow(m_world.fleet().arrivalsAt(target), from);
-        if (static_cast<double>(most) > allowedUnder(perSecond))
+        const auto most = peakRequestsPerWindow(m_world.fleet().arrivalsAt(target), from);
+        if (static_cast<double>(most) > maxRequestsPerWindow(perSecond))
             m_violations.report("target " + std::to_string(target) + " named a limit of " + std::to_string(perSecond)
                 + " requests per second and got " + std::to_string(most) + " in 4 s");
     }
 
     void impairLinks()
     {
-        static constexpr std::array modes { relay_mode::Silent, relay_mode::OutwardOnly, relay_mode::InwardOnly,
+        static constexpr std::array modes { relay_mode::Silent, relay_mode::UpstreamOnly, relay_mode::DownstreamOnly,
             relay_mode::Slow };
         const std::string name = m_world.registries()[m_random() % m_world.registries().size()];
         if (!reserve("link" + name))
@@ -343,7 +343,7 @@
     void resetLinks()
     {
         const std::string name = m_world.registries()[m_random() % m_world.registries().size()];
-        m_world.linkRelay(name).resetAll();
+        m_world.linkRelay(name).resetConnections();
         std::cout << "! reset the links of " << name << std::endl;
     }
 
@@ -388,8 +388,8 @@
             document_options options;
             options.extraRoute = "v" + std::to_string(version);
             if (m_random() % 4 == 0) {
-                options.fillers = 500;
-                options.fillerLength = 300; // 100 KB even when compressed
+                options.fillerRoutes = 500;
+                options.fillerPathLength = 300; // 100 KB even when compressed
             }
             if (m_world.publish(version, registry, options) == 200)
                 m_acknowledged.emplace_back(clock_type::now(), version);
@@ -421,7 +421,7 @@
         std::size_t number = 0;
         const auto serves = [&](const std::string& gateway) {
             const std::string id = "end-" + gateway + std::to_string(++number);
-            return m_world.call(gateway, "POST", "/stream/" + id + "/n5", id).isWhole
+            return m_world.call(gateway, "POST", "/stream/" + id + "/n5", id).isComplete
                 && m_world.call(gateway, "POST", "/safe/" + id, id + "s").status == 200;
         };
         for (const auto& name : m_world.gateways()) {
--- a/tests/support/cluster.hpp
+++ b/tests/support/cluster.hpp
@@ -96,7 +96,7 @@
         const nlohmann::json& document, std::uint64_t base, const std::string& changeId) const;
 
     /// @brief Sends a completion request through an entry.
-    /// @return the record that the checks of promises.hpp need
+    /// @return the record that the checks of invariants.hpp need
     caller_record complete(const std::string& entry, const std::string& prompt, std::uint32_t tokens,
         bool streams = false, const std::string& pipeline = "essay-summary") const;
     /// @brief Sends a non-idempotent request to the service "booking" through an entry.
--- a/tests/support/gateway_world.cpp
+++ b/tests/support/gateway_world.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Starting, harming and asking registries and gateways.
+/// @brief Start, faults and requests of the registries and gateways.
 #include "support/gateway_world.hpp"
 
 #include "buckthornrail/http/http_client.hpp"
@@ -17,9 +17,10 @@
 using namespace buckthornrail;
 using nlohmann::json;
 
-constexpr std::size_t seedCount = 3; ///< registries that every process is told of
-constexpr milliseconds startPatience { 20000 };
-constexpr milliseconds controlPatience { 1500 };
+constexpr std::size_t seedCount = 3; ///< registries that the settings of every process list
+constexpr milliseconds startTimeout { 20000 };
+constexpr milliseconds controlTimeout { 1500 };
+constexpr milliseconds killTimeout { 5000 }; ///< until a process that got SIGKILL has ended
 
 json routeOf(const std::string& name, const std::string& prefix, const std::string& kind, const std::string& service)
 {
@@ -35,12 +36,12 @@
         routeOf("safe", "/safe/", "safe", "app"), routeOf("unsafe", "/unsafe/", "unsafe", "app") });
     if (!extraRoute.empty())
         routes.push_back(routeOf(extraRoute, "/" + extraRoute + "/", "safe", "app"));
-    std::mt19937 letters(1);
-    for (std::size_t at = 0; at < options.fillers; ++at) {
-        std::string name;
-        while (name.size() < options.fillerLength)
-            name += static_cast<char>('a' + letters() % 26);
-        routes.push_back(routeOf("filler-" + std::to_string(at), "/" + name + "/", "safe", "app"));
+    std::mt19937 random(1);
+    for (std::size_t at = 0; at < options.fillerRoutes; ++at) {
+        std::string path;
+        while (path.size() < options.fillerPathLength)
+            path += static_cast<char>('a' + random() % 26);
+        routes.push_back(routeOf("filler-" + std::to_string(at), "/" + path + "/", "safe", "app"));
     }
     const json engine { { "layers", stand_in_fleet::layers }, { "layer-mb", 100 }, { "kv-token-bytes", 16 },
         { "step_ms", 1 }, { "usual", { { "prompt", 10 }, { "answer", 10 } } },
@@ -53,8 +54,8 @@
     return document.dump();
 }
 
-http::client_response ask(const std::string& address, const std::string& method, const std::string& path,
-    const std::string& body, std::vector<http::header_field> headers, milliseconds patience)
+http::client_response sendRequest(const std::string& address, const std::string& method, const std::string& path,
+    const std::string& body, std::vector<http::header_field> headers, milliseconds timeout)
 {
     http::client_request request;
     request.address = address;
@@ -63,7 +64,7 @@
     request.body = body;
     request.headers = std::move(headers);
     request.contentType = body.empty() ? "" : "application/json";
-    request.deadline = buckthornrail::boot_clock::now() + patience;
+    request.deadline = buckthornrail::boot_clock::now() + timeout;
     return http::call(request);
 }
 
@@ -74,8 +75,8 @@
     : m_enginesPerDomain(enginesPerDomain)
     , m_gatewaySettings(std::move(gatewaySettings))
 {
-    std::string pattern = (std::filesystem::temp_directory_path() / "gateway-world-XXXXXX").string();
-    m_folder = ::mkdtemp(pattern.data());
+    std::string folderTemplate = (std::filesystem::temp_directory_path() / "gateway-world-XXXXXX").string();
+    m_folder = ::mkdtemp(folderTemplate.data());
     for (std::size_t at = 0; at < registries; ++at)
         m_registries.push_back("registry-" + std::to_string(at + 1));
     for (std::size_t at = 0; at < gateways; ++at)
@@ -88,7 +89,7 @@
     for (const auto& [name, pid] : m_pids)
         ::kill(pid, SIGKILL);
     for (const auto& [name, pid] : m_pids)
-        (void)waitForProcess(pid, std::chrono::seconds(5));
+        (void)waitForProcess(pid, killTimeout);
     m_fleet.reset();
     std::error_code ignored;
     if (!m_keepsFolder)
@@ -103,17 +104,17 @@
 
 void gateway_world::writeSettings()
 {
-    // Ports are the same on all registries, as on the machines that they stand for; the addresses differ.
+    // The registries have the same ports and different IP addresses, as on separate machines.
     const std::string linkPort = freeAddress().substr(10);
     const std::string controlPort = freeAddress().substr(10);
     std::string links;
     for (std::size_t at = 0; at < m_registries.size(); ++at) {
-        auto& before = m_relays[m_registries[at]];
-        before = std::make_unique<relay>("127.0.0.1" + std::to_string(at + 1) + ":" + linkPort);
+        auto& registryRelay = m_relays[m_registries[at]];
+        registryRelay = std::make_unique<relay>("127.0.0.1" + std::to_string(at + 1) + ":" + linkPort);
         if (at < seedCount)
-            links += (at == 0 ? "" : ", ") + before->address();
+            links += (at == 0 ? "" : ", ") + registryRelay->address();
     }
-    const auto write = [this](const std::string& name, const std::string& role, const std::string& text) {
+    const auto writeFile = [this](const std::string& name, const std::string& role, const std::string& text) {
         const std::string file = m_folder + "/" + name + ".ini";
         std::ofstream(file) << text;
         m_commands[name] = { binaryPath("buckthornrail"), role, "--settings", file };
@@ -122,7 +123,7 @@
         const std::string& name = m_registries[at];
         const std::string ip = "127.0.0.1" + std::to_string(at + 1);
         m_addresses[name] = ip + ":" + controlPort;
-        write(name, "registry",
+        writeFile(name, "registry",
             "[instance]\nid = " + name + "\nfailure_domain = d" + std::to_string(at + 1)
                 + "\n[http]\naddress = " + m_addresses[name] + "\n[link]\naddress = " + ip + ":" + linkPort
                 + "\nannounce = " + m_relays.at(name)->address() + "\nkeep_alive_ms = 300\n[controllers]\naddresses = "
@@ -133,7 +134,7 @@
         const std::string& name = m_gateways[at];
         m_addresses[name] = freeAddress();
         m_health[name] = freeAddress();
-        write(name, "gateway",
+        writeFile(name, "gateway",
             "[instance]\nid = " + name + "\nfailure_domain = d" + std::to_string(at % 3 + 1) + "\n[http]\naddress = "
                 + m_health[name] + "\n[gateway]\naddress = " + m_addresses[name] + "\n" + m_gatewaySettings
                 + "\n[controllers]\naddresses = " + links + "\nheartbeat_ms = 200\n[link]\nkeep_alive_ms = 300\n");
@@ -153,10 +154,10 @@
         startProcess(name);
     for (const auto& name : m_gateways)
         startProcess(name);
-    std::vector<std::string> controls;
+    std::vector<std::string> controlAddresses;
     for (const auto& name : m_registries)
-        controls.push_back(m_addresses.at(name));
-    m_fleet = std::make_unique<stand_in_fleet>(controls);
+        controlAddresses.push_back(m_addresses.at(name));
+    m_fleet = std::make_unique<stand_in_fleet>(controlAddresses);
     for (const std::string domain : { "d1", "d2", "d3" }) {
         for (std::size_t at = 0; at < m_enginesPerDomain; ++at)
             m_engines.push_back(m_fleet->add("llm", domain, "l4"));
@@ -168,10 +169,10 @@
             return call(name, "POST", "/stream/n1", id).status == 200;
         });
     };
-    return waitUntil([this] { return publishAnywhere(1) == 200; }, startPatience)
+    return waitUntil([this] { return publishToAny(1) == 200; }, startTimeout)
         && waitUntil([this] { return m_fleet->hasChain("d1") && m_fleet->hasChain("d2") && m_fleet->hasChain("d3"); },
-            startPatience)
-        && waitUntil(isServing, startPatience);
+            startTimeout)
+        && waitUntil(isServing, startTimeout);
 }
 
 void gateway_world::startProcess(const std::string& name)
@@ -181,9 +182,9 @@
 
 void gateway_world::signal(const std::string& name, int number) { ::kill(m_pids.at(name), number); }
 
-int gateway_world::waitForExit(const std::string& name, std::chrono::milliseconds patience)
+int gateway_world::waitForExit(const std::string& name, std::chrono::milliseconds timeout)
 {
-    const int status = waitForProcess(m_pids.at(name), patience);
+    const int status = waitForProcess(m_pids.at(name), timeout);
     if (status != -1)
         m_pids.erase(name);
     return status;
@@ -192,17 +193,17 @@
 void gateway_world::killHard(const std::string& name)
 {
     signal(name, SIGKILL);
-    (void)waitForExit(name, std::chrono::seconds(5));
+    (void)waitForExit(name, killTimeout);
 }
 
 void gateway_world::loseDisk(const std::string& registry)
 {
     std::filesystem::remove_all(m_folder + "/data-" + registry);
-    // The first start is over: a blank member must join, not form a log.
+    // A blank member must join the others, not form a new log.
     std::string text = readFile(m_folder + "/" + registry + ".ini");
-    const std::string first = "bootstrap = true";
-    if (const auto at = text.find(first); at != std::string::npos)
-        text.replace(at, first.size(), "bootstrap = false");
+    const std::string setting = "bootstrap = true";
+    if (const auto at = text.find(setting); at != std::string::npos)
+        text.replace(at, setting.size(), "bootstrap = false");
     std::ofstream(m_folder + "/" + registry + ".ini") << text;
 }
 
@@ -215,10 +216,11 @@
 
 int gateway_world::publish(std::uint64_t version, const std::string& registry, const document_options& options)
 {
-    return ask(m_addresses.at(registry), "PUT", "/config", documentOf(version, options), {}, controlPatience).status;
+    return sendRequest(m_addresses.at(registry), "PUT", "/config", documentOf(version, options), {}, controlTimeout)
+        .status;
 }
 
-int gateway_world::publishAnywhere(std::uint64_t version, const std::string& extraRoute)
+int gateway_world::publishToAny(std::uint64_t version, const std::string& extraRoute)
 {
     int status = 0;
     for (const auto& name : m_registries) {
@@ -231,7 +233,7 @@
 
 std::optional<std::uint64_t> gateway_world::readVersion(const std::string& registry)
 {
-    const auto response = ask(m_addresses.at(registry), "GET", "/config", "", {}, controlPatience);
+    const auto response = sendRequest(m_addresses.at(registry), "GET", "/config", "", {}, controlTimeout);
     if (response.status != 200)
         return std::nullopt;
     return json::parse(response.body).at("version").get<std::uint64_t>();
@@ -242,97 +244,98 @@
     for (const auto& name : m_registries) {
         if (!isRunning(name))
             continue;
-        const auto response = ask(m_addresses.at(name), "GET", "/metrics", "", {}, controlPatience);
+        const auto response = sendRequest(m_addresses.at(name), "GET", "/metrics", "", {}, controlTimeout);
         if (response.body.find("buckthornrail_is_leader 1") != std::string::npos)
             return name;
     }
     return {};
 }
 
-caller_answer gateway_world::call(const std::string& gateway, const std::string& method, const std::string& path,
-    const std::string& requestId, std::chrono::milliseconds patience, const std::string& key)
+caller_response gateway_world::call(const std::string& gateway, const std::string& method, const std::string& path,
+    const std::string& requestId, std::chrono::milliseconds timeout, const std::string& key)
 {
     std::vector<http::header_field> headers;
-    for (auto& [name, value] : callerFields(requestId, patience, key))
+    for (auto& [name, value] : callerFields(requestId, timeout, key))
         headers.push_back({ name, value });
-    const auto response = ask(m_addresses.at(gateway), method, path, "", std::move(headers), patience);
-    caller_answer answer;
-    answer.status = response.status;
-    answer.isWhole = response.outcome == http::client_outcome::Ok;
-    answer.body = response.body;
+    const auto response = sendRequest(m_addresses.at(gateway), method, path, "", std::move(headers), timeout);
+    caller_response result;
+    result.status = response.status;
+    result.isComplete = response.outcome == http::client_outcome::Ok;
+    result.body = response.body;
     for (const auto& header : response.headers) {
         if (header.name == "X-Buckthornrail-Server-Stamp")
-            answer.stamp = header.value;
+            result.serverStamp = header.value;
         if (header.name == "Retry-After")
-            answer.comeBack = header.value;
+            result.retryAfter = header.value;
     }
-    return answer;
+    return result;
 }
 
 std::vector<std::pair<std::string, std::string>> gateway_world::callerFields(
-    const std::string& requestId, std::chrono::milliseconds patience, const std::string& key)
+    const std::string& requestId, std::chrono::milliseconds timeout, const std::string& key)
 {
     return { { "Host", "h.example" }, { "X-Buckthornrail-Attempt-Id", requestId },
-        { "X-Buckthornrail-Deadline-Ms", std::to_string(patience.count()) }, { "Authorization", "Bearer " + key },
+        { "X-Buckthornrail-Deadline-Ms", std::to_string(timeout.count()) }, { "Authorization", "Bearer " + key },
         { "X-Buckthornrail-Token-Count", "10,10" } };
 }
 
 int gateway_world::readyStatus(const std::string& gateway)
 {
-    return ask(m_health.at(gateway), "GET", "/readyz", "", {}, controlPatience).status;
+    return sendRequest(m_health.at(gateway), "GET", "/readyz", "", {}, controlTimeout).status;
 }
 
 std::string gateway_world::targetLine(const std::string& registry, const std::string& targetId)
 {
-    const auto response = ask(m_addresses.at(registry), "GET", "/status", "", {}, controlPatience);
+    const auto response = sendRequest(m_addresses.at(registry), "GET", "/status", "", {}, controlTimeout);
     const auto at = response.body.find("target " + targetId + " ");
     return at == std::string::npos ? std::string() : response.body.substr(at, response.body.find('\n', at) - at);
 }
 
 std::string gateway_world::metricsOf(const std::string& registry)
 {
-    return ask(m_addresses.at(registry), "GET", "/metrics", "", {}, controlPatience).body;
+    return sendRequest(m_addresses.at(registry), "GET", "/metrics", "", {}, controlTimeout).body;
 }
 
-caller_answer gateway_world::control(const std::string& registry, const std::string& method, const std::string& path)
+caller_response gateway_world::callRegistry(
+    const std::string& registry, const std::string& method, const std::string& path)
 {
-    const auto response = ask(m_addresses.at(registry), method, path, "", {}, controlPatience);
-    caller_answer answer;
-    answer.status = response.status;
-    answer.isWhole = response.outcome == http::client_outcome::Ok;
-    answer.body = response.body;
-    return answer;
+    const auto response = sendRequest(m_addresses.at(registry), method, path, "", {}, controlTimeout);
+    caller_response result;
+    result.status = response.status;
+    result.isComplete = response.outcome == http::client_outcome::Ok;
+    result.body = response.body;
+    return result;
 }
 
 int gateway_world::sendRecord(
     const std::string& registry, const std::string& method, const std::string& id, const std::string& body)
 {
-    return ask(m_addresses.at(registry), method, "/instances/" + id, body, {}, controlPatience).status;
+    return sendRequest(m_addresses.at(registry), method, "/instances/" + id, body, {}, controlTimeout).status;
 }
 
-std::string gateway_world::answerToRecord(const std::string& registry, const std::string& id, const std::string& body)
+std::string gateway_world::responseToRecord(const std::string& registry, const std::string& id, const std::string& body)
 {
-    return ask(m_addresses.at(registry), "PUT", "/instances/" + id, body, {}, controlPatience).body;
+    return sendRequest(m_addresses.at(registry), "PUT", "/instances/" + id, body, {}, controlTimeout).body;
 }
 
-int gateway_world::sessionsAt(const std::string& registry)
+int gateway_world::sessionCount(const std::string& registry)
 {
-    const std::string word = "\ngateways ";
-    const auto response = ask(m_addresses.at(registry), "GET", "/status", "", {}, controlPatience);
-    const auto found = response.body.find(word);
-    return found == std::string::npos ? -1 : std::stoi(response.body.substr(found + word.size()));
+    const std::string linePrefix = "\ngateways ";
+    const auto response = sendRequest(m_addresses.at(registry), "GET", "/status", "", {}, controlTimeout);
+    const auto found = response.body.find(linePrefix);
+    return found == std::string::npos ? -1 : std::stoi(response.body.substr(found + linePrefix.size()));
 }
 
 std::string gateway_world::targetState(const std::string& registry, const std::string& targetId)
 {
     std::istringstream line(targetLine(registry, targetId));
-    std::string word;
+    std::string state;
     for (int column = 0; column < 5; ++column)
-        line >> word;
-    return word;
+        line >> state; // the fifth column
+    return state;
 }
 
-int gateway_world::announceTo(const std::string& registry)
+int gateway_world::announceUnreachableTarget(const std::string& registry)
 {
     return sendRecord(
         registry, "PUT", "i-alone", R"({"service":"app","address":"127.0.0.1:9","zone":"d1","state":"ready","seq":1})");
