--- a/tests/demo/fleet_demo.cpp
+++ b/tests/demo/fleet_demo.cpp
@@ -103,8 +103,8 @@
     stream = startStream(world, world.gateways()[1], "demo-leader-killed");
     const std::string leader = world.leader();
     world.killHard(leader);
-    require(waitUntil([&] { return world.publishToAny(2, "changed") == 200; }, timeout),
-        "no registry accepted the change");
+    require(
+        waitUntil([&] { return world.publishToAny(2, "changed") == 200; }, timeout), "no registry accepted the change");
     for (const auto& gateway : world.gateways()) {
         const std::string id = "demo-changed-" + gateway;
         require(waitUntil([&] { return world.call(gateway, "GET", "/changed/x", id).status == 200; }, seconds(2)),
--- a/tests/soak/check_call.hpp
+++ b/tests/soak/check_call.hpp
@@ -34,7 +34,7 @@
     if (!isRight)
         violations.report(what
             + (response.isComplete ? " is complete, but isn't the response to its request"
-                                : " isn't a prefix of the response to its request"));
+                                   : " isn't a prefix of the response to its request"));
 }
 
 } // namespace test_support
