--- a/include/buckthornrail/link/link_hub.hpp
+++ b/include/buckthornrail/link/link_hub.hpp
@@ -14,7 +14,7 @@
 namespace buckthornrail::link {
 
 /// Identifies a link within this process; never reused. 0: no link.
-using channel_number = std::uint64_t;
+using link_number = std::uint64_t;
 
 /// Why a link ended. Logs have the names that nameOf() returns.
 enum class link_end_cause : std::uint8_t {
@@ -38,13 +38,13 @@
 
 /// Callbacks; called on the loop thread.
 struct hub_handlers {
-    std::function<void(channel_number, bool inbound)> opened;
-    std::function<void(channel_number)> closed; ///< once for every channel that was opened or dialled
-    std::function<void(channel_number, std::string)> received;
+    std::function<void(link_number, bool inbound)> opened;
+    std::function<void(link_number)> closed; ///< once for every link that was opened or dialled
+    std::function<void(link_number, std::string)> received;
     /// May be empty. A chunk of a longer message was received, or the peer has acknowledged one.
-    std::function<void(channel_number)> progressed = nullptr;
+    std::function<void(link_number)> progressed = nullptr;
     /// May be empty. Called just before `closed`.
-    std::function<void(channel_number, const link_end&)> ending = nullptr;
+    std::function<void(link_number, const link_end&)> ending = nullptr;
 };
 
 struct hub_options {
@@ -78,12 +78,12 @@
     /// @return the port; 0 when it can't listen at the address
     std::uint16_t listen(const std::string& address);
     /// @brief Starts to open a link to "host:port"; `opened` or `closed` is called later.
-    channel_number dial(const std::string& address);
+    link_number dial(const std::string& address);
     /// @brief Sends a message or queues it.
     /// @return false when the link isn't open or its send buffer is full; the message is not sent
-    bool send(channel_number channel, const std::string& message);
+    bool send(link_number link, const std::string& message);
     /// @brief Closes a link without a closing handshake; has no effect on an unknown one.
-    void close(channel_number channel);
+    void close(link_number link);
     /// @brief Stops listening and closes all links without calling `ending` or `closed`.
     void stop();
     /// @brief Bytes sent so far, with the framing of chunks, for metrics.
@@ -93,7 +93,7 @@
     /// @brief Bytes passed to send() that haven't been written to the connections yet, over all links.
     [[nodiscard]] std::size_t bytesWaiting() const;
     /// @brief Bytes passed to send() that haven't been written to this link's connection yet; 0 for an unknown link.
-    [[nodiscard]] std::size_t bytesWaiting(channel_number channel) const;
+    [[nodiscard]] std::size_t bytesWaiting(link_number link) const;
 
 private:
     struct implementation;
--- a/include/buckthornrail/link/message.hpp
+++ b/include/buckthornrail/link/message.hpp
@@ -114,11 +114,11 @@
 };
 
 /// Addresses and failure domain of a controller. Without recent contact to it only `address` is set.
-struct controller_location {
+struct controller_endpoint {
     std::string address; ///< link address
     std::string controlAddress; ///< for HTTP calls
     std::string failureDomain;
-    bool operator==(const controller_location&) const = default;
+    bool operator==(const controller_endpoint&) const = default;
 };
 
 /// Entry to sidecars of an earlier chain: all generations of the request below this one are to be rejected.
@@ -202,7 +202,7 @@
     bool waitsForQuorum = false; ///< the controller knows a leader, but a quorum hasn't confirmed its state yet
     std::vector<text_update> document; ///< at most one; empty: no change
     std::vector<text_update> targets; ///< at most one, between revisions of the table; empty: no change
-    std::vector<controller_location> controllers; ///< all members; empty: unchanged in this session
+    std::vector<controller_endpoint> controllers; ///< all members; empty: unchanged in this session
     std::uint32_t gateways = 1; ///< with an open session, including the receiver
     std::uint32_t budgetSharers = 0; ///< gateways that may have spent from the retry budget; 0: unknown
     std::vector<registry::retry_counts> earlierRepeats; ///< at most one: of earlier processes; empty: unknown
--- a/src/app/controller/controller.cpp
+++ b/src/app/controller/controller.cpp
@@ -25,7 +25,7 @@
     : m_loop(loop)
     , m_settings(settings)
     , m_metrics(metrics)
-    , m_sessions([this](link::channel_number channel, const std::string& bytes) { m_hub->send(channel, bytes); },
+    , m_sessions([this](link::link_number channel, const std::string& bytes) { m_hub->send(channel, bytes); },
           milliseconds(settings.leaseMs))
 {
 }
@@ -36,17 +36,17 @@
 {
     m_hub = std::make_unique<link::link_hub>(m_loop,
         link::hub_handlers {
-            [this](link::channel_number channel, bool inbound) {
+            [this](link::link_number channel, bool inbound) {
                 if (!inbound)
                     m_log->onOpened(channel);
             },
-            [this](link::channel_number channel) {
+            [this](link::link_number channel) {
                 m_sessions.closed(channel);
                 m_log->onClosed(channel);
             },
-            [this](link::channel_number channel, const std::string& bytes) { onMessage(channel, bytes); },
-            [this](link::channel_number channel) { m_log->onProgress(channel); },
-            [this](link::channel_number channel, const link::link_end& end) { m_log->onEnding(channel, end); },
+            [this](link::link_number channel, const std::string& bytes) { onMessage(channel, bytes); },
+            [this](link::link_number channel) { m_log->onProgress(channel); },
+            [this](link::link_number channel, const link::link_end& end) { m_log->onEnding(channel, end); },
         });
     replicated_log_options options;
     options.dataFolder = m_settings.dataFolder;
@@ -146,14 +146,14 @@
     return status;
 }
 
-void controller::onMessage(link::channel_number channel, const std::string& bytes)
+void controller::onMessage(link::link_number channel, const std::string& bytes)
 {
     const auto message = decodeOrClose(*m_hub, channel, bytes);
     if (message && !m_log->onMessage(channel, *message))
         handle(channel, *message);
 }
 
-void controller::handle(link::channel_number channel, const link::message& message)
+void controller::handle(link::link_number channel, const link::message& message)
 {
     if (const auto* heartbeat = std::get_if<link::session_heartbeat>(&message)) {
         m_sessions.heartbeat(channel, *heartbeat, steadyNow());
@@ -215,7 +215,7 @@
         confirmationTimeout);
 }
 
-void controller::onClaim(link::channel_number channel, const link::claim_request& request)
+void controller::onClaim(link::link_number channel, const link::claim_request& request)
 {
     submit(
         request.command,
--- a/src/app/controller/session_table.cpp
+++ b/src/app/controller/session_table.cpp
@@ -20,7 +20,7 @@
     return pages;
 }
 
-void session_table::announced(link::channel_number channel, const link::session_announce& announce, steady_time now)
+void session_table::announced(link::link_number channel, const link::session_announce& announce, steady_time now)
 {
     auto& session = m_sessions[channel];
     const bool isNew = session.record.id.empty();
@@ -34,7 +34,7 @@
     m_renewals.insert(announce.record.id);
 }
 
-void session_table::heartbeat(link::channel_number channel, const link::session_heartbeat& heartbeat, steady_time now)
+void session_table::heartbeat(link::link_number channel, const link::session_heartbeat& heartbeat, steady_time now)
 {
     m_pendingHeartbeats[channel] = heartbeat.sequence;
     const auto found = m_sessions.find(channel);
@@ -44,7 +44,7 @@
     m_renewals.insert(found->second.record.id);
 }
 
-void session_table::closed(link::channel_number channel)
+void session_table::closed(link::link_number channel)
 {
     m_sessions.erase(channel);
     m_pendingHeartbeats.erase(channel);
@@ -122,7 +122,7 @@
     return renewals;
 }
 
-void session_table::push(link::channel_number channel, session_entry& session, const controller_state& state)
+void session_table::push(link::link_number channel, session_entry& session, const controller_state& state)
 {
     if (!session.wantsState)
         return;
--- a/src/app/controller/session_table.hpp
+++ b/src/app/controller/session_table.hpp
@@ -14,7 +14,7 @@
 namespace buckthornrail::app {
 
 /// @brief Sends an encoded message over a channel.
-using channel_sender = std::function<void(link::channel_number, const std::string& bytes)>;
+using channel_sender = std::function<void(link::link_number, const std::string& bytes)>;
 
 /// @brief Sessions of one controller. A session receives nothing until a quorum round that began after one of its
 /// heartbeats has confirmed the controller's state.
@@ -28,11 +28,11 @@
     }
 
     /// @brief Opens a session, or updates the record of an open one.
-    void announced(link::channel_number channel, const link::session_announce& announce, steady_time now);
+    void announced(link::link_number channel, const link::session_announce& announce, steady_time now);
     /// @brief Renews the session's lease. The heartbeat is answered after the next confirmation.
-    void heartbeat(link::channel_number channel, const link::session_heartbeat& heartbeat, steady_time now);
+    void heartbeat(link::link_number channel, const link::session_heartbeat& heartbeat, steady_time now);
     /// @brief Removes the session of a closed link.
-    void closed(link::channel_number channel);
+    void closed(link::link_number channel);
 
     /// @brief Whether heartbeats wait for a confirmation to begin.
     [[nodiscard]] bool hasPendingHeartbeats() const { return !m_pendingHeartbeats.empty(); }
@@ -73,7 +73,7 @@
         std::map<std::uint64_t, std::vector<std::string>> byHeldVersion;
     };
 
-    void push(link::channel_number channel, session_entry& session, const controller_state& state);
+    void push(link::link_number channel, session_entry& session, const controller_state& state);
     /// @brief Drops the updates if they lead to another version or revision.
     static void resetIfOutdated(encoded_updates& updates, std::uint64_t to);
     /// @param held the receiver's version, or revision of the membership table
@@ -83,9 +83,9 @@
 
     channel_sender m_send;
     milliseconds m_lease;
-    std::map<link::channel_number, session_entry> m_sessions;
-    std::map<link::channel_number, std::uint64_t> m_pendingHeartbeats; ///< sequence of the newest heartbeat, by channel
-    std::map<std::uint64_t, std::map<link::channel_number, std::uint64_t>> m_confirming; ///< heartbeats by confirmation
+    std::map<link::link_number, session_entry> m_sessions;
+    std::map<link::link_number, std::uint64_t> m_pendingHeartbeats; ///< sequence of the newest heartbeat, by channel
+    std::map<std::uint64_t, std::map<link::link_number, std::uint64_t>> m_confirming; ///< heartbeats by confirmation
     std::set<instance_id> m_renewals; ///< instances whose leases the leader has to renew
     encoded_updates m_configuration;
     encoded_updates m_membership;
--- a/src/app/controller/session_table_test.cpp
+++ b/src/app/controller/session_table_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr milliseconds lease { 3000 };
-constexpr link::channel_number channel = 7;
+constexpr link::link_number channel = 7;
 const steady_time begin = steady_time {} + std::chrono::hours(1);
 
 link::session_announce announceOf(membership::instance_state state, bool wantsState)
--- a/src/app/entry/entry.cpp
+++ b/src/app/entry/entry.cpp
@@ -68,16 +68,16 @@
 {
     m_hub = std::make_unique<link::link_hub>(m_loop,
         link::hub_handlers {
-            [this](link::channel_number channel, bool) {
+            [this](link::link_number channel, bool) {
                 if (!m_session->onOpened(channel))
                     m_links->onOpened(channel);
             },
-            [this](link::channel_number channel) {
+            [this](link::link_number channel) {
                 if (!m_session->onClosed(channel))
                     m_links->onClosed(channel);
             },
-            [this](link::channel_number channel, const std::string& bytes) { onMessage(channel, bytes); },
-            [this](link::channel_number channel) { m_session->onProgress(channel); },
+            [this](link::link_number channel, const std::string& bytes) { onMessage(channel, bytes); },
+            [this](link::link_number channel) { m_session->onProgress(channel); },
         });
     m_links = std::make_unique<sidecar_links>(*m_hub, m_settings.id, m_incarnation,
         sidecar_link_callbacks {
@@ -149,14 +149,14 @@
     return found == m_decisions.end() ? std::vector<std::string> {} : found->second;
 }
 
-void entry::onMessage(link::channel_number channel, const std::string& bytes)
+void entry::onMessage(link::link_number channel, const std::string& bytes)
 {
     const auto message = decodeOrClose(*m_hub, channel, bytes);
     if (message && !m_session->onMessage(channel, *message))
         handle(channel, *message);
 }
 
-void entry::handle(link::channel_number channel, const link::message& message)
+void entry::handle(link::link_number channel, const link::message& message)
 {
     if (const auto* accepted = std::get_if<dispatch::attempt_accepted>(&message)) {
         withAttempt(accepted->attempt, [&](auto& run, steady_time now) { run.accepted(accepted->attempt, now); });
@@ -182,7 +182,7 @@
     }
 }
 
-void entry::onRefused(link::channel_number channel, const dispatch::attempt_refused& refused)
+void entry::onRefused(link::link_number channel, const dispatch::attempt_refused& refused)
 {
     const std::string code(describe(refused.code).name);
     recordDecision(refused.attempt.request, "attempt " + std::to_string(refused.attempt.number) + " refused: " + code);
--- a/src/app/entry/entry.hpp
+++ b/src/app/entry/entry.hpp
@@ -70,10 +70,10 @@
     };
 
     session_callbacks sessionCallbacks();
-    void onMessage(link::channel_number channel, const std::string& bytes);
-    void handle(link::channel_number channel, const link::message& message);
-    void handleStage(link::channel_number channel, const link::message& message);
-    void onRefused(link::channel_number channel, const dispatch::attempt_refused& refused);
+    void onMessage(link::link_number channel, const std::string& bytes);
+    void handle(link::link_number channel, const link::message& message);
+    void handleStage(link::link_number channel, const link::message& message);
+    void onRefused(link::link_number channel, const dispatch::attempt_refused& refused);
     void onMembership(const membership::membership_delta& delta);
     void onUnsentOffer(const attempt_id& attempt);
     void onLinkLost(const instance_id& instance);
--- a/src/app/entry/entry_chains.cpp
+++ b/src/app/entry/entry_chains.cpp
@@ -21,7 +21,7 @@
     withChain(id, [](auto& run, steady_time now) { run.start(now); });
 }
 
-void entry::handleStage(link::channel_number channel, const link::message& message)
+void entry::handleStage(link::link_number channel, const link::message& message)
 {
     if (const auto* fenced = std::get_if<link::stage_fenced>(&message)) {
         withChain(fenced->request, [&](auto& run, steady_time now) {
--- a/src/app/gateway/caller_channel.cpp
+++ b/src/app/gateway/caller_connection.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// @brief Reads requests from a caller's connection.
-#include "app/gateway/caller_channel.hpp"
+#include "app/gateway/caller_connection.hpp"
 
 namespace buckthornrail::app {
 namespace {
@@ -15,18 +15,18 @@
 
 } // namespace
 
-caller_channel::caller_channel(gateway_role& gateway, net::channel_pointer channel)
+caller_connection::caller_connection(gateway_role& gateway, net::channel_pointer connection)
     : m_gateway(gateway)
-    , m_channel(std::move(channel))
+    , m_connection(std::move(connection))
     , m_parser(parserLimits(gateway.limits()))
     , m_timeoutTimer(gateway.loop())
 {
 }
 
-void caller_channel::begin()
+void caller_connection::begin()
 {
-    const std::weak_ptr<caller_channel> weak = weak_from_this();
-    m_channel->setHandlers({
+    const std::weak_ptr<caller_connection> weak = weak_from_this();
+    m_connection->setHandlers({
         nullptr,
         [weak](std::string_view bytes) {
             if (const auto self = weak.lock())
@@ -45,17 +45,17 @@
     startIdleTimer();
 }
 
-bool caller_channel::keepsAlive() const { return m_callerKeepsAlive && !m_gateway.context().isStopping; }
+bool caller_connection::keepsAlive() const { return m_callerKeepsAlive && !m_gateway.context().isStopping; }
 
-void caller_channel::onBytes(std::string_view bytes)
+void caller_connection::onBytes(std::string_view bytes)
 {
     if (m_isClosed)
         return;
     if (!m_hasRequestStarted && !m_call) {
         m_hasRequestStarted = true;
-        m_firstByte = steadyNow();
-        const std::weak_ptr<caller_channel> weak = weak_from_this();
-        m_timeoutTimer.set(m_firstByte + m_gateway.limits().headerTimeout, [weak] {
+        m_firstByteAt = steadyNow();
+        const std::weak_ptr<caller_connection> weak = weak_from_this();
+        m_timeoutTimer.set(m_firstByteAt + m_gateway.limits().headerTimeout, [weak] {
             const auto self = weak.lock();
             if (self && !self->m_call)
                 self->refuse(result_code::SlowSender);
@@ -64,13 +64,13 @@
     m_parser.put(bytes);
     if (m_call) {
         if (m_parser.unparsedBytes() > maxPipelinedBytes)
-            m_channel->setReading(false);
+            m_connection->setReading(false);
         return;
     }
     advance();
 }
 
-void caller_channel::advance()
+void caller_connection::advance()
 {
     const auto state = m_parser.state();
     if (state == http1::parse_state::Invalid) {
@@ -82,25 +82,25 @@
     }
     if (state == http1::parse_state::Body && m_parser.head().expectsContinue && !m_hasSentContinue) {
         m_hasSentContinue = true;
-        m_channel->write("HTTP/1.1 100 Continue\r\n\r\n");
+        m_connection->write("HTTP/1.1 100 Continue\r\n\r\n");
     }
     if (state == http1::parse_state::Done)
         startCall();
 }
 
-void caller_channel::startCall()
+void caller_connection::startCall()
 {
     m_timeoutTimer.cancel();
     m_callerKeepsAlive = m_parser.head().keepAlive;
     m_call = std::make_shared<gateway_call>(m_gateway.context(), *this, m_parser.head(), m_parser.takeBody());
-    const auto keep = m_call;
-    keep->start(m_firstByte);
+    const auto call = m_call;
+    call->start(m_firstByteAt);
 }
 
-void caller_channel::finished(bool aborted)
+void caller_connection::finished(bool aborted)
 {
     const bool staysOpen = !aborted && keepsAlive();
-    const std::weak_ptr<caller_channel> weak = weak_from_this();
+    const std::weak_ptr<caller_connection> weak = weak_from_this();
     // Deferred, as the call is still on the stack.
     m_gateway.loop().post([weak, staysOpen] {
         const auto self = weak.lock();
@@ -112,29 +112,29 @@
             return;
         }
         self->m_hasRequestStarted = self->m_parser.unparsedBytes() > 0;
-        self->m_firstByte = steadyNow();
+        self->m_firstByteAt = steadyNow();
         self->m_hasSentContinue = false;
-        self->m_channel->setReading(true);
+        self->m_connection->setReading(true);
         self->m_parser.next();
         self->startIdleTimer();
         self->advance();
     });
 }
 
-void caller_channel::refuse(result_code code)
+void caller_connection::refuse(result_code code)
 {
     const auto& info = describe(code);
     telemetry::logEvent(event_code::CallRefused,
         { { "code", std::to_string(static_cast<int>(code)) }, { "reason", std::string(info.name) } });
     const auto response
         = net::plainResponse(info.httpStatus, "{\"name\":\"" + std::string(info.name) + "\",\"ran\":\"no\"}");
-    m_channel->write(http1::formatResponse(response.head, response.body, false));
+    m_connection->write(http1::formatResponse(response.head, response.body, false));
     close();
 }
 
-void caller_channel::startIdleTimer()
+void caller_connection::startIdleTimer()
 {
-    const std::weak_ptr<caller_channel> weak = weak_from_this();
+    const std::weak_ptr<caller_connection> weak = weak_from_this();
     m_timeoutTimer.set(steadyNow() + m_gateway.limits().idleTimeout, [weak] {
         const auto self = weak.lock();
         if (self && !self->m_call)
@@ -142,34 +142,34 @@
     });
 }
 
-void caller_channel::onEnded()
+void caller_connection::onEnded()
 {
     if (std::exchange(m_isClosed, true))
         return;
     m_timeoutTimer.cancel();
     const auto call = std::exchange(m_call, nullptr);
     if (call)
-        call->callerGone();
-    m_gateway.removeChannel(shared_from_this());
+        call->callerDisconnected();
+    m_gateway.removeConnection(shared_from_this());
 }
 
-void caller_channel::close()
+void caller_connection::close()
 {
     if (m_isClosed)
         return;
-    m_channel->closeAfterWrite();
+    m_connection->closeAfterWrite();
     onEnded();
 }
 
-void caller_channel::closeIfIdle()
+void caller_connection::closeIfIdle()
 {
     if (!m_call && m_parser.isIdle())
         close();
 }
 
-void caller_channel::abort()
+void caller_connection::abort()
 {
-    m_channel->abort(false);
+    m_connection->abort(false);
     onEnded();
 }
 
--- a/src/app/gateway/caller_channel.hpp
+++ b/src/app/gateway/caller_connection.hpp
@@ -7,10 +7,10 @@
 namespace buckthornrail::app {
 
 /// @brief Parses requests and starts a call for each. To be used only on the event loop's thread.
-class caller_channel : public response_sink, public std::enable_shared_from_this<caller_channel> {
+class caller_connection : public response_sink, public std::enable_shared_from_this<caller_connection> {
 public:
     /// @param gateway must outlive the connection
-    caller_channel(gateway_role& gateway, net::channel_pointer channel);
+    caller_connection(gateway_role& gateway, net::channel_pointer connection);
 
     /// @brief Starts reading. Not in the constructor, as the handlers need a weak pointer to this object.
     void begin();
@@ -21,8 +21,8 @@
 
     [[nodiscard]] bool keepsAlive() const override;
     [[nodiscard]] steady_time openedAt() const override { return m_openedAt; }
-    void write(std::string_view bytes) override { m_channel->write(bytes); }
-    [[nodiscard]] std::size_t pendingBytes() const override { return m_channel->pendingBytes(); }
+    void write(std::string_view bytes) override { m_connection->write(bytes); }
+    [[nodiscard]] std::size_t pendingBytes() const override { return m_connection->pendingBytes(); }
     void finished(bool aborted) override;
 
 private:
@@ -38,11 +38,11 @@
     void close();
 
     gateway_role& m_gateway;
-    net::channel_pointer m_channel;
+    net::channel_pointer m_connection;
     http1::request_parser m_parser;
     steady_time m_openedAt = steadyNow();
     std::shared_ptr<gateway_call> m_call;
-    steady_time m_firstByte {}; ///< when the current request began to arrive
+    steady_time m_firstByteAt {}; ///< when the current request began to arrive
     bool m_hasRequestStarted = false;
     bool m_hasSentContinue = false;
     bool m_callerKeepsAlive = true;
--- a/src/app/gateway/gateway.cpp
+++ b/src/app/gateway/gateway.cpp
@@ -2,7 +2,7 @@
 /// @brief Connects listeners, target pool and controller session of a gateway.
 #include "app/gateway/gateway.hpp"
 
-#include "app/gateway/caller_channel.hpp"
+#include "app/gateway/caller_connection.hpp"
 #include "app/shared/pushback_page.hpp"
 #include "app/shared/role_runner.hpp"
 
@@ -47,7 +47,7 @@
     , m_document(control)
     , m_context { loop, traffic, metrics, gateway::target_pool(poolOptions(settings), randomNumber()),
         gateway::shared_retry_budgets(budgetOptions(settings)), nullptr, 0, std::mt19937_64(randomNumber()) }
-    , m_listener(loop, [this](net::channel_pointer channel) { onChannel(std::move(channel)); })
+    , m_listener(loop, [this](net::channel_pointer connection) { onConnection(std::move(connection)); })
     , m_health(loop,
           [this](
               const net::whole_request& request, const net::responder& respond) { onHealthRequest(request, respond); })
@@ -78,11 +78,11 @@
     , m_stallCheck(loop, stallCheckPeriod, [this] { checkForStall(); })
 {
     m_context.reachability
-        = std::make_unique<net::reachability_prober>(loop, [this](const std::string& address, net::reachability found) {
-              if (found == net::reachability::Open)
+        = std::make_unique<net::reachability_prober>(loop, [this](const std::string& address, net::reachability state) {
+              if (state == net::reachability::Open)
                   onReachable(address);
               else
-                  onUnreachable(address, found);
+                  onUnreachable(address, state);
           });
     m_context.checkForStall = [this] { checkForStall(); };
     m_context.requestHeartbeat = [this] { m_session.sendHeartbeatSoon(); };
@@ -90,9 +90,9 @@
 
 gateway_role::~gateway_role()
 {
-    const auto channels = m_channels;
-    for (const auto& channel : channels)
-        channel->abort();
+    const auto connections = m_connections;
+    for (const auto& connection : connections)
+        connection->abort();
 }
 
 tl::expected<void, failure> gateway_role::start()
@@ -124,9 +124,9 @@
 {
     const auto now = steadyNow();
     if (now >= m_earliestStop && !std::exchange(m_hasClosedIdle, true)) {
-        const auto channels = m_channels;
-        for (const auto& channel : channels)
-            channel->closeIfIdle();
+        const auto connections = m_connections;
+        for (const auto& connection : connections)
+            connection->closeIfIdle();
     }
     const bool isDone = now >= m_earliestStop && m_context.openCalls.empty();
     if ((isDone || now >= m_context.stopDeadline) && m_onStopped)
@@ -138,10 +138,10 @@
     return m_context.document ? m_context.document->rest()->limits : gateway::caller_limits {};
 }
 
-void gateway_role::onChannel(net::channel_pointer channel)
+void gateway_role::onConnection(net::channel_pointer connection)
 {
-    auto caller = std::make_shared<caller_channel>(*this, std::move(channel));
-    m_channels.insert(caller);
+    auto caller = std::make_shared<caller_connection>(*this, std::move(connection));
+    m_connections.insert(caller);
     caller->begin();
 }
 
@@ -240,10 +240,10 @@
     return calls;
 }
 
-void gateway_role::onUnreachable(const std::string& address, net::reachability found)
+void gateway_role::onUnreachable(const std::string& address, net::reachability state)
 {
     const auto target = m_context.pool.idAt(address);
-    if (found == net::reachability::Refused) {
+    if (state == net::reachability::Refused) {
         m_context.pool.markEnded(address);
         recordCrashes(address, {});
     } else {
@@ -253,7 +253,7 @@
         return; // the controllers have already reported its end
     telemetry::logEvent(event_code::TargetUnreachable,
         { { "target", text(target) }, { "address", address },
-            { "how", found == net::reachability::Refused ? "refused" : "silent" } });
+            { "how", state == net::reachability::Refused ? "refused" : "silent" } });
     m_context.pool.markUnreachable(target, steadyNow());
     for (const auto& call : openCalls())
         call->targetUnreachable(target);
@@ -281,8 +281,8 @@
         m_context.metrics.count("crashes_blamed");
         constexpr std::size_t maxFingerprints = 8;
         std::string fingerprints;
-        for (std::size_t at = 0; at < std::min(report.begun.size(), maxFingerprints); ++at)
-            fingerprints += (at == 0 ? "" : ",") + text(report.begun[at]);
+        for (std::size_t i = 0; i < std::min(report.begun.size(), maxFingerprints); ++i)
+            fingerprints += (i == 0 ? "" : ",") + text(report.begun[i]);
         telemetry::logEvent(event_code::CrashBlamed,
             { { "target", text(report.target) }, { "address", address },
                 { "how", replacement.empty() ? "refused" : "replaced" },
--- a/src/app/gateway/gateway.hpp
+++ b/src/app/gateway/gateway.hpp
@@ -10,7 +10,7 @@
 
 namespace buckthornrail::app {
 
-class caller_channel;
+class caller_connection;
 
 /// @brief Owns the listeners, the target pool and the controller session of a gateway. Not thread-safe: to be used
 /// only on the event loop's thread.
@@ -36,11 +36,11 @@
     /// @return the limits of the active document; defaults before the first one
     [[nodiscard]] gateway::caller_limits limits() const;
     /// @brief Drops a caller's connection that has closed.
-    void removeChannel(const std::shared_ptr<caller_channel>& channel) { m_channels.erase(channel); }
+    void removeConnection(const std::shared_ptr<caller_connection>& connection) { m_connections.erase(connection); }
 
 private:
     /// @brief Accepts a caller's connection.
-    void onChannel(net::channel_pointer channel);
+    void onConnection(net::channel_pointer connection);
     /// @brief Applies what the leader reports about the other gateways.
     void onSessionUpdate(const link::gateway_update& update);
     /// @brief Applies rate limits that targets have reported to other gateways.
@@ -57,7 +57,7 @@
     /// @return the open calls; the pointers keep them alive while they are notified
     [[nodiscard]] std::vector<std::shared_ptr<gateway_call>> openCalls() const;
     /// @brief Reports a target that refuses connections or doesn't respond to them.
-    void onUnreachable(const std::string& address, net::reachability found);
+    void onUnreachable(const std::string& address, net::reachability state);
     /// @brief A target accepts connections: the requests whose connections to it were lost haven't crashed it.
     void onReachable(const std::string& address);
     /// @brief Reports the requests that may have crashed the targets at an address.
@@ -83,7 +83,7 @@
     gateway_context m_context;
     std::set<std::string> m_engines; ///< services with an engine set in the pool
     std::shared_ptr<const gateway::document_rest> m_services; ///< as last applied to the pool
-    std::set<std::shared_ptr<caller_channel>> m_channels;
+    std::set<std::shared_ptr<caller_connection>> m_connections;
     net::tcp_listener m_listener;
     net::http_service m_health;
     gateway_session m_session;
--- a/src/app/gateway/gateway_call.cpp
+++ b/src/app/gateway/gateway_call.cpp
@@ -65,9 +65,9 @@
     m_context.openCalls.erase(this);
 }
 
-void gateway_call::start(steady_time arrived)
+void gateway_call::start(steady_time arrivedAt)
 {
-    m_arrived = arrived;
+    m_arrivedAt = arrivedAt;
     m_caller = m_context.dialect.readCaller(m_head);
     m_context.checkForStall();
     const auto now = steadyNow();
@@ -119,8 +119,8 @@
     request.route = route;
     std::uniform_real_distribution<double> draw(0, 1);
     request.service = gateway::pickService(*route, draw(m_context.random));
-    request.arrivedAt = m_arrived;
-    request.deadline = m_arrived + std::min(route->timeout, m_caller.timeout.value_or(route->timeout));
+    request.arrivedAt = m_arrivedAt;
+    request.deadline = m_arrivedAt + std::min(route->timeout, m_caller.timeout.value_or(route->timeout));
     request.lastEventId = m_caller.lastEventId;
     request.size = m_caller.size;
     auto& budget = m_context.budgets.forService(request.service);
@@ -138,20 +138,20 @@
     return now + std::min(route.timeout, m_caller.timeout.value_or(route.timeout)) > m_context.stopDeadline;
 }
 
-void gateway_call::callerGone()
+void gateway_call::callerDisconnected()
 {
     m_sink = nullptr;
     if (m_exchange)
         m_exchange->onCallerDisconnected(steadyNow());
     cancelAttempt();
     m_timer.cancel();
-    countAnswer("caller_left");
+    countResponse("caller_left");
 }
 
 void gateway_call::drained()
 {
-    if (m_channel)
-        m_channel->setReading(true);
+    if (m_connection)
+        m_connection->setReading(true);
 }
 
 void gateway_call::openAttempt(
@@ -174,12 +174,12 @@
     if (!selected.parts.front().layers.isEmpty())
         added.path = selected.parts;
     const std::weak_ptr<gateway_call> weak = weak_from_this();
-    const auto ifCurrent = [weak, number](auto&& act) {
+    const auto ifCurrent = [weak, number](auto&& action) {
         const auto self = weak.lock();
-        if (self && self->m_channel && self->m_attempt == number)
-            act(*self);
+        if (self && self->m_connection && self->m_attempt == number)
+            action(*self);
     };
-    m_channel = net::dial(m_context.loop, selected.parts.front().address,
+    m_connection = net::dial(m_context.loop, selected.parts.front().address,
         {
             [ifCurrent] {
                 ifCurrent([](gateway_call& self) {
@@ -190,14 +190,14 @@
             },
             [ifCurrent](std::string_view bytes) { ifCurrent([bytes](gateway_call& self) { self.onBytes(bytes); }); },
             nullptr,
-            [ifCurrent](net::channel_end how) { ifCurrent([how](gateway_call& self) { self.onEnded(how); }); },
+            [ifCurrent](net::channel_end end) { ifCurrent([end](gateway_call& self) { self.onEnded(end); }); },
         });
     if (selected.parts.size() > 1) {
         for (const auto& part : selected.parts)
             m_context.reachability->watch(part.address);
     }
     m_context.crashes.onAttemptOpened(m_number, selected.parts, now);
-    m_channel->write(http1::formatRequest(m_context.dialect.writeForwarded(m_head, added), m_body));
+    m_connection->write(http1::formatRequest(m_context.dialect.writeForwarded(m_head, added), m_body));
     m_connectTimer.set(now + connectTimeout, [ifCurrent] {
         ifCurrent([](gateway_call& self) {
             if (!self.m_isConnected)
@@ -212,8 +212,8 @@
     m_context.crashes.onAttemptClosed(m_number);
     if (m_reportCall)
         std::exchange(m_reportCall, nullptr)->cancel();
-    if (m_channel)
-        std::exchange(m_channel, nullptr)->abort(false);
+    if (m_connection)
+        std::exchange(m_connection, nullptr)->abort(false);
 }
 
 void gateway_call::requestReport()
@@ -224,29 +224,29 @@
     m_context.metrics.count("reports_asked");
     m_reportCall = net::http_call::start(m_context.loop, m_selection.parts.front().address,
         { m_context.dialect.writeReportRequest(m_selection.parts.front().target.id), {} }, steadyNow() + reportTimeout,
-        [weak, attempt = m_attempt, asked = steadyNow()](
+        [weak, attempt = m_attempt, requestedAt = steadyNow()](
             net::call_outcome outcome, const net::whole_response& response) {
             const auto self = weak.lock();
             if (!self || self->m_attempt != attempt)
                 return;
             self->m_reportCall = nullptr;
-            const bool answered = outcome == net::call_outcome::Answered;
+            const bool hasResponse = outcome == net::call_outcome::Answered;
             constexpr int misdirected = 421; // the address belongs to another target
-            if (answered && response.head.status != misdirected)
+            if (hasResponse && response.head.status != misdirected)
                 self->m_exchange->onPushback(
-                    self->m_context.dialect.readPushback(response.head), false, asked, steadyNow());
-            const auto read = answered ? self->m_context.dialect.readReport(response.body, self->m_caller.requestId)
-                                       : tl::expected<std::string, failure>();
+                    self->m_context.dialect.readPushback(response.head), false, requestedAt, steadyNow());
+            const auto read = hasResponse ? self->m_context.dialect.readReport(response.body, self->m_caller.requestId)
+                                          : tl::expected<std::string, failure>();
             // An unreadable report names no faulty member, but shows that the target is alive.
             const std::string faulty = read.value_or(std::string());
             telemetry::logEvent(event_code::ReportReceived,
                 { { "request", self->m_caller.requestId }, { "target", text(self->m_selection.parts.front().target) },
                     { "outcome",
-                        !answered  ? "none"
-                            : read ? "answered"
-                                   : "unreadable" },
+                        !hasResponse ? "none"
+                            : read   ? "answered"
+                                     : "unreadable" },
                     { "faulty", faulty }, { "reason", read ? std::string() : read.error().reason } });
-            self->m_exchange->onReport(answered, faulty, steadyNow());
+            self->m_exchange->onReport(hasResponse, faulty, steadyNow());
         });
 }
 
@@ -280,10 +280,10 @@
     advance();
 }
 
-void gateway_call::onEnded(net::channel_end how)
+void gateway_call::onEnded(net::channel_end end)
 {
-    const auto keep = shared_from_this();
-    if (how == net::channel_end::Closed) {
+    const auto self = shared_from_this();
+    if (end == net::channel_end::Closed) {
         m_parser->putEof();
         if (m_parser->state() == http1::parse_state::Done) {
             advance();
@@ -292,7 +292,7 @@
     }
     const auto loss
         = m_isConnected ? gateway::attempt_failure::ConnectionLost : gateway::attempt_failure::ConnectFailed;
-    m_channel = nullptr;
+    m_connection = nullptr;
     if (loss == gateway::attempt_failure::ConnectionLost
         && m_context.crashes.mayHaveCrashedTarget(m_number, steadyNow())) {
         (void)m_context.crashes.onConnectionLost(m_number, fingerprint(), steadyNow());
@@ -303,9 +303,9 @@
 
 void gateway_call::advance()
 {
-    const auto keep = shared_from_this();
+    const auto self = shared_from_this();
     const std::uint32_t attempt = m_attempt;
-    const auto isCurrent = [this, attempt] { return m_channel && m_attempt == attempt; };
+    const auto isCurrent = [this, attempt] { return m_connection && m_attempt == attempt; };
     if (m_parser->state() == http1::parse_state::Invalid) {
         m_exchange->onAttemptFailed(gateway::attempt_failure::InvalidResponse, steadyNow());
         return;
@@ -334,16 +334,16 @@
 {
     const std::uint32_t attempt = m_attempt;
     for (const auto& event : m_eventReader.put(m_parser->takeBody())) {
-        if (!m_channel || m_attempt != attempt)
+        if (!m_connection || m_attempt != attempt)
             return;
         m_context.crashes.onFirstEvent(m_number, steadyNow());
         m_exchange->onEvent(event.bytes, event.id, steadyNow());
     }
-    if (m_channel && m_sink != nullptr && m_sink->pendingBytes() > maxPendingBytes)
-        m_channel->setReading(false);
+    if (m_connection && m_sink != nullptr && m_sink->pendingBytes() > maxPendingBytes)
+        m_connection->setReading(false);
 }
 
-std::vector<http1::field> gateway_call::answerFields(const http1::response_head& head) const
+std::vector<http1::field> gateway_call::responseFields(const http1::response_head& head) const
 {
     auto fields = head.fields;
     http1::removeHopByHopFields(fields);
@@ -356,18 +356,18 @@
     if (m_sink == nullptr)
         return;
     http1::response_head head = m_parser->head();
-    head.fields = answerFields(head);
+    head.fields = responseFields(head);
     m_sink->write(http1::formatResponse(head, m_parser->takeBody(), m_sink->keepsAlive()));
-    countAnswer(head.status < 300 ? "served" : "target_failure");
+    countResponse(head.status < 300 ? "served" : "target_failure");
     if (head.status < 300)
-        recordAnswered();
+        recordCompleted();
     finish(false);
 }
 
 void gateway_call::beginStream()
 {
     m_streamHead = m_parser->head();
-    m_streamHead.fields = answerFields(m_streamHead);
+    m_streamHead.fields = responseFields(m_streamHead);
     m_isStreamHeadPending = true; // written together with the first event
 }
 
@@ -377,7 +377,7 @@
         return;
     if (std::exchange(m_isStreamHeadPending, false)) {
         m_context.metrics.observeMs("first_event_ms",
-            static_cast<double>(std::chrono::duration_cast<milliseconds>(steadyNow() - m_arrived).count()));
+            static_cast<double>(std::chrono::duration_cast<milliseconds>(steadyNow() - m_arrivedAt).count()));
         m_sink->write(http1::formatChunkedHead(m_streamHead, m_sink->keepsAlive()) + http1::formatChunk(bytes));
         return;
     }
@@ -389,14 +389,14 @@
     if (m_sink == nullptr)
         return;
     m_sink->write(http1::lastChunk);
-    countAnswer("served");
-    recordAnswered();
+    countResponse("served");
+    recordCompleted();
     finish(false);
 }
 
 void gateway_call::abortStream()
 {
-    countAnswer("broken_off");
+    countResponse("broken_off");
     finish(true);
 }
 
@@ -432,7 +432,7 @@
     if (ran == ran_state::No && info.retryAfterSeconds > 0)
         response.head.fields.push_back(m_context.dialect.writeRetryAfter(retryDelay(code)));
     m_sink->write(http1::formatResponse(response.head, response.body, m_sink->keepsAlive()));
-    countAnswer(std::string(info.name));
+    countResponse(std::string(info.name));
     finish(false);
 }
 
@@ -444,11 +444,11 @@
         sink->finished(aborted);
 }
 
-void gateway_call::countAnswer(const std::string& outcome)
+void gateway_call::countResponse(const std::string& outcome)
 {
     m_context.metrics.count("answers", outcome);
     m_context.metrics.observeMs(
-        "answer_ms", static_cast<double>(std::chrono::duration_cast<milliseconds>(steadyNow() - m_arrived).count()));
+        "answer_ms", static_cast<double>(std::chrono::duration_cast<milliseconds>(steadyNow() - m_arrivedAt).count()));
 }
 
 void gateway_call::setTimer(steady_time when)
--- a/src/app/gateway/gateway_call.hpp
+++ b/src/app/gateway/gateway_call.hpp
@@ -68,14 +68,14 @@
 class gateway_call : public gateway::exchange_port, public std::enable_shared_from_this<gateway_call> {
 public:
     /// @param context must outlive the call
-    /// @param sink receives the response; must stay valid until it is finished or callerGone() is called
+    /// @param sink receives the response; must stay valid until it is finished or callerDisconnected() is called
     gateway_call(gateway_context& context, response_sink& sink, http1::request_head head, std::string body);
     ~gateway_call() override;
 
-    /// @brief Routes the request, or lets it wait for the controllers. @param arrived when its first byte arrived
-    void start(steady_time arrived);
+    /// @brief Routes the request, or lets it wait for the controllers. @param arrivedAt when its first byte arrived
+    void start(steady_time arrivedAt);
     /// @brief The caller's connection has closed: nothing is written any more and the open attempt is cancelled.
-    void callerGone();
+    void callerDisconnected();
     /// @brief The caller's connection has sent everything written so far.
     void drained();
 
@@ -116,19 +116,19 @@
     /// @return how long a refused caller should wait before its next try
     [[nodiscard]] milliseconds retryDelay(result_code code) const;
     /// @brief Clears the request of suspicion: a target that completes its response wasn't crashed by it.
-    void recordAnswered();
+    void recordCompleted();
     /// @brief Logs a change of the verdict.
     void logVerdict(gateway::dispatch_verdict verdict, const gateway::selection& selected);
     void onBytes(std::string_view bytes);
-    void onEnded(net::channel_end how);
+    void onEnded(net::channel_end end);
     /// @brief Passes what the parser has completed on to the exchange.
     void advance();
     void readStream();
     void finish(bool aborted);
     /// @brief Counts a response and its duration in the metrics. @param outcome label of the count
-    void countAnswer(const std::string& outcome);
+    void countResponse(const std::string& outcome);
     /// @return header fields for the caller: a target's without those of its connection and body length
-    [[nodiscard]] std::vector<http1::field> answerFields(const http1::response_head& head) const;
+    [[nodiscard]] std::vector<http1::field> responseFields(const http1::response_head& head) const;
 
     gateway_context& m_context;
     gateway::call_number m_number;
@@ -140,10 +140,10 @@
     std::optional<request_fingerprint> m_fingerprint; ///< empty: not computed yet
     gateway::dispatch_verdict m_verdict = gateway::dispatch_verdict::Go; ///< as last logged
     std::unique_ptr<gateway::exchange> m_exchange;
-    steady_time m_arrived {};
+    steady_time m_arrivedAt {};
 
     gateway::selection m_selection;
-    net::channel_pointer m_channel; ///< to the target
+    net::channel_pointer m_connection; ///< to the target
     std::uint32_t m_attempt = 0;
     std::unique_ptr<http1::response_parser> m_parser;
     http1::event_stream_reader m_eventReader;
--- a/src/app/gateway/gateway_call_quarantine.cpp
+++ b/src/app/gateway/gateway_call_quarantine.cpp
@@ -45,7 +45,7 @@
         m_exchange->onQuarantineChanged(steadyNow());
 }
 
-void gateway_call::recordAnswered()
+void gateway_call::recordCompleted()
 {
     if (m_context.quarantine.isEmpty())
         return;
--- a/src/app/gateway/gateway_document.cpp
+++ b/src/app/gateway/gateway_document.cpp
@@ -4,21 +4,21 @@
 
 namespace buckthornrail::app {
 
-tl::expected<void, failure> gateway_document::take(const link::document_slice& slice)
+tl::expected<void, failure> gateway_document::add(const link::document_slice& slice)
 {
     m_text = {};
     const auto unpacked = unpackSlice(slice);
     if (!unpacked)
         return tl::make_unexpected(unpacked.error());
-    auto taken = m_assembly.addSlice(*unpacked);
-    if (taken || taken.error().code != result_code::InvalidDocument)
-        return taken;
-    logUnreadable(slice.to, taken.error());
+    auto result = m_assembly.addSlice(*unpacked);
+    if (result || result.error().code != result_code::InvalidDocument)
+        return result;
+    logUnreadable(slice.to, result.error());
     m_needsFullDocument = true;
     return {};
 }
 
-tl::expected<void, failure> gateway_document::take(const link::text_update& update)
+tl::expected<void, failure> gateway_document::add(const link::text_update& update)
 {
     if (auto applied = applyTextUpdate(m_text, update); !applied)
         return applied;
@@ -30,9 +30,9 @@
         return {};
     }
     for (const auto& slice : document::slicesOf(*outline)) {
-        const auto taken = m_assembly.addSlice(slice);
-        if (!taken)
-            logUnreadable(m_text.version, taken.error());
+        const auto result = m_assembly.addSlice(slice);
+        if (!result)
+            logUnreadable(m_text.version, result.error());
     }
     return {};
 }
@@ -43,9 +43,9 @@
     for (auto& finished : m_assembly.takeCompleted()) {
         if (finished.change.to <= version())
             continue; // sent before the controller knew which version is held
-        if (const auto put = activate(std::move(finished)); !put) {
+        if (const auto activated = activate(std::move(finished)); !activated) {
             m_needsFullDocument = true;
-            return tl::make_unexpected(put.error());
+            return tl::make_unexpected(activated.error());
         }
         isChanged = true;
     }
@@ -67,10 +67,10 @@
     return {};
 }
 
-void gateway_document::logUnreadable(std::uint64_t version, const failure& fault)
+void gateway_document::logUnreadable(std::uint64_t version, const failure& error)
 {
     telemetry::logEvent(event_code::ConfigurationRejected,
-        { { "version", std::to_string(version) }, { "reason", fault.reason } }, telemetry::severity::Error);
+        { { "version", std::to_string(version) }, { "reason", error.reason } }, telemetry::severity::Error);
 }
 
 } // namespace buckthornrail::app
--- a/src/app/gateway/gateway_document.hpp
+++ b/src/app/gateway/gateway_document.hpp
@@ -20,10 +20,10 @@
     /// @brief Decodes a slice of a change.
     /// @return why it was rejected: out of order or damaged. A slice with an unreadable entry is logged, not rejected:
     /// its version is skipped
-    tl::expected<void, failure> take(const link::document_slice& slice);
+    tl::expected<void, failure> add(const link::document_slice& slice);
     /// @brief Applies a text update, as controllers of the previous release send them.
     /// @return why it was rejected: it doesn't follow from the text held, or is damaged
-    tl::expected<void, failure> take(const link::text_update& update);
+    tl::expected<void, failure> add(const link::text_update& update);
     /// @brief Activates the changes that are complete.
     /// @return whether there were any; MalformedMessage if one doesn't follow from the active version: the full
     /// document is needed then
@@ -44,7 +44,7 @@
 private:
     tl::expected<void, failure> activate(gateway::completed_change finished);
     /// @brief Logs a version that can't be read. The previous one stays active.
-    static void logUnreadable(std::uint64_t version, const failure& fault);
+    static void logUnreadable(std::uint64_t version, const failure& error);
 
     const gateway::control_dialect& m_dialect;
     gateway::document_assembly m_assembly;
--- a/src/app/gateway/gateway_document_test.cpp
+++ b/src/app/gateway/gateway_document_test.cpp
@@ -29,12 +29,12 @@
         { "tenants", json::array({ { { "name", "w" }, { "api-keys", { "k" } } } }) } };
 }
 
-versioned_text manyRoutes(std::uint64_t version, int routes)
+versioned_text documentWithRoutes(std::uint64_t version, int routes)
 {
     std::vector<json> all;
     all.reserve(static_cast<std::size_t>(routes));
-    for (int at = 0; at < routes; ++at)
-        all.push_back(routeOf("r" + std::to_string(at), "s"));
+    for (int i = 0; i < routes; ++i)
+        all.push_back(routeOf("r" + std::to_string(i), "s"));
     return { version, documentOf(version, all).dump() };
 }
 
@@ -60,7 +60,7 @@
         for (const auto* bytes : messages) {
             const auto decoded = link::decode(*bytes);
             REQUIRE(decoded);
-            REQUIRE(gateway.take(std::get<link::document_slice>(*decoded)));
+            REQUIRE(gateway.add(std::get<link::document_slice>(*decoded)));
         }
         REQUIRE(gateway.activate());
         return messages.size();
@@ -75,7 +75,7 @@
 };
 
 /// A full text, as the previous release sends it.
-link::text_update wholeText(const versioned_text& text)
+link::text_update fullText(const versioned_text& text)
 {
     return { 0, text.version, compression::makePatch({}, text.text) };
 }
@@ -84,161 +84,161 @@
 
 TEST_CASE("gateway document: slices reproduce the published document", "[gateway_document]")
 {
-    fake_registry registry(manyRoutes(3, 500));
-    gateway_document held(dialect());
-    CHECK(registry.deliverTo(held) > 1);
-    CHECK(held.version() == 3);
-    CHECK(held.index()->routeCount() == 500);
-    CHECK(held.index()->find("h", "/r499/x")->name == "r499");
-    CHECK(held.index()->findWorkspace("k")->workspace == "w");
-    CHECK(held.index()->rest()->needsKeys);
-    CHECK(held.index()->rest()->services.at(0).name == "s");
+    fake_registry registry(documentWithRoutes(3, 500));
+    gateway_document document(dialect());
+    CHECK(registry.deliverTo(document) > 1);
+    CHECK(document.version() == 3);
+    CHECK(document.index()->routeCount() == 500);
+    CHECK(document.index()->find("h", "/r499/x")->name == "r499");
+    CHECK(document.index()->findWorkspace("k")->workspace == "w");
+    CHECK(document.index()->rest()->needsKeys);
+    CHECK(document.index()->rest()->services.at(0).name == "s");
 
-    registry.publish(manyRoutes(4, 501));
-    registry.publish(manyRoutes(8, 499));
-    CHECK(registry.deliverTo(held) == 2); // one for each version
-    CHECK(held.version() == 8);
-    CHECK(held.index()->find("h", "/r499/x") == nullptr);
-    CHECK(held.index()->find("h", "/r498/x")->name == "r498");
-    CHECK(registry.deliverTo(held) == 0);
+    registry.publish(documentWithRoutes(4, 501));
+    registry.publish(documentWithRoutes(8, 499));
+    CHECK(registry.deliverTo(document) == 2); // one for each version
+    CHECK(document.version() == 8);
+    CHECK(document.index()->find("h", "/r499/x") == nullptr);
+    CHECK(document.index()->find("h", "/r498/x")->name == "r498");
+    CHECK(registry.deliverTo(document) == 0);
 }
 
 TEST_CASE("gateway document: a gateway that is many versions behind, or unknown to a restarted registry, gets the full "
           "document",
     "[gateway_document]")
 {
-    fake_registry registry(manyRoutes(1, 10));
-    gateway_document held(dialect());
-    registry.deliverTo(held);
+    fake_registry registry(documentWithRoutes(1, 10));
+    gateway_document document(dialect());
+    registry.deliverTo(document);
     SECTION("many versions")
     {
         for (std::uint64_t version = 2; version < 40; ++version)
-            registry.publish(manyRoutes(version, 10 + static_cast<int>(version)));
-        registry.deliverTo(held);
-        CHECK(held.version() == 39);
-        CHECK(held.index()->routeCount() == 49);
+            registry.publish(documentWithRoutes(version, 10 + static_cast<int>(version)));
+        registry.deliverTo(document);
+        CHECK(document.version() == 39);
+        CHECK(document.index()->routeCount() == 49);
     }
     SECTION("a registry that has just started")
     {
-        fake_registry other(manyRoutes(2, 12));
-        other.deliverTo(held);
-        CHECK(held.version() == 2);
-        CHECK(held.index()->routeCount() == 12);
+        fake_registry other(documentWithRoutes(2, 12));
+        other.deliverTo(document);
+        CHECK(document.version() == 2);
+        CHECK(document.index()->routeCount() == 12);
     }
 }
 
 TEST_CASE("gateway document: incomplete slices are discarded when the link closes", "[gateway_document]")
 {
-    fake_registry registry(manyRoutes(1, 1000));
-    gateway_document held(dialect());
+    fake_registry registry(documentWithRoutes(1, 1000));
+    gateway_document document(dialect());
     const auto messages = registry.feed().messagesFrom(0, registry.newest());
     REQUIRE(messages.size() > 2);
     const auto sliceAt
-        = [&messages](std::size_t at) { return std::get<link::document_slice>(*link::decode(*messages[at])); };
-    REQUIRE(held.take(sliceAt(0)));
-    REQUIRE(held.take(sliceAt(1)));
-    CHECK(*held.activate() == false);
-    CHECK(held.index() == nullptr);
-    held.discardPartial();
-    CHECK_FALSE(held.take(sliceAt(2))); // its first slices were discarded
-    registry.deliverTo(held);
-    CHECK(held.index()->routeCount() == 1000);
+        = [&messages](std::size_t index) { return std::get<link::document_slice>(*link::decode(*messages[index])); };
+    REQUIRE(document.add(sliceAt(0)));
+    REQUIRE(document.add(sliceAt(1)));
+    CHECK(*document.activate() == false);
+    CHECK(document.index() == nullptr);
+    document.discardPartial();
+    CHECK_FALSE(document.add(sliceAt(2))); // its first slices were discarded
+    registry.deliverTo(document);
+    CHECK(document.index()->routeCount() == 1000);
 }
 
 TEST_CASE("gateway document: damaged slices are rejected and change nothing", "[gateway_document]")
 {
-    fake_registry registry(manyRoutes(1, 10));
-    gateway_document held(dialect());
-    registry.deliverTo(held);
-    registry.publish(manyRoutes(2, 11));
+    fake_registry registry(documentWithRoutes(1, 10));
+    gateway_document document(dialect());
+    registry.deliverTo(document);
+    registry.publish(documentWithRoutes(2, 11));
     const auto messages = registry.feed().messagesFrom(1, registry.newest());
     REQUIRE(messages.size() == 1);
     auto slice = std::get<link::document_slice>(*link::decode(*messages.front()));
     SECTION("its bytes")
     {
         slice.patch[slice.patch.size() / 2] ^= 0x55;
-        CHECK_FALSE(held.take(slice));
+        CHECK_FALSE(document.add(slice));
     }
     SECTION("its number")
     {
         slice.number = 1;
-        CHECK_FALSE(held.take(slice));
+        CHECK_FALSE(document.add(slice));
     }
     SECTION("its digest")
     {
         ++slice.digest;
-        CHECK(held.take(slice));
-        CHECK_FALSE(held.activate());
-        CHECK(held.reportedVersion() == 0);
+        CHECK(document.add(slice));
+        CHECK_FALSE(document.activate());
+        CHECK(document.reportedVersion() == 0);
     }
     SECTION("its start")
     {
         slice.from = 7;
-        CHECK(held.take(slice));
-        CHECK_FALSE(held.activate());
+        CHECK(document.add(slice));
+        CHECK_FALSE(document.activate());
     }
-    CHECK(held.version() == 1);
-    CHECK(held.index()->routeCount() == 10);
-    held.discardPartial();
-    registry.deliverTo(held);
-    CHECK(held.version() == 2);
+    CHECK(document.version() == 1);
+    CHECK(document.index()->routeCount() == 10);
+    document.discardPartial();
+    registry.deliverTo(document);
+    CHECK(document.version() == 2);
 }
 
 TEST_CASE("gateway document: an unreadable entry leaves the previous version active", "[gateway_document]")
 {
-    fake_registry registry(manyRoutes(1, 10));
-    gateway_document held(dialect());
-    registry.deliverTo(held);
+    fake_registry registry(documentWithRoutes(1, 10));
+    gateway_document document(dialect());
+    registry.deliverTo(document);
     json unreadable = documentOf(2, { routeOf("a", "s") });
     unreadable["routes"][0]["timeout-ms"] = "soon";
     registry.publish({ 2, unreadable.dump() });
-    registry.deliverTo(held);
-    CHECK(held.version() == 1);
-    CHECK(held.index()->routeCount() == 10);
-    CHECK(held.reportedVersion() == 0); // the next change would be based on a version that it doesn't hold
-    registry.publish(manyRoutes(3, 11));
-    registry.deliverTo(held);
-    CHECK(held.version() == 3);
-    CHECK(held.reportedVersion() == 3);
-    CHECK(held.index()->routeCount() == 11);
+    registry.deliverTo(document);
+    CHECK(document.version() == 1);
+    CHECK(document.index()->routeCount() == 10);
+    CHECK(document.reportedVersion() == 0); // the next change would be based on a version that it doesn't hold
+    registry.publish(documentWithRoutes(3, 11));
+    registry.deliverTo(document);
+    CHECK(document.version() == 3);
+    CHECK(document.reportedVersion() == 3);
+    CHECK(document.index()->routeCount() == 11);
 }
 
 TEST_CASE("gateway document: rolling upgrades are supported", "[gateway_document]")
 {
-    fake_registry registry(manyRoutes(5, 20));
-    gateway_document held(dialect());
-    registry.deliverTo(held);
-    CHECK(held.textVersion() == 0); // so a controller of the previous release sends the full text
+    fake_registry registry(documentWithRoutes(5, 20));
+    gateway_document document(dialect());
+    registry.deliverTo(document);
+    CHECK(document.textVersion() == 0); // so a controller of the previous release sends the full text
     SECTION("to a controller of the previous release that is ahead, and back")
     {
-        const auto ahead = manyRoutes(6, 30);
-        REQUIRE(held.take(wholeText(ahead)));
-        CHECK(*held.activate());
-        CHECK(held.version() == 6);
-        CHECK(held.textVersion() == 6);
-        CHECK(held.index()->routeCount() == 30);
-        const auto next = manyRoutes(7, 31);
-        REQUIRE(held.take(link::text_update { 6, 7, compression::makePatch(ahead.text, next.text) }));
-        CHECK(*held.activate());
-        CHECK(held.index()->routeCount() == 31);
-        registry.publish(manyRoutes(8, 32));
-        registry.deliverTo(held);
-        CHECK(held.version() == 8);
-        CHECK(held.index()->routeCount() == 32);
-        CHECK(held.textVersion() == 0);
+        const auto ahead = documentWithRoutes(6, 30);
+        REQUIRE(document.add(fullText(ahead)));
+        CHECK(*document.activate());
+        CHECK(document.version() == 6);
+        CHECK(document.textVersion() == 6);
+        CHECK(document.index()->routeCount() == 30);
+        const auto next = documentWithRoutes(7, 31);
+        REQUIRE(document.add(link::text_update { 6, 7, compression::makePatch(ahead.text, next.text) }));
+        CHECK(*document.activate());
+        CHECK(document.index()->routeCount() == 31);
+        registry.publish(documentWithRoutes(8, 32));
+        registry.deliverTo(document);
+        CHECK(document.version() == 8);
+        CHECK(document.index()->routeCount() == 32);
+        CHECK(document.textVersion() == 0);
     }
     SECTION("a controller that is behind never sets an older version")
     {
-        REQUIRE(held.take(wholeText(manyRoutes(4, 3))));
-        CHECK(*held.activate() == false);
-        CHECK(held.version() == 5);
-        CHECK(held.index()->routeCount() == 20);
+        REQUIRE(document.add(fullText(documentWithRoutes(4, 3))));
+        CHECK(*document.activate() == false);
+        CHECK(document.version() == 5);
+        CHECK(document.index()->routeCount() == 20);
     }
     SECTION("a heartbeat reports the version for controllers of both releases")
     {
         link::gateway_heartbeat heartbeat;
-        heartbeat.documentVersion = held.textVersion();
-        heartbeat.sliceVersion = held.version();
+        heartbeat.documentVersion = document.textVersion();
+        heartbeat.sliceVersion = document.version();
         const auto decoded = link::decode(link::encode(link::message(heartbeat)));
         REQUIRE(decoded);
         CHECK(std::get<link::gateway_heartbeat>(*decoded).documentVersion == 0);
@@ -253,8 +253,8 @@
 {
     rc::prop("any versions", [] {
         const auto names = rc::gen::unique<std::vector<int>>(rc::gen::inRange(0, 30));
-        fake_registry registry(manyRoutes(1, 1));
-        gateway_document held(dialect());
+        fake_registry registry(documentWithRoutes(1, 1));
+        gateway_document document(dialect());
         gateway_document other(dialect());
         const auto versions = *rc::gen::inRange<std::uint64_t>(2, 6);
         for (std::uint64_t version = 2; version <= versions; ++version) {
@@ -268,19 +268,19 @@
             registry.publish({ version, text });
             if (*rc::gen::arbitrary<bool>())
                 registry.deliverTo(other); // this one falls behind at times
-            registry.deliverTo(held);
+            registry.deliverTo(document);
             const auto read = dialect().readDocument(text);
             RC_ASSERT(read.has_value());
             const gateway::route_index expected(*read);
-            RC_ASSERT(held.index()->routeCount() == expected.routeCount());
-            RC_ASSERT(held.index()->rest()->needsKeys == expected.rest()->needsKeys);
+            RC_ASSERT(document.index()->routeCount() == expected.routeCount());
+            RC_ASSERT(document.index()->rest()->needsKeys == expected.rest()->needsKeys);
             for (int name = 0; name < 30; ++name) {
                 const std::string path = "/r" + std::to_string(name) + "/x";
-                RC_ASSERT((held.index()->find("h", path) != nullptr) == (expected.find("h", path) != nullptr));
+                RC_ASSERT((document.index()->find("h", path) != nullptr) == (expected.find("h", path) != nullptr));
             }
-            RC_ASSERT((held.index()->findWorkspace("k") != nullptr) == (expected.findWorkspace("k") != nullptr));
+            RC_ASSERT((document.index()->findWorkspace("k") != nullptr) == (expected.findWorkspace("k") != nullptr));
         }
         registry.deliverTo(other);
-        RC_ASSERT(other.index()->routeCount() == held.index()->routeCount());
+        RC_ASSERT(other.index()->routeCount() == document.index()->routeCount());
     });
 }
--- a/src/app/gateway/gateway_session.cpp
+++ b/src/app/gateway/gateway_session.cpp
@@ -15,7 +15,7 @@
 
 /// Time without data from a controller after which the gateway disconnects. A heartbeat is answered within one quorum
 /// round and the wait for it, about 120 ms, and drained targets must be known everywhere within two seconds.
-constexpr milliseconds answerTimeout { 900 };
+constexpr milliseconds responseTimeout { 900 };
 /// Time after which the gateway disconnects from a controller that answers but knows no leader: it may be in the
 /// minority of a network partition. An election takes about as long.
 constexpr milliseconds leaderTimeout { 150 };
@@ -32,7 +32,7 @@
 
 constexpr std::array disconnectCauseNames {
     enum_name<disconnect_cause> { disconnect_cause::None, "link_ended" },
-    enum_name<disconnect_cause> { disconnect_cause::NoAnswer, "no_answer" },
+    enum_name<disconnect_cause> { disconnect_cause::NoResponse, "no_answer" },
     enum_name<disconnect_cause> { disconnect_cause::Nearer, "nearer" },
     enum_name<disconnect_cause> { disconnect_cause::NoLeader, "no_leader" },
     enum_name<disconnect_cause> { disconnect_cause::InvalidChange, "unfitting_change" },
@@ -48,21 +48,21 @@
 
 } // namespace
 
-gateway_session::gateway_session(link::event_loop& loop, const settings::settings& settings, gateway_document& held,
+gateway_session::gateway_session(link::event_loop& loop, const settings::settings& settings, gateway_document& document,
     gateway_session_callbacks callbacks)
     : m_loop(loop)
     , m_settings(settings)
     , m_callbacks(std::move(callbacks))
     , m_seeds(settings.controllers)
     , m_nextAddress(std::hash<std::string>()(settings.id))
-    , m_document(held)
+    , m_document(document)
     , m_hub(loop,
           link::hub_handlers {
-              [this](link::channel_number channel, bool) { onOpened(channel); },
-              [this](link::channel_number channel) { onClosed(channel); },
-              [this](link::channel_number channel, const std::string& bytes) { onMessage(channel, bytes); },
-              [this](link::channel_number channel) { onProgress(channel); },
-              [this](link::channel_number channel, const link::link_end& end) { onEnding(channel, end); },
+              [this](link::link_number link, bool) { onOpened(link); },
+              [this](link::link_number link) { onClosed(link); },
+              [this](link::link_number link, const std::string& bytes) { onMessage(link, bytes); },
+              [this](link::link_number link) { onProgress(link); },
+              [this](link::link_number link, const link::link_end& end) { onEnding(link, end); },
           },
           hubOptions(settings))
     , m_leaderlessTimer(loop)
@@ -76,8 +76,8 @@
 std::vector<std::string> gateway_session::addresses() const
 {
     std::vector<std::string> all;
-    for (const auto& place : m_controllers)
-        all.push_back(place.address);
+    for (const auto& endpoint : m_controllers)
+        all.push_back(endpoint.address);
     for (const auto& seed : m_seeds) {
         if (std::find(all.begin(), all.end(), seed) == all.end())
             all.push_back(seed);
@@ -87,7 +87,7 @@
 
 void gateway_session::connect()
 {
-    if (m_channel != 0)
+    if (m_link != 0)
         return;
     const auto all = addresses();
     if (all.empty())
@@ -97,38 +97,38 @@
         ++m_nextAddress;
     m_address = m_nextController.empty() ? all[m_nextAddress++ % all.size()] : std::exchange(m_nextController, {});
     m_disconnectCause = disconnect_cause::None;
-    m_answerDeadline = steadyNow() + answerTimeout;
-    m_channel = m_hub.dial(m_address);
+    m_responseDeadline = steadyNow() + responseTimeout;
+    m_link = m_hub.dial(m_address);
 }
 
-void gateway_session::onOpened(link::channel_number channel)
+void gateway_session::onOpened(link::link_number link)
 {
-    if (channel != m_channel)
+    if (link != m_link)
         return;
     m_isOpen = true;
     sendHeartbeat();
 }
 
-void gateway_session::onEnding(link::channel_number channel, const link::link_end& end)
+void gateway_session::onEnding(link::link_number link, const link::link_end& end)
 {
-    if (channel != m_channel || !m_isServed || m_disconnectCause == disconnect_cause::Nearer)
+    if (link != m_link || !m_isServed || m_disconnectCause == disconnect_cause::Nearer)
         return;
     const std::string why = m_disconnectCause == disconnect_cause::None
         ? link::nameOf(end.cause)
         : std::string(nameIn(disconnectCauseNames, m_disconnectCause));
     telemetry::logEvent(event_code::SessionLost,
         { { "controller", m_address }, { "reason", why },
-            { "silent_ms", std::to_string(between(m_answeredAt, steadyNow()).count()) },
+            { "silent_ms", std::to_string(between(m_lastResponseAt, steadyNow()).count()) },
             { "received", std::to_string(m_hub.bytesReceived() - m_receivedBefore) },
             { "version", std::to_string(m_document.version()) } },
         telemetry::severity::Warning);
 }
 
-void gateway_session::onClosed(link::channel_number channel)
+void gateway_session::onClosed(link::link_number link)
 {
-    if (channel != m_channel)
+    if (link != m_link)
         return;
-    m_channel = 0;
+    m_link = 0;
     m_isOpen = false;
     clearInbox();
     m_hasSentHeartbeat = false;
@@ -143,13 +143,13 @@
 {
     m_disconnectCause = cause;
     m_nextController = next;
-    m_hub.close(m_channel);
+    m_hub.close(m_link);
 }
 
 void gateway_session::disconnectUnlessServed()
 {
-    m_leaderlessTimer.set(steadyNow() + leaderTimeout, [this, channel = m_channel] {
-        if (channel == 0 || channel != m_channel || m_isServed)
+    m_leaderlessTimer.set(steadyNow() + leaderTimeout, [this, link = m_link] {
+        if (link == 0 || link != m_link || m_isServed)
             return;
         m_isSwitching = true;
         disconnect(disconnect_cause::NoLeader, {});
@@ -158,16 +158,16 @@
 
 std::string gateway_session::nearestController() const
 {
-    auto near = addressesIn(m_controllers, m_settings.failureDomain, &link::controller_location::address);
+    auto near = addressesIn(m_controllers, m_settings.failureDomain, &link::controller_endpoint::address);
     if (std::find(near.begin(), near.end(), m_address) != near.end())
         return m_address;
     if (!near.empty())
         return preferredAddress(m_settings.id, near);
     // Without a controller in the own domain, sessions are spread over those heard of recently, whose failure domain
     // is known.
-    for (const auto& place : m_controllers) {
-        if (!place.failureDomain.empty())
-            near.push_back(place.address);
+    for (const auto& endpoint : m_controllers) {
+        if (!endpoint.failureDomain.empty())
+            near.push_back(endpoint.address);
     }
     return preferredAddress(m_settings.id, near);
 }
@@ -186,12 +186,12 @@
 
 void gateway_session::sendHeartbeat()
 {
-    if (m_channel == 0) {
+    if (m_link == 0) {
         connect();
         return;
     }
-    if (steadyNow() >= m_answerDeadline) {
-        disconnect(disconnect_cause::NoAnswer, {});
+    if (steadyNow() >= m_responseDeadline) {
+        disconnect(disconnect_cause::NoResponse, {});
         return;
     }
     if (!m_isOpen)
@@ -206,7 +206,7 @@
     m_callbacks.fillQuarantine(heartbeat, isFirst);
     heartbeat.limits = m_callbacks.takeLimitReports(isFirst);
     heartbeat.leavingTargets = m_callbacks.leavingTargets();
-    m_hub.send(m_channel, link::encode(link::message(std::move(heartbeat))));
+    m_hub.send(m_link, link::encode(link::message(std::move(heartbeat))));
 }
 
 void gateway_session::sendHeartbeatSoon()
@@ -219,13 +219,13 @@
     });
 }
 
-void gateway_session::onMessage(link::channel_number channel, const std::string& bytes)
+void gateway_session::onMessage(link::link_number link, const std::string& bytes)
 {
-    auto message = decodeOrClose(m_hub, channel, bytes);
-    if (!message || channel != m_channel)
+    auto message = decodeOrClose(m_hub, link, bytes);
+    if (!message || link != m_link)
         return;
     if (std::holds_alternative<link::document_slice>(*message))
-        onProgress(channel);
+        onProgress(link);
     m_inbox.push_back(std::move(*message));
     if (!m_isPausing)
         processInbox();
@@ -246,7 +246,7 @@
         if (slice->number == 0)
             m_pauseSlicesUntil = startedAt + slicePauseTime;
         onSlice(*slice);
-        onProgress(m_channel);
+        onProgress(m_link);
         // Many slices may arrive in one turn of the loop: streams are served between them.
         const steady_time now = steadyNow();
         m_isPausing = true;
@@ -269,17 +269,17 @@
     m_document.discardPartial();
 }
 
-void gateway_session::onProgress(link::channel_number channel)
+void gateway_session::onProgress(link::link_number link)
 {
     // A partly received document counts as an answer: after a disconnect it would be sent again from its first byte.
-    if (channel == m_channel)
-        m_answerDeadline = steadyNow() + answerTimeout;
+    if (link == m_link)
+        m_responseDeadline = steadyNow() + responseTimeout;
 }
 
-void gateway_session::rejectChange(std::uint64_t version, const failure& fault)
+void gateway_session::rejectChange(std::uint64_t version, const failure& error)
 {
     telemetry::logEvent(event_code::ConfigurationRejected,
-        { { "version", std::to_string(version) }, { "reason", fault.reason } }, telemetry::severity::Warning);
+        { { "version", std::to_string(version) }, { "reason", error.reason } }, telemetry::severity::Warning);
     clearInbox();
     disconnect(disconnect_cause::InvalidChange, {});
 }
@@ -287,16 +287,16 @@
 void gateway_session::onSlice(const link::document_slice& slice)
 {
     const link::timed_task task(m_loop, "document slice");
-    if (const auto taken = m_document.take(slice); !taken)
-        rejectChange(slice.to, taken.error());
+    if (const auto result = m_document.add(slice); !result)
+        rejectChange(slice.to, result.error());
 }
 
-bool gateway_session::takeDocument(const link::gateway_update& update)
+bool gateway_session::applyDocument(const link::gateway_update& update)
 {
     const link::timed_task task(m_loop, "document");
     for (const auto& change : update.document) {
-        if (const auto taken = m_document.take(change); !taken) {
-            rejectChange(change.to, taken.error());
+        if (const auto result = m_document.add(change); !result) {
+            rejectChange(change.to, result.error());
             return false;
         }
     }
@@ -314,20 +314,20 @@
 {
     if (!update.isServed) {
         if (update.waitsForQuorum)
-            m_answerDeadline = steadyNow() + answerTimeout;
+            m_responseDeadline = steadyNow() + responseTimeout;
         else
             disconnectUnlessServed();
         return;
     }
     if (!std::exchange(m_isServed, true))
         telemetry::logEvent(event_code::SessionOpened, { { "controller", m_address } });
-    m_answeredAt = steadyNow();
+    m_lastResponseAt = steadyNow();
     m_receivedBefore = m_hub.bytesReceived();
-    m_answerDeadline = m_answeredAt + answerTimeout;
+    m_responseDeadline = m_lastResponseAt + responseTimeout;
     if (!update.controllers.empty())
         m_controllers = update.controllers;
     m_callbacks.updateReceived(update);
-    if (!takeDocument(update))
+    if (!applyDocument(update))
         return;
     for (const auto& change : update.targets) {
         const link::timed_task task(m_loop, "targets");
--- a/src/app/gateway/gateway_session.hpp
+++ b/src/app/gateway/gateway_session.hpp
@@ -15,7 +15,7 @@
 /// Why a gateway disconnects from a controller.
 enum class disconnect_cause : std::uint8_t {
     None, ///< it doesn't: the link ended by itself
-    NoAnswer, ///< no answer by the deadline
+    NoResponse, ///< no answer by the deadline
     Nearer, ///< another controller is in this gateway's failure domain, or is preferred for it
     NoLeader, ///< it has reached no leader within the leader timeout
     InvalidChange, ///< it sent a change that can't be applied to the state held here
@@ -49,9 +49,9 @@
 /// Versions held only ever increase, and the first state comes from a controller that a quorum has just confirmed.
 class gateway_session {
 public:
-    /// @param settings must outlive the session, as must `held`
-    /// @param held receives the changes of the document
-    gateway_session(link::event_loop& loop, const settings::settings& settings, gateway_document& held,
+    /// @param settings must outlive the session, as must `document`
+    /// @param document receives the changes of the document
+    gateway_session(link::event_loop& loop, const settings::settings& settings, gateway_document& document,
         gateway_session_callbacks callbacks);
 
     /// @brief Replaces the addresses of the controllers to try first.
@@ -64,11 +64,11 @@
     void connect();
     /// @brief Sends a heartbeat; connects or disconnects first if there is no link or no answer in time.
     void sendHeartbeat();
-    void onOpened(link::channel_number channel);
-    void onClosed(link::channel_number channel);
-    void onMessage(link::channel_number channel, const std::string& bytes);
+    void onOpened(link::link_number link);
+    void onClosed(link::link_number link);
+    void onMessage(link::link_number link, const std::string& bytes);
     /// @brief Postpones the answer deadline: part of an answer has arrived.
-    void onProgress(link::channel_number channel);
+    void onProgress(link::link_number link);
     void onUpdate(const link::gateway_update& update);
     void onSlice(const link::document_slice& slice);
     /// @brief Processes received messages; after each slice of the document it yields to other work of the loop.
@@ -79,13 +79,13 @@
     /// @brief Discards unprocessed messages and incomplete changes of the document.
     void clearInbox();
     /// @brief Applies the complete changes of the document. @return false: one was rejected and the session is closing
-    bool takeDocument(const link::gateway_update& update);
+    bool applyDocument(const link::gateway_update& update);
     /// @brief Disconnects after a change that can't be applied; the next session reports the version held.
-    void rejectChange(std::uint64_t version, const failure& fault);
+    void rejectChange(std::uint64_t version, const failure& error);
     /// @param next address of the controller to dial next; empty: any
     void disconnect(disconnect_cause cause, const std::string& next);
     /// @brief Logs the loss of a session.
-    void onEnding(link::channel_number channel, const link::link_end& end);
+    void onEnding(link::link_number link, const link::link_end& end);
     /// @brief Disconnects after the leader timeout, unless this controller reaches a leader by then.
     void disconnectUnlessServed();
     /// @brief Moves the session to a nearer controller if one is known and the backoff has passed.
@@ -99,21 +99,21 @@
     const settings::settings& m_settings;
     gateway_session_callbacks m_callbacks;
     std::vector<std::string> m_seeds;
-    std::vector<link::controller_location> m_controllers; ///< as last reported
+    std::vector<link::controller_endpoint> m_controllers; ///< as last reported
     std::string m_address; ///< of the controller dialled
     std::string m_nextController; ///< address of the controller to dial next; empty: any
     steady_time m_nextMoveAt {}; ///< earliest time of a move to a nearer controller
     std::size_t m_nextAddress = 0;
-    link::channel_number m_channel = 0;
+    link::link_number m_link = 0;
     bool m_isOpen = false;
     bool m_isServed = false; ///< this controller has answered and was confirmed by a quorum
     bool m_isSwitching = false; ///< the link is being closed to try another controller
     std::uint64_t m_incarnation = randomNumber(); ///< distinguishes this process from earlier ones with the same id
     std::uint64_t m_sequence = 0;
     disconnect_cause m_disconnectCause = disconnect_cause::None;
-    steady_time m_answeredAt {};
+    steady_time m_lastResponseAt {};
     std::uint64_t m_receivedBefore = 0; ///< bytes received up to the last answer
-    steady_time m_answerDeadline {}; ///< another controller is tried if no answer has arrived by then
+    steady_time m_responseDeadline {}; ///< another controller is tried if no answer has arrived by then
     gateway_document& m_document;
     std::deque<link::message> m_inbox; ///< received messages, processed in order
     bool m_isPausing = false; ///< the inbox timer is set
--- a/src/app/gateway/gateway_session_test.cpp
+++ b/src/app/gateway/gateway_session_test.cpp
@@ -16,29 +16,29 @@
     fake_controller(link::event_loop& loop, bool serves)
         : m_serves(serves)
         , m_hub(loop,
-              link::hub_handlers { [this](link::channel_number, bool) { ++m_sessions; }, [](link::channel_number) {},
-                  [this](link::channel_number channel, const std::string& bytes) {
+              link::hub_handlers { [this](link::link_number, bool) { ++m_sessions; }, [](link::link_number) {},
+                  [this](link::link_number link, const std::string& bytes) {
                       const auto message = link::decode(bytes);
                       REQUIRE(message);
                       link::gateway_update update;
                       update.isServed = m_serves;
-                      update.controllers = m_places;
+                      update.controllers = m_endpoints;
                       ++m_heartbeats;
-                      m_hub.send(channel, link::encode(link::message(update)));
+                      m_hub.send(link, link::encode(link::message(update)));
                   } })
         , m_port(m_hub.listen("127.0.0.1:0"))
     {
     }
 
     [[nodiscard]] std::string address() const { return "127.0.0.1:" + std::to_string(m_port); }
-    [[nodiscard]] int beats() const { return m_heartbeats; }
+    [[nodiscard]] int heartbeats() const { return m_heartbeats; }
     [[nodiscard]] int sessions() const { return m_sessions; }
     /// @brief Sets whether it reaches a leader.
     void setServes(bool serves) { m_serves = serves; }
     /// @brief Closes its listener and links.
     void stop() { m_hub.stop(); }
     /// @brief Sets the controllers that it reports.
-    void setPlaces(std::vector<link::controller_location> places) { m_places = std::move(places); }
+    void setEndpoints(std::vector<link::controller_endpoint> endpoints) { m_endpoints = std::move(endpoints); }
 
 private:
     bool m_serves;
@@ -46,7 +46,7 @@
     std::uint16_t m_port;
     int m_heartbeats = 0;
     int m_sessions = 0;
-    std::vector<link::controller_location> m_places;
+    std::vector<link::controller_endpoint> m_endpoints;
 };
 
 } // namespace
@@ -77,30 +77,30 @@
     link::event_loop loop;
     fake_controller near(loop, true);
     fake_controller far(loop, true);
-    const std::vector<link::controller_location> places { { near.address(), "", "own" },
+    const std::vector<link::controller_endpoint> endpoints { { near.address(), "", "own" },
         { far.address(), "", "other" } };
-    near.setPlaces(places);
-    far.setPlaces(places);
+    near.setEndpoints(endpoints);
+    far.setEndpoints(endpoints);
     settings::settings settings;
     settings.id = "gateway";
     settings.failureDomain = "own";
     settings.heartbeatMs = 100;
     settings.controllers = { near.address() };
-    gateway_document held(platform::controlDialect());
-    gateway_session session(loop, settings, held, emptyCallbacks());
-    const auto begun = boot_clock::now();
-    int nearBeats = 0;
-    int farBeats = 0;
-    loop.runAt(begun + enough, [&] {
-        nearBeats = near.beats();
-        farBeats = far.beats();
+    gateway_document document(platform::controlDialect());
+    gateway_session session(loop, settings, document, emptyCallbacks());
+    const auto start = boot_clock::now();
+    int nearHeartbeats = 0;
+    int farHeartbeats = 0;
+    loop.runAt(start + enough, [&] {
+        nearHeartbeats = near.heartbeats();
+        farHeartbeats = far.heartbeats();
         near.stop();
     });
-    loop.runAt(begun + enough * 2, [&loop] { loop.stop(); });
+    loop.runAt(start + enough * 2, [&loop] { loop.stop(); });
     loop.run();
-    CHECK(nearBeats > 8);
-    CHECK(farBeats == 0);
-    CHECK(far.beats() > 11); // of 15; a try of the stopped one would cost the session and two heartbeats
+    CHECK(nearHeartbeats > 8);
+    CHECK(farHeartbeats == 0);
+    CHECK(far.heartbeats() > 11); // of 15; a try of the stopped one would cost the session and two heartbeats
     CHECK(far.sessions() == 1);
 }
 
@@ -114,7 +114,7 @@
     settings.id = "gateway";
     settings.heartbeatMs = 300;
     fake_controller leader(loop, true);
-    for (int at = 0; at < 5; ++at) {
+    for (int i = 0; i < 5; ++i) {
         leaderless.push_back(std::make_unique<fake_controller>(loop, false));
         settings.controllers.push_back(leaderless.back()->address());
     }
@@ -125,12 +125,12 @@
         isServed = true;
         loop.stop();
     };
-    gateway_document held(platform::controlDialect());
-    gateway_session session(loop, settings, held, std::move(callbacks));
+    gateway_document document(platform::controlDialect());
+    gateway_session session(loop, settings, document, std::move(callbacks));
     loop.runAt(boot_clock::now() + enough, [&loop] { loop.stop(); });
     loop.run();
     CHECK(isServed);
-    CHECK(leader.beats() > 0);
+    CHECK(leader.heartbeats() > 0);
 }
 
 TEST_CASE("gateway session: slices that arrive together are processed one per turn of the loop", "[gateway_session]")
@@ -138,9 +138,9 @@
     constexpr int routes = 3000;
     link::event_loop loop;
     std::string text = R"({"version":4,"services":[{"name":"s"}],"routes":[)";
-    for (int at = 0; at < routes; ++at) {
-        text += at == 0 ? "" : ",";
-        text += R"({"host":"h","path-prefix":"/)" + std::to_string(at) + R"(/","timeout-ms":9,"service":"s"})";
+    for (int i = 0; i < routes; ++i) {
+        text += i == 0 ? "" : ",";
+        text += R"({"host":"h","path-prefix":"/)" + std::to_string(i) + R"(/","timeout-ms":9,"service":"s"})";
     }
     const versioned_text published { 4, text + "]}" };
     document_feed feed(platform::controlDialect());
@@ -149,24 +149,24 @@
     REQUIRE(slices.size() > 5);
     std::unique_ptr<link::link_hub> controller;
     controller = std::make_unique<link::link_hub>(loop,
-        link::hub_handlers { [](link::channel_number, bool) {}, [](link::channel_number) {},
-            [&](link::channel_number channel, const std::string&) {
+        link::hub_handlers { [](link::link_number, bool) {}, [](link::link_number) {},
+            [&](link::link_number link, const std::string&) {
                 for (const auto* slice : slices)
-                    controller->send(channel, *slice);
+                    controller->send(link, *slice);
                 link::gateway_update update;
                 update.isServed = true;
-                controller->send(channel, link::encode(link::message(update)));
+                controller->send(link, link::encode(link::message(update)));
             } });
     settings::settings settings;
     settings.id = "gateway";
     settings.controllers = { "127.0.0.1:" + std::to_string(controller->listen("127.0.0.1:0")) };
-    gateway_document held(platform::controlDialect());
+    gateway_document document(platform::controlDialect());
     auto callbacks = emptyCallbacks();
     callbacks.documentChanged = [&loop] { loop.stop(); };
-    gateway_session session(loop, settings, held, std::move(callbacks));
+    gateway_session session(loop, settings, document, std::move(callbacks));
     // Other work, always ready, must run between any two slices.
     std::size_t slicesInARow = 0;
-    std::size_t mostInARow = 0;
+    std::size_t maxSlicesInARow = 0;
     std::function<void()> other = [&] {
         slicesInARow = 0;
         loop.post(other);
@@ -175,33 +175,33 @@
     loop.reportSlowTasks(
         [&](const link::slow_task& task) {
             slicesInARow += task.name == "document slice" ? 1 : 0;
-            mostInARow = std::max(mostInARow, slicesInARow);
+            maxSlicesInARow = std::max(maxSlicesInARow, slicesInARow);
         },
         milliseconds(0));
     loop.runAt(boot_clock::now() + milliseconds(5000), [&loop] { loop.stop(); });
     loop.run();
-    REQUIRE(held.index());
-    CHECK(held.index()->routeCount() == routes);
-    CHECK(mostInARow == 1);
+    REQUIRE(document.index());
+    CHECK(document.index()->routeCount() == routes);
+    CHECK(maxSlicesInARow == 1);
 }
 
 TEST_CASE("gateway session: it disconnects from a controller that has lost the leader but still answers heartbeats",
     "[gateway_session]")
 {
     link::event_loop loop;
-    fake_controller cutOff(loop, true);
+    fake_controller isolated(loop, true);
     fake_controller other(loop, true);
     settings::settings settings;
     settings.id = "gateway";
     settings.heartbeatMs = 100;
-    settings.controllers = { cutOff.address() };
-    cutOff.setPlaces({ { cutOff.address(), "", "" }, { other.address(), "", "" } });
-    gateway_document held(platform::controlDialect());
-    gateway_session session(loop, settings, held, emptyCallbacks());
-    const auto begun = boot_clock::now();
-    loop.runAt(begun + milliseconds(500), [&cutOff] { cutOff.setServes(false); });
-    loop.runAt(begun + milliseconds(2500), [&loop] { loop.stop(); });
+    settings.controllers = { isolated.address() };
+    isolated.setEndpoints({ { isolated.address(), "", "" }, { other.address(), "", "" } });
+    gateway_document document(platform::controlDialect());
+    gateway_session session(loop, settings, document, emptyCallbacks());
+    const auto start = boot_clock::now();
+    loop.runAt(start + milliseconds(500), [&isolated] { isolated.setServes(false); });
+    loop.runAt(start + milliseconds(2500), [&loop] { loop.stop(); });
     loop.run();
-    CHECK(cutOff.beats() > 3);
-    CHECK(other.beats() > 5); // from 0.9 s after the last answer of the first controller
+    CHECK(isolated.heartbeats() > 3);
+    CHECK(other.heartbeats() > 5); // from 0.9 s after the last answer of the first controller
 }
--- a/src/app/registry/registry.cpp
+++ b/src/app/registry/registry.cpp
@@ -55,19 +55,19 @@
     hubOptions.openTimeout = milliseconds(m_settings.linkOpenTimeoutMs);
     m_hub = std::make_unique<link::link_hub>(m_loop,
         link::hub_handlers {
-            [this](link::channel_number channel, bool inbound) {
+            [this](link::link_number channel, bool inbound) {
                 if (!inbound)
                     m_log->onOpened(channel);
             },
-            [this](link::channel_number channel) {
+            [this](link::link_number channel) {
                 m_log->onClosed(channel);
                 m_sessions.erase(channel);
                 m_gatewaySessions.forget(channel);
                 m_memberLimitsSent.erase(channel);
             },
-            [this](link::channel_number channel, const std::string& bytes) { onMessage(channel, bytes); },
-            [this](link::channel_number channel) { m_log->onProgress(channel); },
-            [this](link::channel_number channel, const link::link_end& end) { m_log->onEnding(channel, end); },
+            [this](link::link_number channel, const std::string& bytes) { onMessage(channel, bytes); },
+            [this](link::link_number channel) { m_log->onProgress(channel); },
+            [this](link::link_number channel, const link::link_end& end) { m_log->onEnding(channel, end); },
         },
         hubOptions);
     replicated_log_options options;
@@ -225,7 +225,7 @@
         controlCallTimeout);
 }
 
-void registry_role::onMessage(link::channel_number channel, const std::string& bytes)
+void registry_role::onMessage(link::link_number channel, const std::string& bytes)
 {
     const link::timed_task task(m_loop, "message");
     const auto message = decodeOrClose(*m_hub, channel, bytes);
@@ -261,7 +261,7 @@
         }
         return isExpired;
     });
-    refreshPlaces();
+    refreshEndpoints();
     pushAll();
     confirmSessions();
     notifyWaiting();
--- a/src/app/registry/registry_quarantine.cpp
+++ b/src/app/registry/registry_quarantine.cpp
@@ -36,7 +36,7 @@
 } // namespace
 
 void registry_role::queueQuarantineChanges(
-    link::channel_number channel, session& gatewaySession, const link::gateway_heartbeat& heartbeat)
+    link::link_number channel, session& gatewaySession, const link::gateway_heartbeat& heartbeat)
 {
     for (const auto& batch : heartbeat.quarantine) {
         if (batch.number <= gatewaySession.quarantineBatch)
--- a/src/app/registry/registry_sessions.cpp
+++ b/src/app/registry/registry_sessions.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-void registry_role::onHeartbeat(link::channel_number channel, const link::gateway_heartbeat& heartbeat)
+void registry_role::onHeartbeat(link::link_number channel, const link::gateway_heartbeat& heartbeat)
 {
     auto& gatewaySession = m_sessions[channel];
     if (gatewaySession.instance.empty()) {
@@ -72,7 +72,7 @@
     m_hub->send(channel, link::encode(link::message(update)));
 }
 
-void registry_role::onReport(link::channel_number channel, const link::member_report& report)
+void registry_role::onReport(link::link_number channel, const link::member_report& report)
 {
     if (!m_log->isLeader())
         return; // the next report goes to the new leader
@@ -167,13 +167,13 @@
         m_hub->send(channel, bytes);
 }
 
-void registry_role::refreshPlaces()
+void registry_role::refreshEndpoints()
 {
-    auto places = m_log->places();
-    if (places == m_places)
+    auto endpoints = m_log->endpoints();
+    if (endpoints == m_endpoints)
         return;
-    m_places = std::move(places);
-    ++m_placesRevision;
+    m_endpoints = std::move(endpoints);
+    ++m_endpointsRevision;
 }
 
 void registry_role::pushAll()
@@ -194,7 +194,7 @@
         m_nextTablePushAt = now + tablePushPeriod;
 }
 
-void registry_role::sendUpdate(link::channel_number channel, session& gatewaySession, std::uint64_t sequence,
+void registry_role::sendUpdate(link::link_number channel, session& gatewaySession, std::uint64_t sequence,
     std::vector<registry::quarantine_receipt> receipts)
 {
     const auto fleet = m_gatewaySessions.summaryFor(channel, m_state.targets(), steadyNow());
@@ -206,8 +206,8 @@
     else
         update.document = m_state.documentUpdate(gatewaySession.documentVersion);
     update.targets = m_state.targetsUpdate(gatewaySession.targetRevision);
-    if (std::exchange(gatewaySession.placesRevisionSent, m_placesRevision) != m_placesRevision)
-        update.controllers = m_places;
+    if (std::exchange(gatewaySession.endpointsRevisionSent, m_endpointsRevision) != m_endpointsRevision)
+        update.controllers = m_endpoints;
     update.gateways = std::max(fleet.gateways, 1U);
     update.budgetSharers = fleet.budgetSharers;
     if (fleet.earlier)
@@ -230,7 +230,7 @@
     m_hub->send(channel, bytes);
 }
 
-void registry_role::sendSlices(link::channel_number channel, const session& gatewaySession)
+void registry_role::sendSlices(link::link_number channel, const session& gatewaySession)
 {
     m_feed.update(m_state.document());
     const auto messages = m_feed.messagesFrom(gatewaySession.documentVersion, m_state.document());
@@ -243,7 +243,7 @@
         logDocumentSent(channel, gatewaySession, bytes);
 }
 
-void registry_role::logDocumentSent(link::channel_number channel, const session& gatewaySession, std::size_t bytes)
+void registry_role::logDocumentSent(link::link_number channel, const session& gatewaySession, std::size_t bytes)
 {
     telemetry::logEvent(event_code::DocumentSent,
         { { "gateway", gatewaySession.instance }, { "from", std::to_string(gatewaySession.documentVersion) },
--- a/src/app/registry/registry_targets.cpp
+++ b/src/app/registry/registry_targets.cpp
@@ -10,7 +10,8 @@
 
 std::string registry_role::nextHeartbeatAddress(const registry::target_record& record) const
 {
-    const auto localAddresses = addressesIn(m_places, record.failureDomain, &link::controller_location::controlAddress);
+    const auto localAddresses
+        = addressesIn(m_endpoints, record.failureDomain, &link::controller_endpoint::controlAddress);
     return localAddresses.empty() ? m_settings.httpAddress : preferredAddress(record.id, localAddresses);
 }
 
--- a/src/app/shared/preferred_address.cpp
+++ b/src/app/shared/preferred_address.cpp
@@ -18,13 +18,13 @@
     return best == addresses.end() ? std::string() : *best;
 }
 
-std::vector<std::string> addressesIn(const std::vector<link::controller_location>& places,
-    const std::string& failureDomain, std::string link::controller_location::*address)
+std::vector<std::string> addressesIn(const std::vector<link::controller_endpoint>& endpoints,
+    const std::string& failureDomain, std::string link::controller_endpoint::*address)
 {
     std::vector<std::string> found;
-    for (const auto& place : places) {
-        if (!place.failureDomain.empty() && place.failureDomain == failureDomain)
-            found.push_back(place.*address);
+    for (const auto& endpoint : endpoints) {
+        if (!endpoint.failureDomain.empty() && endpoint.failureDomain == failureDomain)
+            found.push_back(endpoint.*address);
     }
     return found;
 }
--- a/src/app/shared/preferred_address.hpp
+++ b/src/app/shared/preferred_address.hpp
@@ -17,7 +17,7 @@
 /// @brief Addresses of the controllers in a failure domain.
 /// @param failureDomain controllers without one never match
 /// @param address selects the link address or the control address
-std::vector<std::string> addressesIn(const std::vector<link::controller_location>& places,
-    const std::string& failureDomain, std::string link::controller_location::*address);
+std::vector<std::string> addressesIn(const std::vector<link::controller_endpoint>& endpoints,
+    const std::string& failureDomain, std::string link::controller_endpoint::*address);
 
 } // namespace buckthornrail::app
--- a/src/app/shared/replicated_log.cpp
+++ b/src/app/shared/replicated_log.cpp
@@ -22,7 +22,7 @@
 constexpr milliseconds droppableAfter { 8000 };
 constexpr std::size_t maxPendingJoins = 16;
 /// Stands for the link to the leader when this member leads.
-constexpr link::channel_number ownChannel = ~link::channel_number { 0 };
+constexpr link::link_number ownChannel = ~link::link_number { 0 };
 /// Members send a hello every 200 ms.
 constexpr milliseconds helloLifetime { 2000 };
 
@@ -133,7 +133,7 @@
     scheduleFlush();
 }
 
-bool replicated_log::onMessage(link::channel_number channel, const link::message& message)
+bool replicated_log::onMessage(link::link_number channel, const link::message& message)
 {
     if (const auto* peer = std::get_if<agreement::peer_message>(&message)) {
         m_replica->receive(*peer, steadyNow());
@@ -316,7 +316,7 @@
 
 void replicated_log::forward(pending_command& command, steady_time now)
 {
-    const link::channel_number channel = isLeader() ? ownChannel : leaderChannel();
+    const link::link_number channel = isLeader() ? ownChannel : leaderChannel();
     const bool isInFlight = command.forwardedChannel == channel && command.forwardedTerm == m_replica->term();
     if (channel == 0 || isInFlight)
         return;
--- a/src/app/shared/replicated_log.hpp
+++ b/src/app/shared/replicated_log.hpp
@@ -75,13 +75,13 @@
     void confirm(std::function<void(bool)> callback, milliseconds timeout);
 
     /// @return whether the event concerned the log
-    bool onOpened(link::channel_number channel);
+    bool onOpened(link::link_number channel);
     /// @brief Logs why a link to a peer is closing. onClosed() follows.
-    void onEnding(link::channel_number channel, const link::link_end& end) const;
-    bool onClosed(link::channel_number channel);
-    bool onMessage(link::channel_number channel, const link::message& message);
+    void onEnding(link::link_number channel, const link::link_end& end) const;
+    bool onClosed(link::link_number channel);
+    bool onMessage(link::link_number channel, const link::message& message);
     /// @brief Part of a long message was received over a channel, or acknowledged by the other end.
-    void onProgress(link::channel_number channel);
+    void onProgress(link::link_number channel);
     /// @brief Sends a message to the leader.
     /// @return false when no leader is known, there is no open link to it, or this member leads
     bool sendToLeader(const link::message& message);
@@ -96,7 +96,7 @@
     /// @brief Whether this member leads, or has an open link to the known leader.
     [[nodiscard]] bool reachesLeader() const { return isLeader() || leaderChannel() != 0; }
     /// @return the addresses of all members; only the link address for one that sent no hello lately
-    [[nodiscard]] std::vector<link::controller_location> places() const;
+    [[nodiscard]] std::vector<link::controller_endpoint> endpoints() const;
     /// @brief Whether another controller has reported that it has a log.
     [[nodiscard]] bool knowsOtherLog() const;
 
@@ -111,7 +111,7 @@
         steady_time deadline {};
         /// Link that the command was forwarded over; 0: not forwarded yet. It isn't sent again while the link is open
         /// and the term lasts: the link delivers it, and a second copy would only queue behind the first.
-        link::channel_number forwardedChannel = 0;
+        link::link_number forwardedChannel = 0;
         agreement::term_number forwardedTerm = 0;
         steady_time forwardedAt {};
     };
@@ -121,7 +121,7 @@
         agreement::log_index index = 0; ///< to be applied before the callback; 0: not confirmed yet
     };
     struct peer_link {
-        link::channel_number channel = 0;
+        link::link_number channel = 0;
         bool open = false;
         bool initialized = false; ///< the peer has reported that it has a log
         bool isDialledAfterHello = false; ///< it was known to be up when `channel` was dialled
@@ -134,7 +134,7 @@
     };
     /// The last hello of a controller, which need not be a known member.
     struct received_hello {
-        link::controller_location place;
+        link::controller_endpoint endpoint;
         steady_time deadline {}; ///< dropped then, unless another one arrives
     };
 
@@ -164,7 +164,7 @@
     void forwardCommands();
     void forward(pending_command& command, steady_time now);
     /// @return the open link to the leader; 0: none
-    [[nodiscard]] link::channel_number leaderChannel() const;
+    [[nodiscard]] link::link_number leaderChannel() const;
     /// @brief At the leader: proposes a membership change if one is due.
     void updateMembers();
     /// @brief Records a request to join, and forwards it to the leader.
@@ -190,7 +190,7 @@
     std::map<std::string, peer_link> m_peers; ///< by address
     std::map<agreement::member_id, pending_join> m_pendingJoins;
     std::map<agreement::member_id, received_hello> m_hellos;
-    std::map<link::channel_number, agreement::member_id> m_acceptedLinks; ///< the other end of each accepted link
+    std::map<link::link_number, agreement::member_id> m_acceptedLinks; ///< the other end of each accepted link
     std::map<agreement::member_id, steady_time> m_unreachableSince; ///< at the leader: unreachable members
     bool m_wasLeader = false;
     bool m_flushScheduled = false;
--- a/src/app/shared/replicated_log_links.cpp
+++ b/src/app/shared/replicated_log_links.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-bool replicated_log::onOpened(link::channel_number channel)
+bool replicated_log::onOpened(link::link_number channel)
 {
     for (auto& [address, peer] : m_peers) {
         if (peer.channel != channel)
@@ -25,7 +25,7 @@
     return false;
 }
 
-void replicated_log::onEnding(link::channel_number channel, const link::link_end& end) const
+void replicated_log::onEnding(link::link_number channel, const link::link_end& end) const
 {
     for (const auto& [address, peer] : m_peers) {
         if (peer.channel != channel || !peer.open)
@@ -37,7 +37,7 @@
     }
 }
 
-bool replicated_log::onClosed(link::channel_number channel)
+bool replicated_log::onClosed(link::link_number channel)
 {
     m_acceptedLinks.erase(channel);
     for (auto& [address, peer] : m_peers) {
@@ -52,7 +52,7 @@
     return false;
 }
 
-void replicated_log::onProgress(link::channel_number channel)
+void replicated_log::onProgress(link::link_number channel)
 {
     if (const auto accepted = m_acceptedLinks.find(channel); accepted != m_acceptedLinks.end()) {
         m_replica->recordContact(accepted->second, steadyNow());
@@ -67,11 +67,11 @@
 
 bool replicated_log::sendToLeader(const link::message& message)
 {
-    const link::channel_number channel = leaderChannel();
+    const link::link_number channel = leaderChannel();
     return channel != 0 && m_hub.send(channel, link::encode(message));
 }
 
-link::channel_number replicated_log::leaderChannel() const
+link::link_number replicated_log::leaderChannel() const
 {
     const auto found = m_peers.find(leaderAddress());
     return found == m_peers.end() || !found->second.open ? 0 : found->second.channel;
@@ -86,16 +86,16 @@
     return {};
 }
 
-std::vector<link::controller_location> replicated_log::places() const
+std::vector<link::controller_endpoint> replicated_log::endpoints() const
 {
-    std::vector<link::controller_location> all;
+    std::vector<link::controller_endpoint> all;
     for (const auto& member : m_replica->members()) {
-        auto& place = all.emplace_back();
+        auto& endpoint = all.emplace_back();
         if (member.id == m_replica->self())
-            place = { {}, m_options.controlAddress, m_options.failureDomain };
+            endpoint = { {}, m_options.controlAddress, m_options.failureDomain };
         else if (const auto known = m_hellos.find(member.id); known != m_hellos.end())
-            place = known->second.place;
-        place.address = member.address;
+            endpoint = known->second.endpoint;
+        endpoint.address = member.address;
     }
     return all;
 }
@@ -158,7 +158,7 @@
     // A reply to a leader that this blank or outdated replica doesn't know as a member yet. Its hello has the address.
     const auto known = m_hellos.find(message.to);
     if (known != m_hellos.end())
-        sendToPeer(known->second.place.address, message);
+        sendToPeer(known->second.endpoint.address, message);
 }
 
 bool replicated_log::isKnownAddress(const std::string& address) const
@@ -169,7 +169,7 @@
         || std::any_of(
             members.begin(), members.end(), [&address](const auto& member) { return member.address == address; })
         || std::any_of(m_hellos.begin(), m_hellos.end(),
-            [&address](const auto& item) { return item.second.place.address == address; });
+            [&address](const auto& item) { return item.second.endpoint.address == address; });
 }
 
 } // namespace buckthornrail::app
--- a/src/app/shared/role_runner.cpp
+++ b/src/app/shared/role_runner.cpp
@@ -4,7 +4,7 @@
 
 namespace buckthornrail::app {
 
-std::optional<link::message> decodeOrClose(link::link_hub& hub, link::channel_number channel, const std::string& bytes)
+std::optional<link::message> decodeOrClose(link::link_hub& hub, link::link_number channel, const std::string& bytes)
 {
     auto message = link::decode(bytes);
     if (message)
--- a/src/app/shared/session_client.cpp
+++ b/src/app/shared/session_client.cpp
@@ -24,7 +24,7 @@
     loop.post([this] { connect(); });
 }
 
-bool session_client::onOpened(link::channel_number channel)
+bool session_client::onOpened(link::link_number channel)
 {
     if (channel != m_channel)
         return false;
@@ -38,7 +38,7 @@
     return true;
 }
 
-bool session_client::onClosed(link::channel_number channel)
+bool session_client::onClosed(link::link_number channel)
 {
     if (channel != m_channel)
         return false;
@@ -48,7 +48,7 @@
     return true;
 }
 
-bool session_client::onMessage(link::channel_number channel, const link::message& message)
+bool session_client::onMessage(link::link_number channel, const link::message& message)
 {
     if (channel != m_channel)
         return false;
@@ -63,7 +63,7 @@
     return true;
 }
 
-void session_client::onProgress(link::channel_number channel)
+void session_client::onProgress(link::link_number channel)
 {
     // Part of a long message counts as a sign of life: on a new link it would be sent again from its first byte.
     if (channel == m_channel)
--- a/src/app/sidecar/sidecar.cpp
+++ b/src/app/sidecar/sidecar.cpp
@@ -75,7 +75,7 @@
 {
     m_hub = std::make_unique<link::link_hub>(m_loop,
         link::hub_handlers {
-            [this](link::channel_number channel, bool inbound) {
+            [this](link::link_number channel, bool inbound) {
                 if (inbound || m_session->onOpened(channel))
                     return;
                 send(channel, link::link_hello { m_settings.id, m_incarnation, 0 });
@@ -83,9 +83,9 @@
                     m_hub->send(channel, bytes);
                 m_unsent.erase(channel);
             },
-            [this](link::channel_number channel) { onClosed(channel); },
-            [this](link::channel_number channel, const std::string& bytes) { onMessage(channel, bytes); },
-            [this](link::channel_number channel) { m_session->onProgress(channel); },
+            [this](link::link_number channel) { onClosed(channel); },
+            [this](link::link_number channel, const std::string& bytes) { onMessage(channel, bytes); },
+            [this](link::link_number channel) { m_session->onProgress(channel); },
         });
     if (m_hub->listen(m_settings.linkAddress) == 0)
         return tl::make_unexpected(failure { result_code::BadSettings, "can't listen on " + m_settings.linkAddress });
@@ -124,7 +124,7 @@
     telemetry::logEvent(event_code::TargetDraining, { { "drain", "yes" }, { "by", "signal" } });
 }
 
-void sidecar::onClosed(link::channel_number channel)
+void sidecar::onClosed(link::link_number channel)
 {
     if (m_session->onClosed(channel))
         return;
@@ -135,14 +135,14 @@
     carryOutEffects();
 }
 
-void sidecar::onMessage(link::channel_number channel, const std::string& bytes)
+void sidecar::onMessage(link::link_number channel, const std::string& bytes)
 {
     const auto message = decodeOrClose(*m_hub, channel, bytes);
     if (message && !m_session->onMessage(channel, *message))
         handle(channel, *message);
 }
 
-void sidecar::handle(link::channel_number channel, const link::message& message)
+void sidecar::handle(link::link_number channel, const link::message& message)
 {
     if (const auto* hello = std::get_if<link::link_hello>(&message))
         onHello(channel, *hello);
@@ -161,11 +161,11 @@
     carryOutEffects();
 }
 
-void sidecar::onHello(link::channel_number channel, const link::link_hello& hello)
+void sidecar::onHello(link::link_number channel, const link::link_hello& hello)
 {
     // Only the newest link of a peer stays open, so that messages still in transit on an older one can't arrive after
     // messages on the newer one.
-    std::vector<link::channel_number> superseded;
+    std::vector<link::link_number> superseded;
     for (const auto& [other, known] : m_peers) {
         if (known.instance != hello.instance || other == channel || hello.epoch == 0)
             continue;
@@ -179,7 +179,7 @@
         m_hub->close(other);
 }
 
-void sidecar::onOffer(link::channel_number channel, const dispatch::attempt_offer& offer)
+void sidecar::onOffer(link::link_number channel, const dispatch::attempt_offer& offer)
 {
     if (m_peers.contains(channel))
         m_core.offer(offer, channel, steadyNow());
@@ -259,7 +259,7 @@
     carryOutEffects();
 }
 
-void sidecar::send(link::channel_number channel, const link::message& message)
+void sidecar::send(link::link_number channel, const link::message& message)
 {
     if (channel != 0)
         m_hub->send(channel, link::encode(message));
--- a/src/app/sidecar/sidecar_links.cpp
+++ b/src/app/sidecar/sidecar_links.cpp
@@ -25,7 +25,7 @@
         m_hub.close(found->second.channel);
 }
 
-void sidecar_links::onOpened(link::channel_number channel)
+void sidecar_links::onOpened(link::link_number channel)
 {
     const auto known = m_byChannel.find(channel);
     if (known == m_byChannel.end())
@@ -37,7 +37,7 @@
         m_hub.send(channel, message.bytes);
 }
 
-void sidecar_links::onClosed(link::channel_number channel)
+void sidecar_links::onClosed(link::link_number channel)
 {
     const auto known = m_byChannel.find(channel);
     if (known == m_byChannel.end())
--- a/src/app/sidecar/sidecar_stages.cpp
+++ b/src/app/sidecar/sidecar_stages.cpp
@@ -24,7 +24,7 @@
         runStep(step, *plan, work->maxTokens);
 }
 
-void sidecar::onFence(link::channel_number channel, const link::stage_fence& fence)
+void sidecar::onFence(link::link_number channel, const link::stage_fence& fence)
 {
     m_guard.fence(fence.request, fence.generation, steadyNow() + m_core.gate().options().recordRetention);
     endStage(fence.request);
--- a/src/buckthornrail/link/link_hub.cpp
+++ b/src/buckthornrail/link/link_hub.cpp
@@ -126,31 +126,31 @@
         endpoint.set_fail_handler([this](const connection_hdl& handle) { onClosed(handle); });
         endpoint.set_pong_handler([this](const connection_hdl& handle, const std::string&) { recordActivity(handle); });
         endpoint.set_message_handler([this](const connection_hdl& handle, const auto& message) {
-            const channel_number channel = recordActivity(handle);
+            const link_number number = recordActivity(handle);
             bytesReceived += message->get_payload().size();
-            if (channel != 0)
-                onChunk(channel, message->get_raw_payload());
+            if (number != 0)
+                onChunk(number, message->get_raw_payload());
         });
     }
 
-    void onChunk(channel_number channel, std::string& chunk)
+    void onChunk(link_number number, std::string& chunk)
     {
-        auto& link = links[channel];
+        auto& link = links[number];
         const char kind = chunk.empty() ? '\0' : chunk.front();
         const bool isData = kind == FinalChunk || kind == PartialChunk;
         if ((!isData && kind != ChunkAck) || link.partialMessage.size() + chunk.size() > options.maxMessageBytes) {
-            drop(channel, link_end_cause::ProtocolError);
+            drop(number, link_end_cause::ProtocolError);
             return;
         }
         if (kind == FinalChunk && link.partialMessage.empty()) {
             chunk.erase(0, 1);
-            handlers.received(channel, std::move(chunk));
+            handlers.received(number, std::move(chunk));
             return;
         }
         if (isData)
             link.partialMessage.append(chunk, 1);
         if (kind == FinalChunk) {
-            handlers.received(channel, std::exchange(link.partialMessage, {}));
+            handlers.received(number, std::exchange(link.partialMessage, {}));
             return;
         }
         if (kind == PartialChunk) {
@@ -160,19 +160,19 @@
             sendQueued(link);
         }
         if (handlers.progressed)
-            handlers.progressed(channel);
+            handlers.progressed(number);
     }
 
     void onOpen(const connection_hdl& handle, bool inbound)
     {
-        auto known = channels.find(handle);
-        if (known == channels.end()) {
-            known = channels.emplace(handle, ++lastChannel).first;
+        auto known = numbers.find(handle);
+        if (known == numbers.end()) {
+            known = numbers.emplace(handle, ++lastNumber).first;
             links[known->second] = newLink(handle, inbound);
         }
         links[known->second].open = true;
-        const channel_number channel = recordActivity(handle);
-        handlers.opened(channel, inbound);
+        const link_number number = recordActivity(handle);
+        handlers.opened(number, inbound);
     }
 
     static link_state newLink(const connection_hdl& handle, bool inbound)
@@ -186,20 +186,20 @@
 
     void onClosed(const connection_hdl& handle)
     {
-        const auto known = channels.find(handle);
-        if (known == channels.end())
+        const auto known = numbers.find(handle);
+        if (known == numbers.end())
             return;
-        const channel_number channel = known->second;
-        const link_state& state = links[channel];
+        const link_number number = known->second;
+        const link_state& state = links[number];
         const link_end end { state.endCause,
             std::chrono::duration_cast<milliseconds>(boot_clock::now() - state.lastActivity), waitingBytesOf(state) };
-        channels.erase(known);
-        links.erase(channel);
+        numbers.erase(known);
+        links.erase(number);
         if (stopped)
             return;
         if (handlers.ending)
-            handlers.ending(channel, end);
-        handlers.closed(channel);
+            handlers.ending(number, end);
+        handlers.closed(number);
     }
 
     std::size_t waitingBytesOf(const link_state& state)
@@ -214,10 +214,10 @@
     }
 
     /// Extends a link's keep-alive deadline. @return 0: the link is unknown
-    channel_number recordActivity(const connection_hdl& handle)
+    link_number recordActivity(const connection_hdl& handle)
     {
-        const auto known = channels.find(handle);
-        if (known == channels.end())
+        const auto known = numbers.find(handle);
+        if (known == numbers.end())
             return 0;
         auto& link = links[known->second];
         link.lastActivity = boot_clock::now();
@@ -239,12 +239,12 @@
     void keepAlive()
     {
         const auto now = boot_clock::now();
-        std::vector<channel_number> silent;
-        for (const auto& [channel, state] : links) {
+        std::vector<link_number> silent;
+        for (const auto& [number, state] : links) {
             if (!state.open)
                 continue;
             if (now >= state.keepAliveDeadline) {
-                silent.push_back(channel);
+                silent.push_back(number);
                 continue;
             }
             std::error_code ignored;
@@ -253,27 +253,27 @@
             else
                 client.ping(state.handle, "", ignored);
         }
-        for (const channel_number channel : silent)
-            drop(channel, link_end_cause::KeepAliveTimeout);
+        for (const link_number number : silent)
+            drop(number, link_end_cause::KeepAliveTimeout);
     }
 
     /// Closes a dialled link that isn't open within openTimeout.
-    void scheduleOpenTimeout(channel_number channel)
+    void scheduleOpenTimeout(link_number number)
     {
         const std::weak_ptr<int> alive = lifetime;
-        loop.runAt(boot_clock::now() + options.openTimeout, [this, alive, channel] {
+        loop.runAt(boot_clock::now() + options.openTimeout, [this, alive, number] {
             if (alive.expired() || stopped)
                 return;
-            const auto found = links.find(channel);
+            const auto found = links.find(number);
             if (found != links.end() && !found->second.open)
-                drop(channel, link_end_cause::OpenTimeout);
+                drop(number, link_end_cause::OpenTimeout);
         });
     }
 
     /// Closes a link without a closing handshake, which would wait for a peer that may be gone.
-    void drop(channel_number channel, link_end_cause cause)
+    void drop(link_number number, link_end_cause cause)
     {
-        const auto found = links.find(channel);
+        const auto found = links.find(number);
         if (found == links.end())
             return;
         found->second.endCause = cause;
@@ -293,11 +293,11 @@
     }
 
     /// Sends as many chunks of a message as may be in flight; the rest follows as the peer acknowledges them.
-    bool send(channel_number channel, const std::string& message)
+    bool send(link_number number, const std::string& message)
     {
-        auto& link = links[channel];
+        auto& link = links[number];
         if (waitingBytesOf(link) > options.maxBufferedBytes) {
-            drop(channel, link_end_cause::SendBufferFull);
+            drop(number, link_end_cause::SendBufferFull);
             return false;
         }
         if (link.outgoing.messages.empty() && message.size() <= options.maxChunkBytes)
@@ -354,9 +354,9 @@
     hub_options options;
     server_endpoint server;
     client_endpoint client;
-    std::map<connection_hdl, channel_number, std::owner_less<connection_hdl>> channels;
-    std::map<channel_number, link_state> links;
-    channel_number lastChannel = 0;
+    std::map<connection_hdl, link_number, std::owner_less<connection_hdl>> numbers;
+    std::map<link_number, link_state> links;
+    link_number lastNumber = 0;
     std::uint64_t bytesSent = 0;
     std::uint64_t bytesReceived = 0;
     bool stopped = false;
@@ -387,31 +387,31 @@
     return server.get_local_endpoint(error).port();
 }
 
-channel_number link_hub::dial(const std::string& address)
+link_number link_hub::dial(const std::string& address)
 {
     auto& state = *m_implementation;
-    const channel_number channel = ++state.lastChannel;
+    const link_number link = ++state.lastNumber;
     std::error_code error;
     const auto connection = state.client.get_connection("ws://" + address + "/", error);
     if (error) {
-        state.loop.post([this, channel] { m_implementation->handlers.closed(channel); });
-        return channel;
+        state.loop.post([this, link] { m_implementation->handlers.closed(link); });
+        return link;
     }
-    state.channels.emplace(connection->get_handle(), channel);
-    state.links[channel] = link_hub::implementation::newLink(connection->get_handle(), false);
+    state.numbers.emplace(connection->get_handle(), link);
+    state.links[link] = link_hub::implementation::newLink(connection->get_handle(), false);
     state.client.connect(connection);
-    state.scheduleOpenTimeout(channel);
-    return channel;
+    state.scheduleOpenTimeout(link);
+    return link;
 }
 
-bool link_hub::send(channel_number channel, const std::string& message)
+bool link_hub::send(link_number link, const std::string& message)
 {
     auto& state = *m_implementation;
-    const auto found = state.links.find(channel);
-    return found != state.links.end() && found->second.open && state.send(channel, message);
+    const auto found = state.links.find(link);
+    return found != state.links.end() && found->second.open && state.send(link, message);
 }
 
-void link_hub::close(channel_number channel) { m_implementation->drop(channel, link_end_cause::ClosedLocally); }
+void link_hub::close(link_number link) { m_implementation->drop(link, link_end_cause::ClosedLocally); }
 
 void link_hub::stop()
 {
@@ -422,27 +422,27 @@
     std::error_code ignored;
     if (state.server.is_listening())
         state.server.stop_listening(ignored);
-    std::vector<channel_number> all;
-    for (const auto& [channel, link] : state.links)
-        all.push_back(channel);
-    for (const channel_number channel : all)
-        state.drop(channel, link_end_cause::ClosedLocally);
+    std::vector<link_number> all;
+    for (const auto& [number, link] : state.links)
+        all.push_back(number);
+    for (const link_number number : all)
+        state.drop(number, link_end_cause::ClosedLocally);
 }
 
 std::uint64_t link_hub::bytesSent() const { return m_implementation->bytesSent; }
 
 std::uint64_t link_hub::bytesReceived() const { return m_implementation->bytesReceived; }
 
-std::size_t link_hub::bytesWaiting(channel_number channel) const
+std::size_t link_hub::bytesWaiting(link_number link) const
 {
-    const auto found = m_implementation->links.find(channel);
+    const auto found = m_implementation->links.find(link);
     return found == m_implementation->links.end() ? 0 : m_implementation->waitingBytesOf(found->second);
 }
 
 std::size_t link_hub::bytesWaiting() const
 {
     std::size_t sum = 0;
-    for (const auto& [channel, state] : m_implementation->links)
+    for (const auto& [number, state] : m_implementation->links)
         sum += m_implementation->waitingBytesOf(state);
     return sum;
 }
--- a/src/buckthornrail/link/link_hub_test.cpp
+++ b/src/buckthornrail/link/link_hub_test.cpp
@@ -16,30 +16,29 @@
     constexpr milliseconds runTime { 600 };
     const test_support::unresponsive_listener unresponsive;
     event_loop loop;
-    std::vector<channel_number> closed;
-    std::vector<channel_number> opened;
+    std::vector<link_number> closed;
+    std::vector<link_number> opened;
     hub_options options;
     options.openTimeout = openTimeout;
     link_hub hub(loop,
-        { [&opened](channel_number channel, bool inbound) {
+        { [&opened](link_number link, bool inbound) {
              if (!inbound)
-                 opened.push_back(channel);
+                 opened.push_back(link);
          },
-            [&closed](channel_number channel) { closed.push_back(channel); },
-            [](channel_number, const std::string&) {} },
+            [&closed](link_number link) { closed.push_back(link); }, [](link_number, const std::string&) {} },
         options);
     const auto port = hub.listen("127.0.0.1:0");
     REQUIRE(port != 0);
-    channel_number dead = 0;
-    channel_number alive = 0;
+    link_number dead = 0;
+    link_number alive = 0;
     loop.post([&] {
         dead = hub.dial(unresponsive.address());
         alive = hub.dial("127.0.0.1:" + std::to_string(port));
     });
     loop.runAt(boot_clock::now() + runTime, [&loop] { loop.stop(); });
     loop.run();
-    CHECK(closed == std::vector<channel_number> { dead });
-    CHECK(opened == std::vector<channel_number> { alive });
+    CHECK(closed == std::vector<link_number> { dead });
+    CHECK(opened == std::vector<link_number> { alive });
     CHECK(hub.send(alive, "still there"));
 }
 
@@ -49,13 +48,13 @@
 struct hub_pair {
     explicit hub_pair(const hub_options& options)
         : near(loop,
-            { [this](channel_number, bool) { isOpen = true; }, [this](channel_number) { ++closed; },
-                [](channel_number, const std::string&) {}, [this](channel_number) { ++chunksAcknowledged; } },
+            { [this](link_number, bool) { isOpen = true; }, [this](link_number) { ++closed; },
+                [](link_number, const std::string&) {}, [this](link_number) { ++chunksAcknowledged; } },
             options)
         , far(loop,
-              { [](channel_number, bool) {}, [this](channel_number) { ++closed; },
-                  [this](channel_number, const std::string& message) { received.push_back(message); },
-                  [this](channel_number) { ++chunksReceived; } },
+              { [](link_number, bool) {}, [this](link_number) { ++closed; },
+                  [this](link_number, const std::string& message) { received.push_back(message); },
+                  [this](link_number) { ++chunksReceived; } },
               options)
         , port(far.listen("127.0.0.1:0"))
     {
@@ -102,13 +101,13 @@
     hub_pair hubs(options);
     test_support::relay between("127.0.0.1:" + std::to_string(hubs.port));
     between.setRate(bytesPerSecond);
-    channel_number channel = 0;
-    hubs.loop.post([&] { channel = hubs.near.dial(between.address()); });
+    link_number link = 0;
+    hubs.loop.post([&] { link = hubs.near.dial(between.address()); });
     const std::string message(length, 'x');
     bool isSent = false;
     const auto hasAll = [&] {
         if (hubs.isOpen && !isSent) {
-            isSent = hubs.near.send(channel, message) && hubs.near.send(channel, "behind it");
+            isSent = hubs.near.send(link, message) && hubs.near.send(link, "behind it");
             CHECK(hubs.near.bytesWaiting() > length / 2);
         }
         return hubs.received.size() == 2;
@@ -132,14 +131,14 @@
         options.maxChunksInFlight = 2;
         const auto messages = *rc::gen::container<std::vector<std::string>>(rc::gen::string<std::string>());
         hub_pair hubs(options);
-        channel_number channel = 0;
-        hubs.loop.post([&] { channel = hubs.near.dial("127.0.0.1:" + std::to_string(hubs.port)); });
+        link_number link = 0;
+        hubs.loop.post([&] { link = hubs.near.dial("127.0.0.1:" + std::to_string(hubs.port)); });
         bool isSent = false;
         RC_ASSERT(hubs.runUntil(
             [&] {
                 if (hubs.isOpen && !std::exchange(isSent, hubs.isOpen)) {
                     for (const auto& message : messages)
-                        RC_ASSERT(hubs.near.send(channel, message));
+                        RC_ASSERT(hubs.near.send(link, message));
                 }
                 return hubs.isOpen && hubs.received.size() == messages.size();
             },
--- a/src/buckthornrail/link/loop_implementation.hpp
+++ b/src/buckthornrail/link/loop_implementation.hpp
@@ -20,10 +20,10 @@
 /// timers that expire during a suspension fire at most `longestWait` after it.
 struct boot_wait_traits {
     // NOLINTBEGIN(readability-identifier-naming): name required by asio
-    static boot_clock::duration to_wait_duration(const boot_clock::duration& left)
+    static boot_clock::duration to_wait_duration(const boot_clock::duration& remaining)
     {
         constexpr milliseconds longestWait { 100 };
-        return std::min<boot_clock::duration>(left, longestWait);
+        return std::min<boot_clock::duration>(remaining, longestWait);
     }
     static boot_clock::duration to_wait_duration(const boot_clock::time_point& end)
     {
--- a/src/buckthornrail/link/message.cpp
+++ b/src/buckthornrail/link/message.cpp
@@ -159,7 +159,7 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(lease_report, instances)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(join_request, member, address)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(controller_hello, member, address, initialized, controlAddress, failureDomain)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(controller_location, address, controlAddress, failureDomain)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(controller_endpoint, address, controlAddress, failureDomain)
 using registry::readOptional;
 
 static void to_json(nlohmann::json& out, const gateway_heartbeat& value)
@@ -259,12 +259,12 @@
 using nlohmann::json;
 
 /// Reads the variant's alternative with index `type`.
-template <typename Variant, std::size_t At = 0> Variant bodyFromJson(std::size_t type, const json& body)
+template <typename Variant, std::size_t Index = 0> Variant bodyFromJson(std::size_t type, const json& body)
 {
-    if constexpr (At < std::variant_size_v<Variant>) {
-        if (type == At)
-            return Variant(std::in_place_index<At>, body.get<std::variant_alternative_t<At, Variant>>());
-        return bodyFromJson<Variant, At + 1>(type, body);
+    if constexpr (Index < std::variant_size_v<Variant>) {
+        if (type == Index)
+            return Variant(std::in_place_index<Index>, body.get<std::variant_alternative_t<Index, Variant>>());
+        return bodyFromJson<Variant, Index + 1>(type, body);
     } else {
         throw std::out_of_range("message type " + std::to_string(type) + " is unknown");
     }
@@ -291,7 +291,7 @@
     bool end_object() override { return leave(); }
     bool start_array(std::size_t /*elements*/) override { return enter(); }
     bool end_array() override { return leave(); }
-    bool parse_error(std::size_t /*at*/, const std::string& /*token*/, const json::exception& /*fault*/) override
+    bool parse_error(std::size_t /*position*/, const std::string& /*token*/, const json::exception& /*error*/) override
     {
         return false; // reported by the second parse, in readCbor()
     }
@@ -331,10 +331,10 @@
         return malformed("message is nested too deeply");
     try {
         return build(json::from_cbor(bytes));
-    } catch (const json::exception& fault) {
-        return malformed(fault.what());
-    } catch (const std::out_of_range& fault) {
-        return malformed(fault.what());
+    } catch (const json::exception& error) {
+        return malformed(error.what());
+    } catch (const std::out_of_range& error) {
+        return malformed(error.what());
     }
 }
 
@@ -419,13 +419,13 @@
     return record;
 }
 
-registry::target_delta deltaOf(const json& from)
+registry::target_delta deltaOf(const json& encoded)
 {
     registry::target_delta delta;
-    from.at("from").get_to(delta.from);
-    from.at("to").get_to(delta.to);
-    from.at("full").get_to(delta.full);
-    const auto& rows = from.at("records");
+    encoded.at("from").get_to(delta.from);
+    encoded.at("to").get_to(delta.to);
+    encoded.at("full").get_to(delta.full);
+    const auto& rows = encoded.at("records");
     delta.records.reserve(rows.size());
     for (const auto& row : rows)
         delta.records.push_back(recordOf(row));
@@ -439,10 +439,10 @@
     json rows = json::array();
     for (const auto& record : delta.records)
         rows.push_back(rowOf(record));
-    const json whole { { "from", delta.from }, { "to", delta.to }, { "full", delta.full },
+    const json encoded { { "from", delta.from }, { "to", delta.to }, { "full", delta.full },
         { "records", std::move(rows) } };
     std::string bytes;
-    json::to_cbor(whole, bytes);
+    json::to_cbor(encoded, bytes);
     return bytes;
 }
 
@@ -450,22 +450,22 @@
 
 std::string encodeChange(const document::change& change)
 {
-    const json whole = json::array({ change.routes.removed, change.routes.added, change.workspaces.removed,
+    const json encoded = json::array({ change.routes.removed, change.routes.added, change.workspaces.removed,
         change.workspaces.added, change.rest });
     std::string bytes;
-    json::to_cbor(whole, bytes);
+    json::to_cbor(encoded, bytes);
     return bytes;
 }
 
 tl::expected<document::change, failure> decodeChange(const std::string& bytes)
 {
-    return readCbor(bytes, [](const json& whole) {
+    return readCbor(bytes, [](const json& encoded) {
         document::change change;
-        whole.at(0).get_to(change.routes.removed);
-        whole.at(1).get_to(change.routes.added);
-        whole.at(2).get_to(change.workspaces.removed);
-        whole.at(3).get_to(change.workspaces.added);
-        whole.at(4).get_to(change.rest);
+        encoded.at(0).get_to(change.routes.removed);
+        encoded.at(1).get_to(change.routes.added);
+        encoded.at(2).get_to(change.workspaces.removed);
+        encoded.at(3).get_to(change.workspaces.added);
+        encoded.at(4).get_to(change.rest);
         return change;
     });
 }
--- a/src/buckthornrail/link/message_test.cpp
+++ b/src/buckthornrail/link/message_test.cpp
@@ -13,11 +13,11 @@
 namespace {
 
 /// A default-constructed message of each type.
-template <std::size_t At = 0> std::vector<message> defaultMessages()
+template <std::size_t Index = 0> std::vector<message> defaultMessages()
 {
-    if constexpr (At < std::variant_size_v<message>) {
-        auto rest = defaultMessages<At + 1>();
-        rest.insert(rest.begin(), message(std::in_place_index<At>));
+    if constexpr (Index < std::variant_size_v<message>) {
+        auto rest = defaultMessages<Index + 1>();
+        rest.insert(rest.begin(), message(std::in_place_index<Index>));
         return rest;
     } else {
         return {};
@@ -28,12 +28,12 @@
 
 TEST_CASE("codec: every type of message is decoded unchanged", "[link]")
 {
-    for (const auto& one : defaultMessages()) {
-        const auto bytes = encode(one);
-        const auto back = decode(bytes);
-        REQUIRE(back);
-        CHECK(back->index() == one.index());
-        CHECK(encode(*back) == bytes);
+    for (const auto& message : defaultMessages()) {
+        const auto bytes = encode(message);
+        const auto decoded = decode(bytes);
+        REQUIRE(decoded);
+        CHECK(decoded->index() == message.index());
+        CHECK(encode(*decoded) == bytes);
     }
     agreement::peer_message peer;
     peer.body = agreement::append_request { 1, 2, 3, 4, { { 5, 6, agreement::entry_kind::Members, "\xff\x01x", {} } } };
@@ -41,9 +41,9 @@
     member_report report;
     report.sessions.lives = { { "gateway", 7, { { "service", 3 } }, true } };
     report.heard = { { "target", 1700000000000, 12 } };
-    const auto back = decode(encode(report));
-    REQUIRE(back);
-    const auto& read = std::get<member_report>(*back);
+    const auto decoded = decode(encode(report));
+    REQUIRE(decoded);
+    const auto& read = std::get<member_report>(*decoded);
     CHECK(read.sessions.lives.at(0).incarnation == 7);
     CHECK(read.sessions.lives.at(0).spent.at(0).repeats == 3);
     CHECK(read.sessions.lives.at(0).isComplete);
@@ -54,26 +54,26 @@
 
 TEST_CASE("codec: the quarantine fields of gateway messages are decoded unchanged, and are optional", "[link]")
 {
-    request_fingerprint one;
-    one.bytes.fill(0xA5);
+    request_fingerprint fingerprint;
+    fingerprint.bytes.fill(0xA5);
     gateway_heartbeat heartbeat;
     heartbeat.quarantineRevision = 4;
     registry::quarantine_change change;
-    change.crashes.push_back({ { "t", 7 }, { one } });
-    change.claims.push_back({ one, 11, { "u", 8 } });
-    change.ends.push_back({ one, 11 });
-    change.cleared.push_back(one);
-    change.expired.push_back({ one, 3 });
+    change.crashes.push_back({ { "t", 7 }, { fingerprint } });
+    change.claims.push_back({ fingerprint, 11, { "u", 8 } });
+    change.ends.push_back({ fingerprint, 11 });
+    change.cleared.push_back(fingerprint);
+    change.expired.push_back({ fingerprint, 3 });
     heartbeat.quarantine.push_back({ 5, change });
     const auto bytes = encode(message(heartbeat));
-    const auto back = decode(bytes);
-    REQUIRE(back);
-    CHECK(encode(*back) == bytes);
-    const auto& read = std::get<gateway_heartbeat>(*back).quarantine.at(0).change;
-    CHECK(read.crashes.at(0).begun.at(0) == one);
+    const auto decoded = decode(bytes);
+    REQUIRE(decoded);
+    CHECK(encode(*decoded) == bytes);
+    const auto& read = std::get<gateway_heartbeat>(*decoded).quarantine.at(0).change;
+    CHECK(read.crashes.at(0).begun.at(0) == fingerprint);
     CHECK(read.claims.at(0).target == registry::target_incarnation("u", 8));
     gateway_update update;
-    update.quarantine.push_back({ 6, true, { { one, registry::quarantine_stage::Held } } });
+    update.quarantine.push_back({ 6, true, { { fingerprint, registry::quarantine_stage::Held } } });
     update.quarantineReceipts.push_back({ 5, { { 11, registry::trial_refusal::Running } } });
     CHECK(encode(*decode(encode(message(update)))) == encode(message(update)));
     // Earlier versions send neither; all other fields are required.
@@ -81,9 +81,9 @@
         auto envelope = nlohmann::json::from_cbor(encode(whole));
         for (const auto& name : names)
             envelope.at("b").erase(name);
-        std::string shorter;
-        nlohmann::json::to_cbor(envelope, shorter);
-        return decode(shorter);
+        std::string reduced;
+        nlohmann::json::to_cbor(envelope, reduced);
+        return decode(reduced);
     };
     CHECK(without(message(heartbeat), { "quarantine", "quarantineRevision" }).has_value());
     CHECK(without(message(update), { "quarantine", "quarantineReceipts" }).has_value());
@@ -105,23 +105,23 @@
     member_report report;
     report.limits = limits;
     report.leavingTargets = { { "t", 7 } };
-    registry::fleet_report answer;
-    answer.limits = limits;
-    answer.ordinals = { { "g", 3 } };
-    for (const message& whole : { message(heartbeat), message(update), message(report), message(answer) }) {
+    registry::fleet_report fleetReport;
+    fleetReport.limits = limits;
+    fleetReport.ordinals = { { "g", 3 } };
+    for (const message& whole : { message(heartbeat), message(update), message(report), message(fleetReport) }) {
         CHECK(encode(*decode(encode(whole))) == encode(whole));
         auto envelope = nlohmann::json::from_cbor(encode(whole));
         for (const std::string name : { "limits", "ordinal", "ordinals", "leavingTargets" })
             envelope.at("b").erase(name);
-        std::string shorter;
-        nlohmann::json::to_cbor(envelope, shorter);
-        CHECK(decode(shorter).has_value());
+        std::string reduced;
+        nlohmann::json::to_cbor(envelope, reduced);
+        CHECK(decode(reduced).has_value());
     }
     CHECK(std::get<gateway_heartbeat>(*decode(encode(message(heartbeat)))).leavingTargets == heartbeat.leavingTargets);
     CHECK(std::get<member_report>(*decode(encode(message(report)))).leavingTargets == report.leavingTargets);
-    const auto back = decode(encode(message(update)));
-    CHECK(std::get<gateway_update>(*back).limits == limits);
-    CHECK(std::get<gateway_update>(*back).ordinal == 3U);
+    const auto decoded = decode(encode(message(update)));
+    CHECK(std::get<gateway_update>(*decoded).limits == limits);
+    CHECK(std::get<gateway_update>(*decoded).ordinal == 3U);
 }
 
 TEST_CASE("codec: corrupted bytes are either rejected or decoded, without a crash", "[link][property]")
@@ -129,14 +129,14 @@
     const auto samples = defaultMessages();
     rc::prop("bytes", [&samples] {
         auto bytes = encode(samples[*rc::gen::inRange<std::size_t>(0, samples.size())]);
-        const auto place = *rc::gen::inRange<std::size_t>(0, bytes.size());
-        bytes[place] = static_cast<char>(*rc::gen::inRange(0, 256));
+        const auto position = *rc::gen::inRange<std::size_t>(0, bytes.size());
+        bytes[position] = static_cast<char>(*rc::gen::inRange(0, 256));
         if (*rc::gen::arbitrary<bool>())
-            bytes.resize(place);
-        const auto back = decode(bytes);
-        if (!back)
-            RC_ASSERT(back.error().code == result_code::MalformedMessage
-                || back.error().code == result_code::UnsupportedProtocol);
+            bytes.resize(position);
+        const auto decoded = decode(bytes);
+        if (!decoded)
+            RC_ASSERT(decoded.error().code == result_code::MalformedMessage
+                || decoded.error().code == result_code::UnsupportedProtocol);
     });
 }
 
@@ -150,8 +150,8 @@
     const auto isRejected = [](const json& value) {
         std::string bytes;
         json::to_cbor(value, bytes);
-        const auto back = decode(bytes);
-        return !back && back.error().code == result_code::MalformedMessage;
+        const auto decoded = decode(bytes);
+        return !decoded && decoded.error().code == result_code::MalformedMessage;
     };
     REQUIRE_FALSE(isRejected(good));
     for (const json& row : { json::array(), json::array({ "target", 1 }), json::array({ 1, 1, 2 }), json("target") }) {
@@ -183,19 +183,19 @@
     record.sequence = 8;
     record.revision = 9;
     delta.records = { record, registry::target_record {} };
-    const auto back = decodeDelta(encodeDelta(delta));
-    REQUIRE(back);
-    CHECK(back->from == delta.from);
-    CHECK(back->to == delta.to);
-    CHECK(back->full);
-    CHECK(back->records == delta.records);
+    const auto decoded = decodeDelta(encodeDelta(delta));
+    REQUIRE(decoded);
+    CHECK(decoded->from == delta.from);
+    CHECK(decoded->to == delta.to);
+    CHECK(decoded->full);
+    CHECK(decoded->records == delta.records);
 
     using nlohmann::json;
     json wrong = json::from_cbor(encodeDelta(delta));
     SECTION("a column is missing") { wrong["records"][0].erase(0); }
     SECTION("an unknown state") { wrong["records"][0][7] = 200; }
     SECTION("a row is not an array") { wrong["records"][0] = "i-1"; }
-    SECTION("a string in place of a number") { wrong["records"][0][6] = "four"; }
+    SECTION("a string in position of a number") { wrong["records"][0][6] = "four"; }
     SECTION("the rows are missing") { wrong.erase("records"); }
     std::string bytes;
     json::to_cbor(wrong, bytes);
@@ -266,12 +266,12 @@
             return value;
         };
         controller_state copy;
-        for (std::size_t at = 0; at < steps.size(); ++at) {
-            const auto value = commandOf(steps[at], static_cast<int>(at));
+        for (std::size_t i = 0; i < steps.size(); ++i) {
+            const auto value = commandOf(steps[i], static_cast<int>(i));
             state.apply(*decodeCommand(encodeCommand(value)));
-            if (at == steps.size() / 2)
+            if (i == steps.size() / 2)
                 RC_ASSERT(copy.restore(state.save()).has_value());
-            else if (at > steps.size() / 2)
+            else if (i > steps.size() / 2)
                 copy.apply(value);
         }
         if (!steps.empty())
@@ -287,7 +287,7 @@
     constexpr char mapOfOne = '\xa1';
     for (const char open : { listOfOne, mapOfOne }) {
         std::string bytes;
-        for (std::size_t at = 0; at < levels; ++at)
+        for (std::size_t i = 0; i < levels; ++i)
             bytes += open == mapOfOne ? std::string("\xa1\x61k") : std::string(1, open);
         CHECK(decode(bytes).error().code == result_code::MalformedMessage);
     }
--- a/tests/large_table_test.cpp
+++ b/tests/large_table_test.cpp
@@ -64,13 +64,13 @@
     std::size_t bytes = 0;
     link::event_loop loop;
     std::unique_ptr<link::link_hub> hub;
-    const auto onConnected = [&hub](link::channel_number channel, bool) {
+    const auto onConnected = [&hub](link::link_number channel, bool) {
         link::gateway_heartbeat heartbeat;
         heartbeat.instance = "gateway-blank";
         heartbeat.sequence = 1;
         hub->send(channel, link::encode(link::message(heartbeat)));
     };
-    const auto onReceived = [&](link::channel_number, const std::string& received) {
+    const auto onReceived = [&](link::link_number, const std::string& received) {
         const auto message = link::decode(received);
         const auto* update = message ? std::get_if<link::gateway_update>(&*message) : nullptr;
         if (update == nullptr || !update->isServed)
@@ -79,7 +79,7 @@
         loop.stop();
     };
     hub = std::make_unique<link::link_hub>(
-        loop, link::hub_handlers { onConnected, [&loop](link::channel_number) { loop.stop(); }, onReceived });
+        loop, link::hub_handlers { onConnected, [&loop](link::link_number) { loop.stop(); }, onReceived });
     hub->dial(registryLink);
     loop.runAt(buckthornrail::boot_clock::now() + waitTimeout, [&loop] { loop.stop(); });
     loop.run();
--- a/tools/bench_document.cpp
+++ b/tools/bench_document.cpp
@@ -87,7 +87,7 @@
         const auto started = std::chrono::steady_clock::now();
         auto last = started;
         for (const auto& slice : slices) {
-            (void)document.take(slice);
+            (void)document.add(slice);
             const auto now = std::chrono::steady_clock::now();
             longest = std::max(longest, std::chrono::duration<double, std::micro>(now - last).count());
             last = now;
@@ -105,7 +105,7 @@
     feed.update(text);
     app::gateway_document document(platform::controlDialect());
     for (const auto& slice : slicesFrom(feed, 0, text))
-        (void)document.take(slice);
+        (void)document.add(slice);
     (void)document.activate();
     std::uint64_t version = firstVersion;
     for (auto _ : state) {
@@ -116,7 +116,7 @@
         const auto slices = slicesFrom(feed, version - 1, text);
         state.ResumeTiming();
         for (const auto& slice : slices)
-            (void)document.take(slice);
+            (void)document.add(slice);
         (void)document.activate();
     }
 }
