--- a/include/buckthornrail/link/message.hpp
+++ b/include/buckthornrail/link/message.hpp
@@ -28,13 +28,13 @@
     std::uint64_t epoch = 0;
 };
 
-/// The sidecar's answer to link_hello.
+/// The sidecar's response to link_hello.
 struct link_welcome {
     instance_id instance;
     incarnation_number incarnation = 0;
 };
 
-/// Instance to controller: its record, and the versions that it holds. Sent when the session begins and at each change.
+/// Instance to controller: its record, and its versions of the state. Sent when the session begins and at each change.
 struct session_announce {
     membership::instance_record record;
     configuration_version configuration = 0;
@@ -81,7 +81,7 @@
     dispatch::claim_command command;
 };
 
-/// Controller to entry: the answer to a claim_request.
+/// Controller to entry: the response to a claim_request.
 struct claim_reply {
     std::string commandId;
     bool available = false; ///< false: the claim isn't known to be committed
@@ -138,7 +138,7 @@
     std::string request;
 };
 
-/// Last stage to entry: a token, or the end of the answer.
+/// Last stage to entry: a token, or the end of the output.
 struct stage_token {
     std::string request;
     std::uint32_t generation = 0;
@@ -157,22 +157,22 @@
     std::string reason;
 };
 
-/// Gateway to controller, once per heartbeat period: the versions that it holds, and what it has observed.
+/// Gateway to controller, once per heartbeat period: its versions of the state, and what it has observed.
 struct gateway_heartbeat {
     instance_id instance;
     std::uint64_t sequence = 0;
-    std::uint64_t documentVersion = 0; ///< of the document's text that it holds; 0: none
-    /// Applied version of the document, from a gateway that accepts it in slices. Nothing: an earlier version of the
+    std::uint64_t documentVersion = 0; ///< of its text of the document; 0: none
+    /// Applied version of the document, from a gateway that accepts it in slices. Empty: an earlier version of the
     /// program, which needs the text.
     std::optional<std::uint64_t> sliceVersion;
-    std::uint64_t targetRevision = 0; ///< of the target table that it holds
+    std::uint64_t targetRevision = 0; ///< of its target table
     std::uint32_t openAttempts = 0; ///< in flight at targets
     std::vector<registry::target_incarnation> darkTargets; ///< found unreachable since the last heartbeat
     registry::target_loads loads; ///< of its attempts, by target of that revision
     std::uint64_t life = 0; ///< incarnation: random number that each process draws at its start
     registry::retry_counts repeats; ///< retries that it spent within the budget's window
     bool isRepeatsComplete = false; ///< `repeats` includes earlier processes; false: it requests their retries
-    std::uint64_t quarantineRevision = 0; ///< of the quarantine stages that it holds
+    std::uint64_t quarantineRevision = 0; ///< of its quarantine stages
     std::vector<registry::quarantine_batch> quarantine; ///< changes without a receipt so far
     std::vector<registry::limit_report> limits; ///< rate limits from targets since the last heartbeat
     std::vector<registry::target_incarnation> leavingTargets; ///< announced to it, and not yet in the target table
@@ -180,14 +180,14 @@
 
 /// A text, or a change of the target table as encoded by encodeDelta(), as a patch (see compression/text_patch.hpp).
 struct text_update {
-    std::uint64_t from = 0; ///< version that the receiver must hold; 0: none, the patch contains the whole text
+    std::uint64_t from = 0; ///< version that the receiver must have; 0: none, the patch contains the whole text
     std::uint64_t to = 0;
     std::string patch;
 };
 
 /// Controller to gateway: a slice of a change of the document. The next gateway_update applies complete changes.
 struct document_slice {
-    std::uint64_t from = 0; ///< version that the receiver must hold; 0: none, the slices form the whole document
+    std::uint64_t from = 0; ///< version that the receiver must have; 0: none, the slices form the whole document
     std::uint64_t to = 0;
     std::uint32_t number = 0; ///< index of the slice, from 0
     std::uint32_t count = 1; ///< number of slices of this change
@@ -197,7 +197,7 @@
 
 /// Controller to gateway. Sent after a quorum has confirmed the controller's state, or with committed changes.
 struct gateway_update {
-    std::uint64_t sequence = 0; ///< of the heartbeat that it answers; 0: none
+    std::uint64_t sequence = 0; ///< of the heartbeat that it responds to; 0: none
     bool isServed = false; ///< false: only `waitsForQuorum` is meaningful
     bool waitsForQuorum = false; ///< the controller knows a leader, but a quorum hasn't confirmed its state yet
     std::vector<text_update> document; ///< at most one; empty: no change
@@ -210,7 +210,7 @@
     registry::target_loads othersLoads; ///< the same by target, after `targets` is applied; empty: unknown
     std::vector<registry::quarantine_delta> quarantine; ///< at most one; empty: no change
     std::vector<registry::quarantine_receipt> quarantineReceipts;
-    std::optional<std::uint32_t> ordinal; ///< its index among the gateways that share the budget; nothing: unknown
+    std::optional<std::uint32_t> ordinal; ///< its index among the gateways that share the budget; empty: unknown
     std::vector<registry::limit_report> limits; ///< not yet sent in this session
 };
 
--- a/src/app/gateway/caller_connection.hpp
+++ b/src/app/gateway/caller_connection.hpp
@@ -30,7 +30,7 @@
     void onEnded();
     void advance();
     void startCall();
-    /// @brief Answers a request that can't be parsed or is too slow, and closes the connection.
+    /// @brief Responds with an error to a request that can't be parsed or is too slow, and closes the connection.
     void refuse(result_code code);
     /// @brief Closes the connection when the idle timeout passes without a request.
     void startIdleTimer();
--- a/src/app/gateway/gateway.hpp
+++ b/src/app/gateway/gateway.hpp
@@ -35,7 +35,7 @@
     [[nodiscard]] link::event_loop& loop() { return m_loop; }
     /// @return the limits of the active document; defaults before the first one
     [[nodiscard]] gateway::caller_limits limits() const;
-    /// @brief Drops a caller's connection that has closed.
+    /// @brief Removes a caller's connection that has closed.
     void removeConnection(const std::shared_ptr<caller_connection>& connection) { m_connections.erase(connection); }
 
 private:
@@ -47,10 +47,10 @@
     void onRemoteLimits(const std::vector<registry::limit_report>& reports);
     /// @brief Another version of the document has become active.
     void onDocument();
-    /// @brief Detects that the process was suspended. State received before may be stale then, so new calls wait until
-    /// a controller has confirmed it.
+    /// @brief Detects that the process has stalled. State received before may be stale then, so new calls wait until a
+    /// controller has confirmed it.
     void checkForStall();
-    /// @brief Resumes calls that wait for an answer of the controllers.
+    /// @brief Resumes calls that wait for the controllers.
     void resumeWaitingCalls();
     /// @brief Updates the pool with the controllers' table of targets.
     void onTargets(const registry::target_view& targets);
@@ -69,7 +69,7 @@
     void onQuarantine(const link::gateway_update& update);
     /// @brief Notifies open calls that the quarantine has changed.
     void notifyQuarantineChanged();
-    /// @brief Answers health checks and requests for metrics and rate limits.
+    /// @brief Responds to health checks and requests for metrics and rate limits.
     void onHealthRequest(const net::whole_request& request, const net::responder& respond);
     /// @brief Closes idle connections after the drain time, and ends the shutdown when no call is open any more.
     void checkStopped();
--- a/src/app/gateway/gateway_call.cpp
+++ b/src/app/gateway/gateway_call.cpp
@@ -18,8 +18,8 @@
 /// Retry-After of a refusal without a target. A lost path is restored after about three seconds.
 constexpr milliseconds noTargetRetryDelay { 1500 };
 /// Streams end continuously, so a full path soon has capacity again, and a caller that retries after this time can
-/// still get its first event within a latency target of 500 ms. With 300 ms few did, which lowered the score under a
-/// burst with target losses by 0.013.
+/// still get its first event within a latency target of 500 ms. With 300 ms few callers do: the score under a burst
+/// with target losses is lower by 0.013.
 constexpr milliseconds busyRetryDelay { 120 };
 /// A suspect that runs elsewhere is cleared, or proven to crash targets, by its first events.
 constexpr milliseconds heldRetryDelay { 1000 };
--- a/src/app/gateway/gateway_call.hpp
+++ b/src/app/gateway/gateway_call.hpp
@@ -24,10 +24,10 @@
     std::shared_ptr<const gateway::route_index> document; ///< the active one; empty: none yet
     std::size_t budgetSharers = 0; ///< gateways that share the budgets, as last reported; 0: not reported yet
     std::mt19937_64 random;
-    std::vector<std::weak_ptr<class gateway_call>> waiting; ///< calls that wait for an answer of the controllers
+    std::vector<std::weak_ptr<class gateway_call>> waiting; ///< calls that wait for the controllers
     steady_time startupGraceUntil {}; ///< calls wait for the first document until then
     std::function<void()> checkForStall; ///< called before a call relies on state from controllers
-    /// After the process was suspended, calls wait until then for a controller to confirm `document`.
+    /// After the process has stalled, calls wait until then for a controller to confirm `document`.
     steady_time confirmationDeadline {};
     bool isStopping = false;
     steady_time stopDeadline {}; ///< while stopping: requests that can't finish by then are refused
@@ -36,11 +36,11 @@
     std::unique_ptr<net::reachability_prober> reachability;
     gateway::crash_watch crashes = gateway::crash_watch();
     gateway::quarantine_gate quarantine { random() };
-    std::function<void()> requestHeartbeat; ///< soon, to report changes of the quarantine
+    std::function<void()> requestHeartbeat; ///< sends one within milliseconds, to report changes of the quarantine
     gateway::call_number lastCallNumber = 0;
 };
 
-/// Maximum time for which a call waits for the controllers after the gateway has started or was suspended. Controllers
+/// Maximum time for which a call waits for the controllers after the gateway has started or stalled. Controllers
 /// that restart at the same time elect a leader within a second, and callers wait two seconds for the first event.
 inline constexpr milliseconds controllerTimeout { 1400 };
 
@@ -63,7 +63,7 @@
     virtual void finished(bool aborted) = 0;
 };
 
-/// @brief Carries out the requests of one exchange: connects to targets and passes their responses to the caller. To be
+/// @brief Executes the requests of one exchange: connects to targets and passes their responses to the caller. To be
 /// used only on the event loop's thread.
 class gateway_call : public gateway::exchange_port, public std::enable_shared_from_this<gateway_call> {
 public:
@@ -111,9 +111,9 @@
     void route();
     /// @brief Whether the request might not finish before this process exits.
     [[nodiscard]] bool outlastsShutdown(const gateway::route& route) const;
-    /// @brief Logs the reason and answers with an error of the gateway.
+    /// @brief Logs the reason and responds with an error of the gateway.
     void refuse(result_code code, const std::string& reason);
-    /// @return how long a refused caller should wait before its next try
+    /// @return how long a refused caller should wait before a retry
     [[nodiscard]] milliseconds retryDelay(result_code code) const;
     /// @brief Clears the request of suspicion: a target that completes its response wasn't crashed by it.
     void recordCompleted();
--- a/src/app/gateway/gateway_document.cpp
+++ b/src/app/gateway/gateway_document.cpp
@@ -42,7 +42,7 @@
     bool isChanged = false;
     for (auto& finished : m_assembly.takeCompleted()) {
         if (finished.change.to <= version())
-            continue; // sent before the controller knew which version is held
+            continue; // sent before the controller knew the active version
         if (const auto activated = activate(std::move(finished)); !activated) {
             m_needsFullDocument = true;
             return tl::make_unexpected(activated.error());
@@ -58,7 +58,7 @@
         if (m_index)
             return m_index->apply(finished.change);
         return tl::make_unexpected(
-            failure { result_code::MalformedMessage, "change received, but no document is held" });
+            failure { result_code::MalformedMessage, "change received, but there is no active document" });
     }
     if (auto sealed = finished.whole->finalize(finished.change.to, finished.change.digest); !sealed)
         return sealed;
--- a/src/app/gateway/gateway_document.hpp
+++ b/src/app/gateway/gateway_document.hpp
@@ -17,15 +17,15 @@
     {
     }
 
-    /// @brief Decodes a slice of a change.
+    /// @brief Decodes a slice of a change and adds it to the incomplete changes.
     /// @return why it was rejected: out of order or damaged. A slice with an unreadable entry is logged, not rejected:
     /// its version is skipped
     tl::expected<void, failure> add(const link::document_slice& slice);
     /// @brief Applies a text update, as controllers of the previous release send them.
-    /// @return why it was rejected: it doesn't follow from the text held, or is damaged
+    /// @return why it was rejected: it isn't based on the current text, or is damaged
     tl::expected<void, failure> add(const link::text_update& update);
     /// @brief Activates the changes that are complete.
-    /// @return whether there were any; MalformedMessage if one doesn't follow from the active version: the full
+    /// @return whether there were any; MalformedMessage if one isn't based on the active version: the full
     /// document is needed then
     tl::expected<bool, failure> activate();
     /// @brief Discards incomplete changes when the link has closed: they are sent again from the start.
@@ -33,10 +33,10 @@
 
     /// @return the active version; 0: none
     [[nodiscard]] std::uint64_t version() const { return m_index ? m_index->version() : 0; }
-    /// @return the version reported to controllers; 0: the full document is needed, as none is held or a change
+    /// @return the version reported to controllers; 0: the full document is needed, as none is active or a change
     /// couldn't be applied
     [[nodiscard]] std::uint64_t reportedVersion() const { return m_needsFullDocument ? 0 : version(); }
-    /// @return version of the text held; 0: none
+    /// @return version of the current text; 0: none
     [[nodiscard]] std::uint64_t textVersion() const { return m_text.version; }
     /// @return the active document; null: none yet
     [[nodiscard]] std::shared_ptr<const gateway::route_index> index() const { return m_index; }
--- a/src/app/gateway/gateway_document_test.cpp
+++ b/src/app/gateway/gateway_document_test.cpp
@@ -53,7 +53,7 @@
         m_feed.update(m_newest);
     }
 
-    /// @brief Sends a gateway the slices that it lacks and activates them. @return how many were sent
+    /// @brief Sends a gateway its missing slices and activates them. @return the number of slices sent
     std::size_t deliverTo(gateway_document& gateway)
     {
         const auto messages = m_feed.messagesFrom(gateway.reportedVersion(), m_newest);
@@ -195,7 +195,7 @@
     registry.deliverTo(document);
     CHECK(document.version() == 1);
     CHECK(document.index()->routeCount() == 10);
-    CHECK(document.reportedVersion() == 0); // the next change would be based on a version that it doesn't hold
+    CHECK(document.reportedVersion() == 0); // the next change would be based on a version that it doesn't have
     registry.publish(documentWithRoutes(3, 11));
     registry.deliverTo(document);
     CHECK(document.version() == 3);
--- a/src/app/gateway/gateway_session.cpp
+++ b/src/app/gateway/gateway_session.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Choosing a controller and keeping a session with it.
+/// @brief Selecting a controller and maintaining a session with it.
 #include "app/gateway/gateway_session.hpp"
 
 #include "app/shared/preferred_address.hpp"
@@ -13,14 +13,14 @@
 namespace buckthornrail::app {
 namespace {
 
-/// Time without data from a controller after which the gateway disconnects. A heartbeat is answered within one quorum
-/// round and the wait for it, about 120 ms, and drained targets must be known everywhere within two seconds.
+/// Time without data from a controller after which the gateway disconnects. The response to a heartbeat takes one
+/// quorum round and the wait for it, about 120 ms, and drained targets must be known everywhere within two seconds.
 constexpr milliseconds responseTimeout { 900 };
-/// Time after which the gateway disconnects from a controller that answers but knows no leader: it may be in the
+/// Time after which the gateway disconnects from a controller that responds but knows no leader: it may be in the
 /// minority of a network partition. An election takes about as long.
 constexpr milliseconds leaderTimeout { 150 };
-/// Time before a nearer controller is tried again that was lost, or doesn't serve because it is slow, partitioned or
-/// empty. Each try costs up to 0.9 s without answers, less than a tenth of the time.
+/// Backoff before a nearer controller is tried again that was lost, or doesn't serve because it is slow, partitioned or
+/// empty. Each attempt costs up to 0.9 s without responses, less than a tenth of the time.
 constexpr milliseconds moveBackoff { 10000 };
 /// Urgent heartbeats are delayed to batch the reports that arrive meanwhile.
 constexpr milliseconds heartbeatDelay { 3 };
@@ -92,7 +92,7 @@
     const auto all = addresses();
     if (all.empty())
         return;
-    // The last controller is tried again after all others: if it no longer answers, detecting that takes 0.9 s.
+    // The last controller is tried again after all others: if it no longer responds, detecting that takes 0.9 s.
     if (m_nextController.empty() && all[m_nextAddress % all.size()] == m_address)
         ++m_nextAddress;
     m_address = m_nextController.empty() ? all[m_nextAddress++ % all.size()] : std::exchange(m_nextController, {});
@@ -163,8 +163,8 @@
         return m_address;
     if (!near.empty())
         return preferredAddress(m_settings.id, near);
-    // Without a controller in the own domain, sessions are spread over those heard of recently, whose failure domain
-    // is known.
+    // Without a controller in the own domain, sessions are spread over those with recent contact, whose failure
+    // domain is known.
     for (const auto& endpoint : m_controllers) {
         if (!endpoint.failureDomain.empty())
             near.push_back(endpoint.address);
@@ -271,7 +271,7 @@
 
 void gateway_session::onProgress(link::link_number link)
 {
-    // A partly received document counts as an answer: after a disconnect it would be sent again from its first byte.
+    // A partly received document counts as a response: after a disconnect it would be sent again from its first byte.
     if (link == m_link)
         m_responseDeadline = steadyNow() + responseTimeout;
 }
--- a/src/app/gateway/gateway_session.hpp
+++ b/src/app/gateway/gateway_session.hpp
@@ -15,22 +15,22 @@
 /// Why a gateway disconnects from a controller.
 enum class disconnect_cause : std::uint8_t {
     None, ///< it doesn't: the link ended by itself
-    NoResponse, ///< no answer by the deadline
+    NoResponse, ///< no response by the deadline
     Nearer, ///< another controller is in this gateway's failure domain, or is preferred for it
     NoLeader, ///< it has reached no leader within the leader timeout
-    InvalidChange, ///< it sent a change that can't be applied to the state held here
+    InvalidChange, ///< it sent a change that can't be applied to this gateway's state
 };
 
 /// Connects a session with the gateway's state. All are called on the event loop's thread.
 struct gateway_session_callbacks {
     std::function<void()> documentChanged; ///< another version is active
-    std::function<void(const registry::target_view&)> targetsChanged; ///< with all targets known now
+    std::function<void(const registry::target_view&)> targetsChanged; ///< with all known targets
     std::function<std::uint32_t()> openAttempts; ///< number of this gateway's open attempts
     std::function<registry::target_loads()> loads; ///< this gateway's open attempts, per target of the last update
     std::function<void(const registry::target_loads&)>
         otherLoadsReceived; ///< of the other gateways, for the same targets
     std::function<void(const link::gateway_update&)> updateReceived; ///< before its changes are applied
-    std::function<std::vector<registry::target_incarnation>()> takeUnreachableTargets; ///< seen since the last call
+    std::function<std::vector<registry::target_incarnation>()> takeUnreachableTargets; ///< found since the last call
     std::function<void(link::gateway_heartbeat&)> fillRetries; ///< fills in the retries spent of the budgets
     /// Fills in changes of the quarantine. @param isFirst whether the heartbeat is the first of this session
     std::function<void(link::gateway_heartbeat&, bool isFirst)> fillQuarantine;
@@ -44,9 +44,9 @@
         = [] { return std::vector<registry::target_incarnation>(); };
 };
 
-/// @brief Keeps a session with one controller at a time. To be used only on the event loop's thread.
+/// @brief Maintains a session with one controller at a time. To be used only on the event loop's thread.
 ///
-/// Versions held only ever increase, and the first state comes from a controller that a quorum has just confirmed.
+/// Versions only ever increase, and the first state comes from a controller that a quorum has just confirmed.
 class gateway_session {
 public:
     /// @param settings must outlive the session, as must `document`
@@ -62,12 +62,12 @@
 private:
     /// @brief Dials the next controller, unless there is a link already.
     void connect();
-    /// @brief Sends a heartbeat; connects or disconnects first if there is no link or no answer in time.
+    /// @brief Sends a heartbeat; connects or disconnects first if there is no link or no response in time.
     void sendHeartbeat();
     void onOpened(link::link_number link);
     void onClosed(link::link_number link);
     void onMessage(link::link_number link, const std::string& bytes);
-    /// @brief Postpones the answer deadline: part of an answer has arrived.
+    /// @brief Extends the response deadline: part of a response has arrived.
     void onProgress(link::link_number link);
     void onUpdate(const link::gateway_update& update);
     void onSlice(const link::document_slice& slice);
@@ -80,7 +80,7 @@
     void clearInbox();
     /// @brief Applies the complete changes of the document. @return false: one was rejected and the session is closing
     bool applyDocument(const link::gateway_update& update);
-    /// @brief Disconnects after a change that can't be applied; the next session reports the version held.
+    /// @brief Disconnects after a change that can't be applied; the next session reports the active version.
     void rejectChange(std::uint64_t version, const failure& error);
     /// @param next address of the controller to dial next; empty: any
     void disconnect(disconnect_cause cause, const std::string& next);
@@ -106,14 +106,14 @@
     std::size_t m_nextAddress = 0;
     link::link_number m_link = 0;
     bool m_isOpen = false;
-    bool m_isServed = false; ///< this controller has answered and was confirmed by a quorum
+    bool m_isServed = false; ///< this controller has responded and was confirmed by a quorum
     bool m_isSwitching = false; ///< the link is being closed to try another controller
     std::uint64_t m_incarnation = randomNumber(); ///< distinguishes this process from earlier ones with the same id
     std::uint64_t m_sequence = 0;
     disconnect_cause m_disconnectCause = disconnect_cause::None;
     steady_time m_lastResponseAt {};
-    std::uint64_t m_receivedBefore = 0; ///< bytes received up to the last answer
-    steady_time m_responseDeadline {}; ///< another controller is tried if no answer has arrived by then
+    std::uint64_t m_receivedBefore = 0; ///< bytes received up to the last response
+    steady_time m_responseDeadline {}; ///< another controller is tried if no response has arrived by then
     gateway_document& m_document;
     std::deque<link::message> m_inbox; ///< received messages, processed in order
     bool m_isPausing = false; ///< the inbox timer is set
--- a/src/app/gateway/gateway_session_test.cpp
+++ b/src/app/gateway/gateway_session_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A controller that answers each heartbeat, either as confirmed by a quorum or as one that reaches no leader.
+/// A controller that responds to each heartbeat, either as confirmed by a quorum or as one that reaches no leader.
 class fake_controller {
 public:
     fake_controller(link::event_loop& loop, bool serves)
@@ -49,10 +49,6 @@
     std::vector<link::controller_endpoint> m_endpoints;
 };
 
-} // namespace
-
-namespace {
-
 gateway_session_callbacks emptyCallbacks()
 {
     gateway_session_callbacks callbacks;
@@ -71,9 +67,10 @@
 
 } // namespace
 
-TEST_CASE("gateway session: it doesn't move back at once to a lost controller of its own domain", "[gateway_session]")
+TEST_CASE(
+    "gateway session: it doesn't move back immediately to a lost controller of its own domain", "[gateway_session]")
 {
-    constexpr milliseconds enough { 1500 };
+    constexpr milliseconds phaseDuration { 1500 };
     link::event_loop loop;
     fake_controller near(loop, true);
     fake_controller far(loop, true);
@@ -91,23 +88,24 @@
     const auto start = boot_clock::now();
     int nearHeartbeats = 0;
     int farHeartbeats = 0;
-    loop.runAt(start + enough, [&] {
+    loop.runAt(start + phaseDuration, [&] {
         nearHeartbeats = near.heartbeats();
         farHeartbeats = far.heartbeats();
         near.stop();
     });
-    loop.runAt(start + enough * 2, [&loop] { loop.stop(); });
+    loop.runAt(start + phaseDuration * 2, [&loop] { loop.stop(); });
     loop.run();
     CHECK(nearHeartbeats > 8);
     CHECK(farHeartbeats == 0);
-    CHECK(far.heartbeats() > 11); // of 15; a try of the stopped one would cost the session and two heartbeats
+    CHECK(far.heartbeats() > 11); // of 15; an attempt at the closed one would cost the session and two heartbeats
     CHECK(far.sessions() == 1);
 }
 
 TEST_CASE("gateway session: it disconnects soon from controllers without a leader", "[gateway_session]")
 {
-    // Two rounds past the five of them, with a timeout of 900 ms each, would take more than four seconds.
-    constexpr milliseconds enough { 2000 };
+    // Two rounds with the leader timeout of 150 ms take 1.5 s. With the response timeout of 900 ms, even one round of
+    // the five controllers without a leader would take more than four seconds.
+    constexpr milliseconds timeout { 2000 };
     link::event_loop loop;
     std::vector<std::unique_ptr<fake_controller>> leaderless;
     settings::settings settings;
@@ -127,7 +125,7 @@
     };
     gateway_document document(platform::controlDialect());
     gateway_session session(loop, settings, document, std::move(callbacks));
-    loop.runAt(boot_clock::now() + enough, [&loop] { loop.stop(); });
+    loop.runAt(boot_clock::now() + timeout, [&loop] { loop.stop(); });
     loop.run();
     CHECK(isServed);
     CHECK(leader.heartbeats() > 0);
@@ -185,7 +183,7 @@
     CHECK(maxSlicesInARow == 1);
 }
 
-TEST_CASE("gateway session: it disconnects from a controller that has lost the leader but still answers heartbeats",
+TEST_CASE("gateway session: it disconnects from a controller that has lost the leader but still responds to heartbeats",
     "[gateway_session]")
 {
     link::event_loop loop;
@@ -203,5 +201,5 @@
     loop.runAt(start + milliseconds(2500), [&loop] { loop.stop(); });
     loop.run();
     CHECK(isolated.heartbeats() > 3);
-    CHECK(other.heartbeats() > 5); // from 0.9 s after the last answer of the first controller
+    CHECK(other.heartbeats() > 5); // from 0.9 s after the last response of the first controller
 }
--- a/src/buckthornrail/link/link_hub.cpp
+++ b/src/buckthornrail/link/link_hub.cpp
@@ -56,7 +56,7 @@
 /// First byte of each WebSocket message.
 enum chunk_kind : char {
     FinalChunk = 'L', ///< the last chunk of a message, or a whole one
-    PartialChunk = 'E', ///< more chunks follow; the receiver answers with ChunkAck
+    PartialChunk = 'E', ///< more chunks follow; the receiver responds with ChunkAck
     ChunkAck = 'T', ///< acknowledges a PartialChunk
 };
 
--- a/src/buckthornrail/link/message_test.cpp
+++ b/src/buckthornrail/link/message_test.cpp
@@ -146,21 +146,21 @@
     member_report report;
     report.sessions.lives = { { "gateway", 7, {}, true } };
     report.heard = { { "target", 1, 2 } };
-    const json good = json::from_cbor(encode(report));
+    const json valid = json::from_cbor(encode(report));
     const auto isRejected = [](const json& value) {
         std::string bytes;
         json::to_cbor(value, bytes);
         const auto decoded = decode(bytes);
         return !decoded && decoded.error().code == result_code::MalformedMessage;
     };
-    REQUIRE_FALSE(isRejected(good));
+    REQUIRE_FALSE(isRejected(valid));
     for (const json& row : { json::array(), json::array({ "target", 1 }), json::array({ 1, 1, 2 }), json("target") }) {
-        json bad = good;
-        bad["b"]["heard"][0] = row;
-        CHECK(isRejected(bad));
-        bad = good;
-        bad["b"]["sessions"]["lives"][0] = row;
-        CHECK(isRejected(bad));
+        json malformed = valid;
+        malformed["b"]["heard"][0] = row;
+        CHECK(isRejected(malformed));
+        malformed = valid;
+        malformed["b"]["sessions"]["lives"][0] = row;
+        CHECK(isRejected(malformed));
     }
 }
 
