--- a/include/buckthornrail/dispatch/request_run.hpp
+++ b/include/buckthornrail/dispatch/request_run.hpp
@@ -48,7 +48,7 @@
     failure previous; ///< why the last attempt failed; Ok: there was none
     bool previousMayHaveRun = false; ///< the retry counts against the retry budget
 };
-/// Claim the request's key, then call claimAnswered() or claimFailed().
+/// Claim the request's key, then call claimReplyReceived() or claimFailed().
 struct send_claim {
     claim_holder holder;
     claim_holder replaces; ///< proven not to have run; empty: first claim
@@ -59,13 +59,13 @@
     chosen_target target;
     std::vector<std::string> priorTokens; ///< delivered by earlier attempts; generation continues after them
 };
-/// Revoke an attempt. A reply, if any, goes to revokeAnswered().
+/// Revoke an attempt. A reply, if any, goes to revokeReplyReceived().
 struct send_revoke {
     attempt_id attempt;
     chosen_target target;
     bool cancelStarted = false;
 };
-/// Request the response of an attempt, then call attachAnswered().
+/// Request the response of an attempt, then call attachReplyReceived().
 struct send_attach {
     attempt_id attempt;
     chosen_target target;
@@ -95,7 +95,7 @@
     void start(steady_time now);
     void targetChosen(const chosen_target& target, steady_time now);
     void noTarget(failure why, steady_time now);
-    void claimAnswered(const claim_result& result, steady_time now);
+    void claimReplyReceived(const claim_result& result, steady_time now);
     /// @brief The claim could not be sent or decided.
     void claimFailed(steady_time now);
     void accepted(const attempt_id& attempt, steady_time now);
@@ -103,8 +103,8 @@
     void started(const attempt_id& attempt, steady_time now);
     void frame(const response_frame& frame, steady_time now);
     void ended(const response_end& end, steady_time now);
-    void revokeAnswered(const revoke_reply& reply, steady_time now);
-    void attachAnswered(const attach_reply& reply, steady_time now);
+    void revokeReplyReceived(const revoke_reply& reply, steady_time now);
+    void attachReplyReceived(const attach_reply& reply, steady_time now);
     /// @brief The offer has not left this process.
     void offerNotSent(const attempt_id& attempt, steady_time now);
     /// @brief The link to a sidecar has closed.
@@ -183,7 +183,7 @@
     bool m_hasStarted = false; ///< the current attempt has started
     bool m_earlierStarted = false; ///< an earlier attempt started
     bool m_earlierUnknown = false; ///< an earlier attempt may have started
-    bool m_followsOtherRun = false; ///< the current attempt belongs to another run, which holds the key
+    bool m_isAttachedToOtherRun = false; ///< the current attempt belongs to another run, which holds the key
     claim_holder m_claimHolder; ///< known holder of the key: an attempt of this or of the followed run; may be empty
     claim_holder m_replaces; ///< holder that is proven not to have run; the next claim replaces it
     claim_holder m_requestedClaim; ///< holder in the last send_claim
@@ -191,8 +191,8 @@
     std::set<instance_id> m_excluded;
     std::optional<response_assembler> m_assembler;
     std::vector<response_frame> m_bufferedFrames; ///< not a stream: held until the response is complete
-    std::vector<std::string> m_deliveredTokens;
-    bool m_deliveredAny = false;
+    std::vector<std::string> m_tokensDelivered;
+    bool m_hasDelivered = false;
     std::deque<run_effect> m_effects;
 };
 
--- a/include/buckthornrail/dispatch/sidecar_core.hpp
+++ b/include/buckthornrail/dispatch/sidecar_core.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A sidecar's handling of attempts: admission, responses and the channels that receive them. Does no I/O.
+/// @brief A sidecar's handling of attempts: admission, responses and the linkNumbers that receive them. Does no I/O.
 #pragma once
 
 #include "buckthornrail/dispatch/response.hpp"
@@ -15,11 +15,11 @@
     revoke_reply, attach_reply, load_report>;
 
 /// Send a message over a link.
-struct send_to_channel {
-    channel_number channel = 0;
+struct send_to_link {
+    link_number linkNumber = 0;
     sidecar_message message;
 };
-/// Send this work to the target, then call ended(). For a stage, open it and call stageOpened() or startFailed().
+/// Send this work to the target, then call ended(). For a stage, open it and call stageOpened() or notStarted().
 struct start_work {
     attempt_id attempt;
     work_order work;
@@ -30,14 +30,14 @@
     attempt_id attempt;
     work_kind kind = work_kind::Completion;
 };
-using sidecar_effect = std::variant<send_to_channel, start_work, cancel_work>;
+using sidecar_effect = std::variant<send_to_link, start_work, cancel_work>;
 
 /// Result of work at a target.
 struct work_outcome {
     result_code code = result_code::Ok;
     std::string reason;
     std::string finishReason; ///< "stop" or "length" for completions
-    bool startFailed = false; ///< the target never received the work
+    bool notStarted = false; ///< the target never received the work
 };
 
 /// @brief The owner passes events in and carries out the effects that nextEffect() returns.
@@ -47,10 +47,10 @@
     /// @param maxStoredBytes limit on the stored responses of non-idempotent attempts
     sidecar_core(instance_id self, gate_options options, std::size_t maxStoredBytes, steady_time now);
 
-    void offer(const attempt_offer& offer, channel_number channel, steady_time now);
-    void revoke(const attempt_revoke& revoke, channel_number channel, steady_time now);
-    void attach(const response_attach& attach, channel_number channel, steady_time now);
-    void channelLost(channel_number channel, steady_time now);
+    void offer(const attempt_offer& offer, link_number linkNumber, steady_time now);
+    void revoke(const attempt_revoke& revoke, link_number linkNumber, steady_time now);
+    void attach(const response_attach& attach, link_number linkNumber, steady_time now);
+    void linkLost(link_number linkNumber, steady_time now);
     void tick(steady_time now);
 
     /// @brief Forwards a frame of the target's response. Sets its sequence number.
@@ -62,8 +62,8 @@
     /// @brief A stage has ended. Sends no end message.
     void stageClosed(const attempt_id& attempt, steady_time now);
     /// @brief The work of an attempt could not be started, so that the attempt has not run.
-    void startFailed(const attempt_id& attempt, const failure& why, steady_time now);
-    void reportLoad(channel_number channel);
+    void notStarted(const attempt_id& attempt, const failure& why, steady_time now);
+    void reportLoad(link_number linkNumber);
 
     /// @return the next effect to carry out, if any
     std::optional<sidecar_effect> nextEffect();
@@ -81,18 +81,18 @@
         response_digest digest;
     };
 
-    void carryOut(const std::vector<gate_effect>& effects);
+    void applyEffects(const std::vector<gate_effect>& effects);
     void start(const attempt_id& attempt);
-    void send(channel_number channel, sidecar_message message);
-    /// @brief Sends to the channels that are attached to an attempt, in addition to the one that offered it.
+    void send(link_number linkNumber, sidecar_message message);
+    /// @brief Sends to the linkNumbers that are attached to an attempt, in addition to the one that offered it.
     void sendToAttached(const attempt_id& attempt, const sidecar_message& message);
-    void forget(const attempt_id& attempt);
+    void removeWork(const attempt_id& attempt);
 
     instance_id m_self;
     target_gate m_gate;
     response_store m_responses;
     std::map<attempt_id, open_work> m_work;
-    std::map<attempt_id, std::set<channel_number>> m_attachedChannels;
+    std::map<attempt_id, std::set<link_number>> m_attachedLinks;
     std::deque<sidecar_effect> m_effects;
 };
 
--- a/include/buckthornrail/dispatch/target_gate.hpp
+++ b/include/buckthornrail/dispatch/target_gate.hpp
@@ -16,7 +16,7 @@
 namespace buckthornrail::dispatch {
 
 /// Number of an open link, assigned by the process that owns it. 0: none.
-using channel_number = std::uint64_t;
+using link_number = std::uint64_t;
 
 struct gate_options {
     incarnation_number incarnation = 0;
@@ -29,17 +29,17 @@
 /// Start this attempt at the target.
 struct gate_start {
     attempt_id attempt;
-    channel_number channel = 0;
+    link_number linkNumber = 0;
 };
 /// The attempt is queued.
 struct gate_accept {
     attempt_id attempt;
-    channel_number channel = 0;
+    link_number linkNumber = 0;
 };
 /// The attempt was not started and never will be.
 struct gate_refuse {
     attempt_id attempt;
-    channel_number channel = 0;
+    link_number linkNumber = 0;
     failure why;
 };
 /// Cancel this attempt at the target.
@@ -58,7 +58,7 @@
 
     /// @brief Queues or refuses an offered attempt. A repeated offer has no effect, except that a refusal is sent
     /// again.
-    std::vector<gate_effect> offer(const attempt_offer& offer, channel_number channel, steady_time now);
+    std::vector<gate_effect> offer(const attempt_offer& offer, link_number linkNumber, steady_time now);
     /// @brief Prevents the start of an attempt, also of one that has not been offered yet.
     /// @param effects receives the cancellation of an attempt that has started, if the revocation asks for that
     /// @return NotStarted only if a tombstone prevents a later start
@@ -66,9 +66,9 @@
     /// @brief The target has ended the attempt, successfully or not.
     std::vector<gate_effect> finished(const attempt_id& attempt, steady_time now);
     /// @brief The target never received the work, for example because it refused the connection.
-    std::vector<gate_effect> startFailed(const attempt_id& attempt, failure why, steady_time now);
+    std::vector<gate_effect> notStarted(const attempt_id& attempt, failure why, steady_time now);
     /// @brief A link has closed. Refuses its queued attempts and cancels its running ones, except non-idempotent ones.
-    std::vector<gate_effect> channelLost(channel_number channel, steady_time now);
+    std::vector<gate_effect> linkLost(link_number linkNumber, steady_time now);
     /// @brief Refuses queued attempts past their start deadline, cancels running ones past their finish deadline and
     /// drops expired records.
     std::vector<gate_effect> tick(steady_time now);
@@ -88,15 +88,15 @@
     [[nodiscard]] std::size_t running() const { return m_started.size(); }
     [[nodiscard]] std::size_t queued() const { return m_queue.size(); }
     [[nodiscard]] std::optional<gate_state> stateOf(const attempt_id& attempt) const;
-    /// @return channel that offered an attempt, or 0
-    [[nodiscard]] channel_number channelOf(const attempt_id& attempt) const;
+    /// @return linkNumber that offered an attempt, or 0
+    [[nodiscard]] link_number linkNumberOf(const attempt_id& attempt) const;
     [[nodiscard]] const gate_options& options() const { return m_options; }
     [[nodiscard]] configuration_version configuration() const { return m_configuration; }
 
 private:
     struct attempt_record {
         gate_state state = gate_state::Queued;
-        channel_number channel = 0;
+        link_number linkNumber = 0;
         bool nonIdempotent = false;
         bool cancelled = false;
         std::string workspace;
@@ -115,7 +115,7 @@
     [[nodiscard]] std::deque<attempt_id>::iterator nextToStart();
     /// @return queued attempt to evict in favour of a newcomer, or the end: one of lower priority, or of the same
     /// priority and a workspace with more queued work relative to its weight
-    [[nodiscard]] std::deque<attempt_id>::iterator findEvictionVictim(const attempt_record& newcomer);
+    [[nodiscard]] std::deque<attempt_id>::iterator findEvictionVictim(const attempt_record& newRecord);
     /// @brief Starts queued attempts while slots are free.
     void startQueued(steady_time now, std::vector<gate_effect>& effects);
     void refuse(const attempt_id& attempt, failure why, steady_time now, std::vector<gate_effect>& effects);
--- a/include/buckthornrail/execution/chain_run.hpp
+++ b/include/buckthornrail/execution/chain_run.hpp
@@ -99,8 +99,8 @@
     void stageRefused(const instance_id& instance, std::uint32_t generation, const failure& why, steady_time now);
     /// @brief A sidecar has confirmed a fence. @param generation as in fence_stage
     void stageFenced(const instance_id& instance, std::uint32_t generation, steady_time now);
-    /// @brief A stage of a running generation has failed. @param at number of the stage in the plan
-    void stageFailed(std::uint32_t generation, std::uint32_t at, const failure& why, steady_time now);
+    /// @brief A stage of a running generation has failed. @param stage number in the plan
+    void stageFailed(std::uint32_t generation, std::uint32_t stage, const failure& why, steady_time now);
     void linkLost(const instance_id& instance, steady_time now);
     /// @brief A token has arrived. Has no effect unless it is the next one of the current generation.
     void token(const chain_token& token, steady_time now);
--- a/include/buckthornrail/routing/route_table.hpp
+++ b/include/buckthornrail/routing/route_table.hpp
@@ -103,7 +103,7 @@
         double msPerUnit = 0; ///< moving average of the time per work unit; 0: no sample yet
         std::uint32_t consecutiveFailures = 0;
         steady_time breakerOpenUntil {};
-        bool isProbing = false; ///< the breaker is half-open: its one trial request is in flight
+        bool isTrialInFlight = false; ///< the breaker is half-open: its one trial request is in flight
         std::uint64_t identityHash = 0;
     };
 
--- a/src/app/entry/entry.cpp
+++ b/src/app/entry/entry.cpp
@@ -68,16 +68,16 @@
 {
     m_hub = std::make_unique<link::link_hub>(m_loop,
         link::hub_handlers {
-            [this](link::channel_number channel, bool) {
-                if (!m_session->onOpened(channel))
-                    m_links->onOpened(channel);
+            [this](link::channel_number linkNumber, bool) {
+                if (!m_session->onOpened(linkNumber))
+                    m_links->onOpened(linkNumber);
             },
-            [this](link::channel_number channel) {
-                if (!m_session->onClosed(channel))
-                    m_links->onClosed(channel);
+            [this](link::channel_number linkNumber) {
+                if (!m_session->onClosed(linkNumber))
+                    m_links->onClosed(linkNumber);
             },
-            [this](link::channel_number channel, const std::string& bytes) { onMessage(channel, bytes); },
-            [this](link::channel_number channel) { m_session->onProgress(channel); },
+            [this](link::channel_number linkNumber, const std::string& bytes) { onMessage(linkNumber, bytes); },
+            [this](link::channel_number linkNumber) { m_session->onProgress(linkNumber); },
         });
     m_links = std::make_unique<sidecar_links>(*m_hub, m_settings.id, m_incarnation,
         sidecar_link_callbacks {
@@ -108,7 +108,7 @@
         m_pendingClaims.erase(found);
         withRun(id, [&reply](auto& run, steady_time now) {
             if (reply.available)
-                run.claimAnswered(reply.result, now);
+                run.claimReplyReceived(reply.result, now);
             else
                 run.claimFailed(now);
         });
@@ -123,7 +123,7 @@
     m_session->setState(membership::instance_state::Draining);
     m_loop.runAt(steadyNow() + readinessGrace, [this, done = std::move(done)]() mutable {
         m_refusesRequests = true;
-        m_onDrained = std::move(done);
+        m_onStopped = std::move(done);
     });
 }
 
@@ -149,47 +149,48 @@
     return found == m_decisions.end() ? std::vector<std::string> {} : found->second;
 }
 
-void entry::onMessage(link::channel_number channel, const std::string& bytes)
+void entry::onMessage(link::channel_number linkNumber, const std::string& bytes)
 {
-    const auto message = decodeOrClose(*m_hub, channel, bytes);
-    if (message && !m_session->onMessage(channel, *message))
-        handle(channel, *message);
+    const auto message = decodeOrClose(*m_hub, linkNumber, bytes);
+    if (message && !m_session->onMessage(linkNumber, *message))
+        handle(linkNumber, *message);
 }
 
-void entry::handle(link::channel_number channel, const link::message& message)
+void entry::handle(link::channel_number linkNumber, const link::message& message)
 {
     if (const auto* accepted = std::get_if<dispatch::attempt_accepted>(&message)) {
         withAttempt(accepted->attempt, [&](auto& run, steady_time now) { run.accepted(accepted->attempt, now); });
     } else if (const auto* refused = std::get_if<dispatch::attempt_refused>(&message)) {
-        onRefused(channel, *refused);
+        onRefused(linkNumber, *refused);
     } else if (const auto* started = std::get_if<dispatch::attempt_started>(&message)) {
         withAttempt(started->attempt, [&](auto& run, steady_time now) { run.started(started->attempt, now); });
         withChain(started->attempt.request, [&](auto& run, steady_time now) {
-            run.stageOpened(m_links->instanceOf(channel), started->attempt.number, now);
+            run.stageOpened(m_links->instanceOf(linkNumber), started->attempt.number, now);
         });
     } else if (const auto* frame = std::get_if<dispatch::response_frame>(&message)) {
         withAttempt(frame->attempt, [&](auto& run, steady_time now) { run.frame(*frame, now); });
     } else if (const auto* end = std::get_if<dispatch::response_end>(&message)) {
         withAttempt(end->attempt, [&](auto& run, steady_time now) { run.ended(*end, now); });
     } else if (const auto* revoked = std::get_if<dispatch::revoke_reply>(&message)) {
-        withAttempt(revoked->attempt, [&](auto& run, steady_time now) { run.revokeAnswered(*revoked, now); });
+        withAttempt(revoked->attempt, [&](auto& run, steady_time now) { run.revokeReplyReceived(*revoked, now); });
     } else if (const auto* attached = std::get_if<dispatch::attach_reply>(&message)) {
-        withAttempt(attached->attempt, [&](auto& run, steady_time now) { run.attachAnswered(*attached, now); });
+        withAttempt(attached->attempt, [&](auto& run, steady_time now) { run.attachReplyReceived(*attached, now); });
     } else if (const auto* load = std::get_if<dispatch::load_report>(&message)) {
         m_routes.applyLoadReport(*load, steadyNow());
     } else {
-        handleStage(channel, message);
+        handleStage(linkNumber, message);
     }
 }
 
-void entry::onRefused(link::channel_number channel, const dispatch::attempt_refused& refused)
+void entry::onRefused(link::channel_number linkNumber, const dispatch::attempt_refused& refused)
 {
     const std::string code(describe(refused.code).name);
     recordDecision(refused.attempt.request, "attempt " + std::to_string(refused.attempt.number) + " refused: " + code);
     telemetry::logEvent(event_code::AttemptRefused, { { "attempt", toString(refused.attempt) }, { "code", code } });
     withAttempt(refused.attempt, [&](auto& run, steady_time now) { run.refused(refused, now); });
     withChain(refused.attempt.request, [&](auto& run, steady_time now) {
-        run.stageRefused(m_links->instanceOf(channel), refused.attempt.number, { refused.code, refused.reason }, now);
+        run.stageRefused(
+            m_links->instanceOf(linkNumber), refused.attempt.number, { refused.code, refused.reason }, now);
     });
 }
 
@@ -261,7 +262,7 @@
     m_chains.erase(requestId);
 }
 
-void entry::carryOut(active_run& active, const dispatch::run_effect& effect)
+void entry::applyEffect(active_run& active, const dispatch::run_effect& effect)
 {
     if (const auto* choose = std::get_if<dispatch::choose_target>(&effect)) {
         chooseTarget(active, *choose);
@@ -446,13 +447,13 @@
 void entry::tick()
 {
     const steady_time now = steadyNow();
-    driveAll(m_runs, [](auto& run, steady_time at) { run.tick(at); });
-    driveAll(m_chains, [](auto& run, steady_time at) { run.tick(at); });
+    driveAll(m_runs, [](auto& run, steady_time tickTime) { run.tick(tickTime); });
+    driveAll(m_chains, [](auto& run, steady_time tickTime) { run.tick(tickTime); });
     m_isReady = !m_isStopping && !m_refusesRequests && !m_drainedByOperator && m_session->hasLease();
     m_metrics.gauge("requests_in_flight", static_cast<double>(m_runs.size() + m_chains.size()));
     m_metrics.gauge("link_bytes_sent", static_cast<double>(m_hub->bytesSent()));
     m_metrics.gauge("link_bytes_received", static_cast<double>(m_hub->bytesReceived()));
-    if (!m_onDrained || !m_runs.empty() || !m_chains.empty() || m_activeHandlers > 0)
+    if (!m_onStopped || !m_runs.empty() || !m_chains.empty() || m_activeHandlers > 0)
         return;
     if (m_session->record().state != membership::instance_state::Left) {
         m_session->setState(membership::instance_state::Left);
@@ -460,13 +461,13 @@
         return;
     }
     if (m_session->isStateAcknowledged() || now >= m_leaveDeadline)
-        std::exchange(m_onDrained, {})();
+        std::exchange(m_onStopped, {})();
 }
 
 void entry::recordDecision(const std::string& requestId, const std::string& decision)
 {
-    const auto [at, isNew] = m_decisions.try_emplace(requestId);
-    at->second.push_back(decision);
+    const auto [found, isNew] = m_decisions.try_emplace(requestId);
+    found->second.push_back(decision);
     if (!isNew)
         return;
     m_recentRequests.push_back(requestId);
--- a/src/app/entry/entry.hpp
+++ b/src/app/entry/entry.hpp
@@ -70,10 +70,10 @@
     };
 
     session_callbacks sessionCallbacks();
-    void onMessage(link::channel_number channel, const std::string& bytes);
-    void handle(link::channel_number channel, const link::message& message);
-    void handleStage(link::channel_number channel, const link::message& message);
-    void onRefused(link::channel_number channel, const dispatch::attempt_refused& refused);
+    void onMessage(link::channel_number linkNumber, const std::string& bytes);
+    void handle(link::channel_number linkNumber, const link::message& message);
+    void handleStage(link::channel_number linkNumber, const link::message& message);
+    void onRefused(link::channel_number linkNumber, const dispatch::attempt_refused& refused);
     void onMembership(const membership::membership_delta& delta);
     void onUnsentOffer(const attempt_id& attempt);
     void onLinkLost(const instance_id& instance);
@@ -90,8 +90,8 @@
     /// @brief Removes a finished run or chain.
     void removeRun(const std::string& requestId);
     /// @brief Carries out an effect that the state machine of a run or chain has requested.
-    void carryOut(active_run& active, const dispatch::run_effect& effect);
-    void carryOut(active_chain& active, const execution::chain_effect& effect);
+    void applyEffect(active_run& active, const dispatch::run_effect& effect);
+    void applyEffect(active_chain& active, const execution::chain_effect& effect);
     void chooseTarget(active_run& active, const dispatch::choose_target& effect);
     /// @brief Logs why routing has found no target and tells the run.
     void reportNoTarget(active_run& active, const failure& why, steady_time now);
@@ -143,7 +143,7 @@
     std::deque<std::string> m_recentRequests; ///< keys of m_decisions, oldest first
     bool m_refusesRequests = false; ///< shutting down; set after the grace period
     bool m_drainedByOperator = false;
-    std::function<void()> m_onDrained;
+    std::function<void()> m_onStopped;
     steady_time m_leaveDeadline {}; ///< for the acknowledgement of the state Left
     std::atomic<bool> m_isReady { false };
     std::atomic<bool> m_isStopping { false };
@@ -165,7 +165,7 @@
     auto& active = found->second;
     event(active.run, steadyNow());
     while (const auto effect = active.run.nextEffect())
-        carryOut(active, *effect);
+        applyEffect(active, *effect);
     if (active.run.isFinished())
         removeRun(requestId);
 }
@@ -195,8 +195,8 @@
     withRun(attempt.request, event);
     const auto [first, last] = m_attachedRequests.equal_range(attempt.request);
     std::vector<std::string> attached;
-    for (auto at = first; at != last; ++at)
-        attached.push_back(at->second);
+    for (auto it = first; it != last; ++it)
+        attached.push_back(it->second);
     for (const auto& id : attached)
         withRun(id, event);
 }
--- a/src/app/entry/entry_api.cpp
+++ b/src/app/entry/entry_api.cpp
@@ -128,15 +128,15 @@
 
 tl::expected<void, failure> readServiceCall(const http_request& request, caller_request& result)
 {
-    const std::string rest = request.path.substr(servicePrefix.size());
-    const auto slash = rest.find('/');
-    result.service = rest.substr(0, slash);
+    const std::string nameAndPath = request.path.substr(servicePrefix.size());
+    const auto slash = nameAndPath.find('/');
+    result.service = nameAndPath.substr(0, slash);
     if (result.service.empty())
         return badRequest(result_code::MalformedRequest, "the path has no service name");
     auto& call = result.call;
     call.kind = dispatch::work_kind::ServiceCall;
     call.method = request.method;
-    call.path = slash == std::string::npos ? "/" : rest.substr(slash);
+    call.path = slash == std::string::npos ? "/" : nameAndPath.substr(slash);
     if (!request.query.empty())
         call.path += "?" + request.query;
     for (const auto& header : request.headers) {
@@ -218,14 +218,14 @@
 
     [[nodiscard]] json completionBody(const std::string& text, const std::string& finishReason) const
     {
-        json one = { { "index", 0 }, { "finish_reason", finishReason.empty() ? json() : json(finishReason) } };
+        json choice = { { "index", 0 }, { "finish_reason", finishReason.empty() ? json() : json(finishReason) } };
         if (m_isChat)
-            one[m_request.isStream ? "delta" : "message"] = { { "role", "assistant" }, { "content", text } };
+            choice[m_request.isStream ? "delta" : "message"] = { { "role", "assistant" }, { "content", text } };
         else
-            one["text"] = text;
+            choice["text"] = text;
         const std::string object = m_isChat ? "chat.completion" : "text_completion";
         return { { "id", m_request.id }, { "object", m_isChat && m_request.isStream ? object + ".chunk" : object },
-            { "model", m_request.pipeline }, { "choices", json::array({ one }) } };
+            { "model", m_request.pipeline }, { "choices", json::array({ choice }) } };
     }
 
     void writeError(const final_result& end)
--- a/src/app/entry/entry_chains.cpp
+++ b/src/app/entry/entry_chains.cpp
@@ -21,11 +21,11 @@
     withChain(id, [](auto& run, steady_time now) { run.start(now); });
 }
 
-void entry::handleStage(link::channel_number channel, const link::message& message)
+void entry::handleStage(link::channel_number linkNumber, const link::message& message)
 {
     if (const auto* fenced = std::get_if<link::stage_fenced>(&message)) {
         withChain(fenced->request, [&](auto& run, steady_time now) {
-            run.stageFenced(m_links->instanceOf(channel), fenced->generation, now);
+            run.stageFenced(m_links->instanceOf(linkNumber), fenced->generation, now);
         });
     } else if (const auto* token = std::get_if<link::stage_token>(&message)) {
         withChain(token->request, [&](auto& run, steady_time now) {
@@ -43,7 +43,7 @@
     }
 }
 
-void entry::carryOut(active_chain& active, const execution::chain_effect& effect)
+void entry::applyEffect(active_chain& active, const execution::chain_effect& effect)
 {
     auto& context = active.context;
     const std::string& id = context.request.id;
--- a/src/app/sidecar/sidecar.cpp
+++ b/src/app/sidecar/sidecar.cpp
@@ -75,17 +75,17 @@
 {
     m_hub = std::make_unique<link::link_hub>(m_loop,
         link::hub_handlers {
-            [this](link::channel_number channel, bool inbound) {
-                if (inbound || m_session->onOpened(channel))
+            [this](link::channel_number linkNumber, bool inbound) {
+                if (inbound || m_session->onOpened(linkNumber))
                     return;
-                send(channel, link::link_hello { m_settings.id, m_incarnation, 0 });
-                for (const auto& bytes : m_unsent[channel])
-                    m_hub->send(channel, bytes);
-                m_unsent.erase(channel);
+                send(linkNumber, link::link_hello { m_settings.id, m_incarnation, 0 });
+                for (const auto& bytes : m_unsent[linkNumber])
+                    m_hub->send(linkNumber, bytes);
+                m_unsent.erase(linkNumber);
             },
-            [this](link::channel_number channel) { onClosed(channel); },
-            [this](link::channel_number channel, const std::string& bytes) { onMessage(channel, bytes); },
-            [this](link::channel_number channel) { m_session->onProgress(channel); },
+            [this](link::channel_number linkNumber) { onClosed(linkNumber); },
+            [this](link::channel_number linkNumber, const std::string& bytes) { onMessage(linkNumber, bytes); },
+            [this](link::channel_number linkNumber) { m_session->onProgress(linkNumber); },
         });
     if (m_hub->listen(m_settings.linkAddress) == 0)
         return tl::make_unexpected(failure { result_code::BadSettings, "can't listen on " + m_settings.linkAddress });
@@ -98,10 +98,10 @@
     callbacks.claimAnswered = [](const link::claim_reply&) {};
     callbacks.orderReceived = [this](const dispatch::target_order& order) {
         m_orders.offer(order, steadyNow());
-        carryOutOrderEffects();
+        applyOrderEffects();
     };
     callbacks.drainRequested = [this](bool drain) {
-        if (m_draining || drain == m_core.gate().isDraining())
+        if (m_isStopping || drain == m_core.gate().isDraining())
             return;
         m_core.gate().setDraining(drain);
         telemetry::logEvent(event_code::TargetDraining, { { "drain", drain ? "yes" : "no" }, { "by", "operator" } });
@@ -116,7 +116,7 @@
 
 void sidecar::stop(std::function<void()> done)
 {
-    m_draining = true;
+    m_isStopping = true;
     m_isReady = false;
     m_core.gate().setDraining(true);
     m_onStopped = std::move(done);
@@ -124,70 +124,70 @@
     telemetry::logEvent(event_code::TargetDraining, { { "drain", "yes" }, { "by", "signal" } });
 }
 
-void sidecar::onClosed(link::channel_number channel)
+void sidecar::onClosed(link::channel_number linkNumber)
 {
-    if (m_session->onClosed(channel))
+    if (m_session->onClosed(linkNumber))
         return;
-    m_peers.erase(channel);
-    m_unsent.erase(channel);
-    std::erase_if(m_stageChannels, [channel](const auto& item) { return item.second == channel; });
-    m_core.channelLost(channel, steadyNow());
-    carryOutEffects();
+    m_peers.erase(linkNumber);
+    m_unsent.erase(linkNumber);
+    std::erase_if(m_stageLinks, [linkNumber](const auto& item) { return item.second == linkNumber; });
+    m_core.linkLost(linkNumber, steadyNow());
+    applyEffects();
 }
 
-void sidecar::onMessage(link::channel_number channel, const std::string& bytes)
+void sidecar::onMessage(link::channel_number linkNumber, const std::string& bytes)
 {
-    const auto message = decodeOrClose(*m_hub, channel, bytes);
-    if (message && !m_session->onMessage(channel, *message))
-        handle(channel, *message);
+    const auto message = decodeOrClose(*m_hub, linkNumber, bytes);
+    if (message && !m_session->onMessage(linkNumber, *message))
+        handle(linkNumber, *message);
 }
 
-void sidecar::handle(link::channel_number channel, const link::message& message)
+void sidecar::handle(link::channel_number linkNumber, const link::message& message)
 {
     if (const auto* hello = std::get_if<link::link_hello>(&message))
-        onHello(channel, *hello);
+        onHello(linkNumber, *hello);
     else if (const auto* offer = std::get_if<dispatch::attempt_offer>(&message))
-        onOffer(channel, *offer);
+        onOffer(linkNumber, *offer);
     else if (const auto* revoke = std::get_if<dispatch::attempt_revoke>(&message))
-        m_core.revoke(*revoke, channel, steadyNow());
+        m_core.revoke(*revoke, linkNumber, steadyNow());
     else if (const auto* attach = std::get_if<dispatch::response_attach>(&message))
-        m_core.attach(*attach, channel, steadyNow());
+        m_core.attach(*attach, linkNumber, steadyNow());
     else if (const auto* step = std::get_if<execution::stage_step>(&message))
         onStep(*step);
     else if (const auto* fence = std::get_if<link::stage_fence>(&message))
-        onFence(channel, *fence);
+        onFence(linkNumber, *fence);
     else if (const auto* close = std::get_if<link::stage_close>(&message))
         onStageClose(close->request);
-    carryOutEffects();
+    applyEffects();
 }
 
-void sidecar::onHello(link::channel_number channel, const link::link_hello& hello)
+void sidecar::onHello(link::channel_number linkNumber, const link::link_hello& hello)
 {
     // Only the newest link of a peer stays open, so that messages still in transit on an older one can't arrive after
     // messages on the newer one.
     std::vector<link::channel_number> superseded;
     for (const auto& [other, known] : m_peers) {
-        if (known.instance != hello.instance || other == channel || hello.epoch == 0)
+        if (known.instance != hello.instance || other == linkNumber || hello.epoch == 0)
             continue;
         const bool isOlder = known.incarnation != hello.incarnation || known.epoch < hello.epoch;
-        superseded.push_back(isOlder ? other : channel);
+        superseded.push_back(isOlder ? other : linkNumber);
     }
-    m_peers[channel] = { hello.instance, hello.incarnation, hello.epoch };
-    send(channel, link::link_welcome { m_settings.id, m_incarnation });
-    m_core.reportLoad(channel);
+    m_peers[linkNumber] = { hello.instance, hello.incarnation, hello.epoch };
+    send(linkNumber, link::link_welcome { m_settings.id, m_incarnation });
+    m_core.reportLoad(linkNumber);
     for (const auto other : superseded)
         m_hub->close(other);
 }
 
-void sidecar::onOffer(link::channel_number channel, const dispatch::attempt_offer& offer)
+void sidecar::onOffer(link::channel_number linkNumber, const dispatch::attempt_offer& offer)
 {
-    if (m_peers.contains(channel))
-        m_core.offer(offer, channel, steadyNow());
+    if (m_peers.contains(linkNumber))
+        m_core.offer(offer, linkNumber, steadyNow());
     else
-        send(channel, dispatch::attempt_refused { offer.attempt, result_code::StaleLink, "" });
+        send(linkNumber, dispatch::attempt_refused { offer.attempt, result_code::StaleLink, "" });
 }
 
-void sidecar::carryOutEffects()
+void sidecar::applyEffects()
 {
     while (const auto effect = m_core.nextEffect()) {
         if (const auto* start = std::get_if<dispatch::start_work>(&*effect)) {
@@ -198,14 +198,14 @@
             cancelWork(*cancel);
             continue;
         }
-        const auto& sending = std::get<dispatch::send_to_channel>(*effect);
+        const auto& sending = std::get<dispatch::send_to_link>(*effect);
         if (const auto* refused = std::get_if<dispatch::attempt_refused>(&sending.message)) {
             const std::string code(describe(refused->code).name);
             m_metrics.count("offers_refused_total", code);
             telemetry::logEvent(
                 event_code::OfferRefused, { { "attempt", toString(refused->attempt) }, { "code", code } });
         }
-        std::visit([&](const auto& message) { send(sending.channel, message); }, sending.message);
+        std::visit([&](const auto& message) { send(sending.linkNumber, message); }, sending.message);
     }
     m_metrics.gauge("running", static_cast<double>(m_core.gate().running()));
     m_metrics.gauge("queued", static_cast<double>(m_core.gate().queued()));
@@ -224,7 +224,7 @@
         const auto sink = [this](dispatch::response_frame frame) {
             m_loop.post([this, frame = std::move(frame)]() mutable {
                 m_core.frame(std::move(frame));
-                carryOutEffects();
+                applyEffects();
             });
         };
         const auto outcome = m_targetAdapter->run(work.attempt, work.work, work.deadline, *canceller, sink);
@@ -256,13 +256,13 @@
     m_metrics.count("work_total", code);
     m_cancellers.erase(attempt);
     m_core.ended(attempt, outcome, steadyNow());
-    carryOutEffects();
+    applyEffects();
 }
 
-void sidecar::send(link::channel_number channel, const link::message& message)
+void sidecar::send(link::channel_number linkNumber, const link::message& message)
 {
-    if (channel != 0)
-        m_hub->send(channel, link::encode(message));
+    if (linkNumber != 0)
+        m_hub->send(linkNumber, link::encode(message));
 }
 
 void sidecar::probe()
@@ -280,7 +280,7 @@
 {
     m_probing = false;
     m_metrics.gauge("target_running", status.running);
-    m_metrics.gauge("target_waiting", status.waiting);
+    m_metrics.gauge("target_waiting", status.queued);
     if (status.ready != m_targetReady) {
         m_targetReady = status.ready;
         telemetry::logEvent(event_code::TargetStateChanged, { { "ready", status.ready ? "yes" : "no" } });
@@ -291,7 +291,7 @@
 
 void sidecar::announceState()
 {
-    if (m_draining)
+    if (m_isStopping)
         return;
     m_session->setState(
         m_targetReady && !m_paused ? membership::instance_state::Ready : membership::instance_state::Joined);
@@ -305,10 +305,10 @@
     if (m_paused && m_core.gate().running() + m_core.gate().queued() == 0)
         m_orders.workDrained(now);
     m_orders.tick(now);
-    carryOutOrderEffects();
+    applyOrderEffects();
     for (const auto& request : m_guard.expire(now))
         endStage(request);
-    carryOutEffects();
+    applyEffects();
     m_metrics.gauge("link_bytes_sent", static_cast<double>(m_hub->bytesSent()));
     m_metrics.gauge("link_bytes_received", static_cast<double>(m_hub->bytesReceived()));
     if (!m_onStopped || m_core.gate().running() + m_core.gate().queued() > 0)
--- a/src/app/sidecar/sidecar.hpp
+++ b/src/app/sidecar/sidecar.hpp
@@ -37,19 +37,19 @@
         std::uint64_t epoch = 0; ///< increases with each link that the peer dials; 0 if the peer doesn't count them
     };
 
-    void onClosed(link::channel_number channel);
-    void onMessage(link::channel_number channel, const std::string& bytes);
-    void handle(link::channel_number channel, const link::message& message);
-    void onHello(link::channel_number channel, const link::link_hello& hello);
-    void onOffer(link::channel_number channel, const dispatch::attempt_offer& offer);
+    void onClosed(link::channel_number linkNumber);
+    void onMessage(link::channel_number linkNumber, const std::string& bytes);
+    void handle(link::channel_number linkNumber, const link::message& message);
+    void onHello(link::channel_number linkNumber, const link::link_hello& hello);
+    void onOffer(link::channel_number linkNumber, const dispatch::attempt_offer& offer);
     void onStep(const execution::stage_step& step);
-    void onFence(link::channel_number channel, const link::stage_fence& fence);
+    void onFence(link::channel_number linkNumber, const link::stage_fence& fence);
     void onStageClose(const std::string& request);
 
     /// @brief Carries out the pending effects of the dispatch core.
-    void carryOutEffects();
+    void applyEffects();
     /// @brief Carries out the pending effects of the order sequencer.
-    void carryOutOrderEffects();
+    void applyOrderEffects();
     void sendOrder(const dispatch::send_order& sending);
     void readTargetState();
     void reportOrder(const dispatch::report_order& report);
@@ -66,7 +66,7 @@
     /// @brief Sends to the entry that offered this generation of a request.
     void sendToEntry(const std::string& request, std::uint32_t generation, const link::message& message);
 
-    void send(link::channel_number channel, const link::message& message);
+    void send(link::channel_number linkNumber, const link::message& message);
     void probe();
     void onProbeEnded(const target_status& status);
     /// @brief Reports the state Ready or Joined to the controllers, unless the sidecar is stopping.
@@ -87,11 +87,11 @@
     std::map<attempt_id, std::shared_ptr<http::call_canceller>> m_cancellers; ///< of calls in flight
     std::map<std::string, attempt_id> m_stageAttempts; ///< open stage attempt by request
     std::map<link::channel_number, peer> m_peers;
-    std::map<std::string, link::channel_number> m_stageChannels; ///< dialled to other sidecars, by address
+    std::map<std::string, link::channel_number> m_stageLinks; ///< dialled to other sidecars, by address
     std::map<link::channel_number, std::vector<std::string>> m_unsent; ///< queued until a dialled link is open
     bool m_targetReady = false;
     bool m_probing = false;
-    bool m_draining = false;
+    bool m_isStopping = false;
     std::function<void()> m_onStopped;
     steady_time m_leaveDeadline {}; ///< for the acknowledgement of the state Left
     std::atomic<bool> m_isReady { false };
--- a/src/app/sidecar/sidecar_links.hpp
+++ b/src/app/sidecar/sidecar_links.hpp
@@ -35,13 +35,13 @@
     void send(const instance_id& instance, const std::string& address, const link::message& message);
     void close(const instance_id& instance);
 
-    void onOpened(link::channel_number channel);
-    void onClosed(link::channel_number channel);
-    /// @return the sidecar at the other end, or an empty identifier for a channel that isn't one of these links
-    [[nodiscard]] instance_id instanceOf(link::channel_number channel) const
+    void onOpened(link::channel_number linkNumber);
+    void onClosed(link::channel_number linkNumber);
+    /// @return the sidecar at the other end, or an empty identifier for a linkNumber that isn't one of these links
+    [[nodiscard]] instance_id instanceOf(link::channel_number linkNumber) const
     {
-        const auto found = m_byChannel.find(channel);
-        return found == m_byChannel.end() ? instance_id() : found->second;
+        const auto found = m_instanceByLink.find(linkNumber);
+        return found == m_instanceByLink.end() ? instance_id() : found->second;
     }
     [[nodiscard]] std::size_t size() const { return m_links.size(); }
 
@@ -51,7 +51,7 @@
         std::optional<attempt_id> offer; ///< set if the message is an offer
     };
     struct sidecar_link {
-        link::channel_number channel = 0;
+        link::channel_number linkNumber = 0;
         bool open = false;
         std::vector<unsent_message> unsent; ///< queued until the link is open
     };
@@ -61,7 +61,7 @@
     incarnation_number m_incarnation;
     sidecar_link_callbacks m_callbacks;
     std::map<instance_id, sidecar_link> m_links;
-    std::map<link::channel_number, instance_id> m_byChannel;
+    std::map<link::channel_number, instance_id> m_instanceByLink;
     std::uint64_t m_epoch = 0; ///< number of links opened; tells a sidecar which of them is the newest
 };
 
--- a/src/app/sidecar/sidecar_orders.cpp
+++ b/src/app/sidecar/sidecar_orders.cpp
@@ -4,7 +4,7 @@
 
 namespace buckthornrail::app {
 
-void sidecar::carryOutOrderEffects()
+void sidecar::applyOrderEffects()
 {
     while (const auto effect = m_orders.nextEffect()) {
         if (std::holds_alternative<dispatch::pause_work>(*effect))
@@ -30,7 +30,7 @@
         const bool accepted = m_targetAdapter->sendOrder(sending.order, sending.deadline);
         m_loop.post([this, fence = sending.order.fence, accepted] {
             m_orders.orderCallEnded(fence, accepted, !accepted, steadyNow());
-            carryOutOrderEffects();
+            applyOrderEffects();
         });
     });
 }
@@ -41,7 +41,7 @@
         const auto model = m_targetAdapter->loadedModel();
         m_loop.post([this, model] {
             m_orders.stateRead(model.first, model.second, steadyNow());
-            carryOutOrderEffects();
+            applyOrderEffects();
         });
     });
 }
--- a/src/app/sidecar/sidecar_stages.cpp
+++ b/src/app/sidecar/sidecar_stages.cpp
@@ -24,13 +24,13 @@
         runStep(step, *plan, work->maxTokens);
 }
 
-void sidecar::onFence(link::channel_number channel, const link::stage_fence& fence)
+void sidecar::onFence(link::channel_number linkNumber, const link::stage_fence& fence)
 {
     m_guard.fence(fence.request, fence.generation, steadyNow() + m_core.gate().options().recordRetention);
     endStage(fence.request);
     telemetry::logEvent(
         event_code::GenerationFenced, { { "request", fence.request }, { "below", std::to_string(fence.generation) } });
-    send(channel, link::stage_fenced { fence.request, fence.generation });
+    send(linkNumber, link::stage_fenced { fence.request, fence.generation });
 }
 
 void sidecar::onStageClose(const std::string& request)
@@ -46,7 +46,7 @@
     const auto opened = m_guard.open(
         request, work.work.chain, work.work.stage, ownStage(), work.deadline + m_core.gate().options().recordRetention);
     if (!opened) {
-        m_core.startFailed(work.attempt, opened.error(), steadyNow());
+        m_core.notStarted(work.attempt, opened.error(), steadyNow());
         return;
     }
     endStage(request); // frees the slot of an older generation's stage
@@ -106,17 +106,17 @@
         onStep(step);
         return;
     }
-    auto& channel = m_stageChannels[stage.linkAddress];
-    if (channel == 0)
-        channel = m_hub->dial(stage.linkAddress);
+    auto& linkNumber = m_stageLinks[stage.linkAddress];
+    if (linkNumber == 0)
+        linkNumber = m_hub->dial(stage.linkAddress);
     const std::string bytes = link::encode(step);
-    if (!m_hub->send(channel, bytes))
-        m_unsent[channel].push_back(bytes);
+    if (!m_hub->send(linkNumber, bytes))
+        m_unsent[linkNumber].push_back(bytes);
 }
 
 void sidecar::sendToEntry(const std::string& request, std::uint32_t generation, const link::message& message)
 {
-    send(m_core.gate().channelOf({ request, generation }), message);
+    send(m_core.gate().linkNumberOf({ request, generation }), message);
 }
 
 execution::chain_stage sidecar::ownStage() const
--- a/src/app/sidecar/target_adapter.cpp
+++ b/src/app/sidecar/target_adapter.cpp
@@ -63,7 +63,7 @@
     case http::client_outcome::NotSent:
         outcome.code = result_code::TargetNotReady;
         outcome.reason = "can't connect to the target";
-        outcome.startFailed = true;
+        outcome.notStarted = true;
         return outcome;
     case http::client_outcome::TimedOut:
         outcome.code = result_code::TargetStalled;
@@ -211,7 +211,7 @@
             if (name == "num_requests_running")
                 status.running = static_cast<std::uint32_t>(value);
             if (name == "num_requests_waiting")
-                status.waiting = static_cast<std::uint32_t>(value);
+                status.queued = static_cast<std::uint32_t>(value);
         }
         return status;
     }
@@ -254,7 +254,7 @@
         const json body = json::parse(stats.body, nullptr, false);
         if (body.is_object()) {
             status.running = body.value("executing", 0U);
-            status.waiting = body.value("pending", 0U);
+            status.queued = body.value("pending", 0U);
         }
         return status;
     }
@@ -295,7 +295,7 @@
             return status;
         status.ready = body.value("ready", false);
         status.running = body.value("running", 0U);
-        status.waiting = body.value("waiting", 0U);
+        status.queued = body.value("waiting", 0U);
         return status;
     }
 
@@ -316,9 +316,9 @@
         if (outcome.code != result_code::Ok)
             return { outcome.code, outcome.reason, "", false, "" };
         try {
-            const json answer = json::parse(response.body);
-            return { result_code::Ok, "", answer.at("output").get<std::string>(), answer.value("last", false),
-                answer.value("finish_reason", "") };
+            const json result = json::parse(response.body);
+            return { result_code::Ok, "", result.at("output").get<std::string>(), result.value("last", false),
+                result.value("finish_reason", "") };
         } catch (const json::exception& error) {
             return { result_code::TargetFailed, error.what(), "", false, "" };
         }
--- a/src/app/sidecar/target_adapter.hpp
+++ b/src/app/sidecar/target_adapter.hpp
@@ -17,7 +17,7 @@
 struct target_status {
     bool ready = false;
     std::uint32_t running = 0; ///< requests in progress
-    std::uint32_t waiting = 0; ///< requests queued
+    std::uint32_t queued = 0; ///< requests queued
 };
 
 using dispatch::work_outcome;
--- a/src/buckthornrail/dispatch/order_sequencer_test.cpp
+++ b/src/buckthornrail/dispatch/order_sequencer_test.cpp
@@ -35,7 +35,7 @@
     void offer(fencing_token fence)
     {
         m_sequencer->offer({ fence, "m", std::to_string(fence) }, now);
-        drive();
+        applyEffects();
     }
 
     void restart()
@@ -49,7 +49,7 @@
 
     void run(int steps)
     {
-        for (int at = 0; at < steps; ++at) {
+        for (int round = 0; round < steps; ++round) {
             now += milliseconds(10);
             while (!m_events.empty() && m_events.begin()->first <= now) {
                 const auto action = std::move(m_events.begin()->second);
@@ -57,7 +57,7 @@
                 action();
             }
             m_sequencer->tick(now);
-            drive();
+            applyEffects();
         }
     }
 
@@ -66,7 +66,7 @@
     steady_time now = steady_time {} + std::chrono::hours(1);
 
 private:
-    void drive()
+    void applyEffects()
     {
         while (const auto effect = m_sequencer->nextEffect()) {
             if (std::holds_alternative<pause_work>(*effect))
@@ -98,7 +98,7 @@
             if (incarnation != m_incarnation)
                 return;
             m_sequencer->orderCallEnded(order.fence, !isOld, isOld, now);
-            drive();
+            applyEffects();
         });
     }
 
@@ -157,8 +157,8 @@
     sequencer.orderCallEnded(1, true, false, steady_time {});
     result_code code = result_code::Ok;
     bool resumed = false;
-    for (int at = 0; at < 200; ++at) {
-        const steady_time now = steady_time {} + milliseconds(at * 100);
+    for (int round = 0; round < 200; ++round) {
+        const steady_time now = steady_time {} + milliseconds(round * 100);
         sequencer.tick(now);
         while (const auto effect = sequencer.nextEffect()) {
             if (std::holds_alternative<read_target_state>(*effect))
--- a/src/buckthornrail/dispatch/request_run.cpp
+++ b/src/buckthornrail/dispatch/request_run.cpp
@@ -40,7 +40,7 @@
     finish(m_lastFailure.code == result_code::Ok ? std::move(why) : m_lastFailure);
 }
 
-void request_run::claimAnswered(const claim_result& result, steady_time now)
+void request_run::claimReplyReceived(const claim_result& result, steady_time now)
 {
     if (m_phase != phase::Claiming)
         return;
@@ -55,7 +55,7 @@
         return;
     }
     // Another run holds the key: only its sidecar knows the outcome.
-    m_followsOtherRun = true;
+    m_isAttachedToOtherRun = true;
     m_claimHolder = result.holder;
     m_attempt = result.holder.attempt;
     m_target = { result.holder.instance, result.holder.incarnation };
@@ -127,7 +127,7 @@
     finishIfComplete(now);
 }
 
-void request_run::revokeAnswered(const revoke_reply& reply, steady_time now)
+void request_run::revokeReplyReceived(const revoke_reply& reply, steady_time now)
 {
     if (!isCurrent(reply.attempt) || m_phase != phase::Revoking)
         return;
@@ -140,7 +140,7 @@
     retryAfterPossibleRun(m_lastFailure, now);
 }
 
-void request_run::attachAnswered(const attach_reply& reply, steady_time now)
+void request_run::attachReplyReceived(const attach_reply& reply, steady_time now)
 {
     if (!isCurrent(reply.attempt) || m_phase != phase::Attaching)
         return;
@@ -154,7 +154,7 @@
         m_mayHaveStarted = false;
         m_replaces = m_claimHolder;
         m_claimHolder = {};
-        m_followsOtherRun = false;
+        m_isAttachedToOtherRun = false;
         choose();
         return;
     case attach_outcome::Gone:
@@ -201,7 +201,7 @@
     (void)now;
     if (m_phase == phase::Finished)
         return;
-    if (m_mayHaveStarted && !m_followsOtherRun)
+    if (m_mayHaveStarted && !m_isAttachedToOtherRun)
         m_effects.emplace_back(send_revoke { m_attempt, m_target, true });
     finish({ result_code::Cancelled, "" });
 }
@@ -211,7 +211,7 @@
     if (m_phase == phase::Finished || m_phase == phase::Idle)
         return;
     if (now >= m_request.deadline) {
-        if (m_mayHaveStarted && !m_followsOtherRun)
+        if (m_mayHaveStarted && !m_isAttachedToOtherRun)
             m_effects.emplace_back(send_revoke { m_attempt, m_target, true });
         finish({ result_code::DeadlinePassed, "" });
         return;
@@ -294,7 +294,7 @@
 {
     m_mayHaveStarted = true;
     enterPhase(phase::Offered, now + m_options.acceptTimeout);
-    m_effects.emplace_back(send_offer { m_attempt, m_target, m_deliveredTokens });
+    m_effects.emplace_back(send_offer { m_attempt, m_target, m_tokensDelivered });
 }
 
 void request_run::retryAfterNotRun(const failure& why, steady_time now)
@@ -329,10 +329,10 @@
     m_earlierUnknown = m_earlierUnknown || !m_hasStarted;
     m_mayHaveStarted = false;
     m_hasStarted = false;
-    const bool canRetry = m_request.canResume || !m_deliveredAny;
+    const bool canRetry = m_request.canResume || !m_hasDelivered;
     m_excluded.insert(m_target.instance);
     if (!canRetry || m_attemptNumber >= m_options.maxAttempts) {
-        finish({ m_deliveredAny ? result_code::AnswerIncomplete : why.code, why.reason });
+        finish({ m_hasDelivered ? result_code::AnswerIncomplete : why.code, why.reason });
         return;
     }
     choose(true);
@@ -340,13 +340,13 @@
 
 void request_run::abandonAttempt(const failure& why, steady_time now)
 {
-    if (!m_followsOtherRun)
+    if (!m_isAttachedToOtherRun)
         m_effects.emplace_back(send_revoke { m_attempt, m_target, true });
     if (m_request.canResume && !m_request.isStream) {
         // The tokens received so far are in order and belong to this request: they are delivered, and the next attempt
         // continues after them.
         for (auto& frame : m_bufferedFrames)
-            m_deliveredTokens.push_back(frame.bytes);
+            m_tokensDelivered.push_back(frame.bytes);
         m_effects.emplace_back(deliver_frames { std::exchange(m_bufferedFrames, {}) });
     }
     retryAfterPossibleRun(why, now);
@@ -356,7 +356,7 @@
 {
     const failure why { result_code::AnswerIncomplete, "frame count or digest of the response does not match" };
     m_bufferedFrames.clear();
-    if (m_deliveredAny) {
+    if (m_hasDelivered) {
         finish(why);
         return;
     }
@@ -408,10 +408,10 @@
         std::move(frames.begin(), frames.end(), std::back_inserter(m_bufferedFrames));
         return;
     }
-    m_deliveredAny = true;
+    m_hasDelivered = true;
     for (const auto& frame : frames) {
         if (frame.kind == frame_kind::Data)
-            m_deliveredTokens.push_back(frame.bytes);
+            m_tokensDelivered.push_back(frame.bytes);
     }
     m_effects.emplace_back(deliver_frames { std::move(frames) });
 }
@@ -434,7 +434,7 @@
         || m_phase == phase::Revoking || m_phase == phase::Attaching;
 }
 
-bool request_run::hasFrames() const { return m_deliveredAny || !m_bufferedFrames.empty(); }
+bool request_run::hasFrames() const { return m_hasDelivered || !m_bufferedFrames.empty(); }
 
 steady_time request_run::progressDeadline(steady_time now) const
 {
--- a/src/buckthornrail/dispatch/response.cpp
+++ b/src/buckthornrail/dispatch/response.cpp
@@ -59,10 +59,10 @@
     }
     m_outOfOrder.emplace(frame.sequence, frame);
     std::vector<response_frame> ready;
-    for (auto at = m_outOfOrder.find(m_next); at != m_outOfOrder.end(); at = m_outOfOrder.find(m_next)) {
-        m_digest.add(at->second);
-        ready.push_back(std::move(at->second));
-        m_outOfOrder.erase(at);
+    for (auto next = m_outOfOrder.find(m_next); next != m_outOfOrder.end(); next = m_outOfOrder.find(m_next)) {
+        m_digest.add(next->second);
+        ready.push_back(std::move(next->second));
+        m_outOfOrder.erase(next);
         ++m_next;
     }
     return ready;
--- a/src/buckthornrail/dispatch/response_test.cpp
+++ b/src/buckthornrail/dispatch/response_test.cpp
@@ -52,23 +52,24 @@
         const bool loses = *rc::gen::arbitrary<bool>() && !own.empty();
         const auto lost = *rc::gen::inRange<std::uint32_t>(0, static_cast<std::uint32_t>(own.size()) + 1);
         response_assembler assembler({ "mine", 1 });
-        std::vector<std::string> got;
-        const auto endAt = *rc::gen::inRange<std::size_t>(0, wire.size() + 1);
-        for (std::size_t at = 0; at <= wire.size(); ++at) {
-            if (at == endAt) {
+        std::vector<std::string> delivered;
+        const auto endIndex = *rc::gen::inRange<std::size_t>(0, wire.size() + 1);
+        for (std::size_t index = 0; index <= wire.size(); ++index) {
+            if (index == endIndex) {
                 assembler.end(other.end);
                 assembler.end(mine.end);
             }
-            if (at == wire.size() || (loses && wire[at].attempt.request == "mine" && wire[at].sequence == lost))
+            if (index == wire.size()
+                || (loses && wire[index].attempt.request == "mine" && wire[index].sequence == lost))
                 continue;
-            for (const auto& frame : assembler.add(wire[at]))
-                got.push_back(frame.bytes);
+            for (const auto& frame : assembler.add(wire[index]))
+                delivered.push_back(frame.bytes);
         }
         const bool isComplete = !loses || lost >= own.size();
         RC_ASSERT((assembler.state() == assembly_state::Complete) == isComplete);
         if (isComplete)
-            RC_ASSERT(got == own);
-        RC_ASSERT(std::equal(got.begin(), got.end(), own.begin()));
+            RC_ASSERT(delivered == own);
+        RC_ASSERT(std::equal(delivered.begin(), delivered.end(), own.begin()));
     });
 }
 
--- a/src/buckthornrail/dispatch/sidecar_core.cpp
+++ b/src/buckthornrail/dispatch/sidecar_core.cpp
@@ -13,10 +13,10 @@
 {
 }
 
-void sidecar_core::offer(const attempt_offer& offer, channel_number channel, steady_time now)
+void sidecar_core::offer(const attempt_offer& offer, link_number linkNumber, steady_time now)
 {
     const bool isKnown = m_gate.stateOf(offer.attempt).has_value();
-    const auto effects = m_gate.offer(offer, channel, now);
+    const auto effects = m_gate.offer(offer, linkNumber, now);
     const auto state = m_gate.stateOf(offer.attempt);
     const bool isOpen = state == gate_state::Queued || state == gate_state::Started;
     if (!isKnown && isOpen) {
@@ -25,24 +25,24 @@
         work.deadline = now + milliseconds(offer.finishWithinMs);
         m_work.emplace(offer.attempt, std::move(work));
     }
-    carryOut(effects);
+    applyEffects(effects);
 }
 
-void sidecar_core::revoke(const attempt_revoke& revoke, channel_number channel, steady_time now)
+void sidecar_core::revoke(const attempt_revoke& revoke, link_number linkNumber, steady_time now)
 {
     std::vector<gate_effect> effects;
     const auto outcome = m_gate.revoke(revoke, now, effects);
     if (outcome == revoke_outcome::NotStarted) {
         sendToAttached(revoke.attempt, attempt_refused { revoke.attempt, result_code::Revoked, "" });
-        forget(revoke.attempt);
+        removeWork(revoke.attempt);
     }
-    send(channel, revoke_reply { revoke.attempt, outcome });
-    carryOut(effects);
+    send(linkNumber, revoke_reply { revoke.attempt, outcome });
+    applyEffects(effects);
 }
 
-void sidecar_core::attach(const response_attach& attach, channel_number channel, steady_time now)
+void sidecar_core::attach(const response_attach& attach, link_number linkNumber, steady_time now)
 {
-    const auto reply = [&](attach_outcome outcome) { send(channel, attach_reply { attach.attempt, outcome }); };
+    const auto reply = [&](attach_outcome outcome) { send(linkNumber, attach_reply { attach.attempt, outcome }); };
     if (attach.incarnation != m_gate.options().incarnation) {
         reply(attach_outcome::Unknown);
         return;
@@ -56,7 +56,7 @@
         return;
     }
     if (state == gate_state::Queued) {
-        m_attachedChannels[attach.attempt].insert(channel);
+        m_attachedLinks[attach.attempt].insert(linkNumber);
         reply(attach_outcome::Attached);
         return;
     }
@@ -67,23 +67,23 @@
     }
     reply(attach_outcome::Attached);
     for (const auto& frame : response->frames)
-        send(channel, frame);
+        send(linkNumber, frame);
     if (response->end)
-        send(channel, *response->end);
+        send(linkNumber, *response->end);
     else
-        m_attachedChannels[attach.attempt].insert(channel);
+        m_attachedLinks[attach.attempt].insert(linkNumber);
 }
 
-void sidecar_core::channelLost(channel_number channel, steady_time now)
+void sidecar_core::linkLost(link_number linkNumber, steady_time now)
 {
-    for (auto& [attempt, channels] : m_attachedChannels)
-        channels.erase(channel);
-    carryOut(m_gate.channelLost(channel, now));
+    for (auto& [attempt, linkNumbers] : m_attachedLinks)
+        linkNumbers.erase(linkNumber);
+    applyEffects(m_gate.linkLost(linkNumber, now));
 }
 
 void sidecar_core::tick(steady_time now)
 {
-    carryOut(m_gate.tick(now));
+    applyEffects(m_gate.tick(now));
     for (const auto& attempt : m_gate.takeExpired())
         m_responses.drop(attempt);
 }
@@ -98,9 +98,9 @@
     work.digest.add(frame);
     if (work.offer.nonIdempotent)
         m_responses.add(frame);
-    const auto channel = m_gate.channelOf(frame.attempt);
+    const auto linkNumber = m_gate.linkNumberOf(frame.attempt);
     sendToAttached(frame.attempt, frame);
-    send(channel, std::move(frame));
+    send(linkNumber, std::move(frame));
 }
 
 void sidecar_core::ended(const attempt_id& attempt, const work_outcome& outcome, steady_time now)
@@ -108,8 +108,8 @@
     const auto found = m_work.find(attempt);
     if (found == m_work.end())
         return;
-    if (outcome.startFailed) {
-        startFailed(attempt, { outcome.code, outcome.reason }, now);
+    if (outcome.notStarted) {
+        notStarted(attempt, { outcome.code, outcome.reason }, now);
         return;
     }
     const auto& work = found->second;
@@ -117,35 +117,35 @@
         outcome.finishReason };
     if (work.offer.nonIdempotent)
         m_responses.end(end);
-    const auto channel = m_gate.channelOf(attempt);
-    send(channel, end);
+    const auto linkNumber = m_gate.linkNumberOf(attempt);
+    send(linkNumber, end);
     sendToAttached(attempt, end);
-    forget(attempt);
+    removeWork(attempt);
     const auto effects = m_gate.finished(attempt, now);
-    reportLoad(channel);
-    carryOut(effects);
+    reportLoad(linkNumber);
+    applyEffects(effects);
 }
 
 void sidecar_core::stageOpened(const attempt_id& attempt)
 {
-    send(m_gate.channelOf(attempt), attempt_started { attempt });
+    send(m_gate.linkNumberOf(attempt), attempt_started { attempt });
 }
 
 void sidecar_core::stageClosed(const attempt_id& attempt, steady_time now)
 {
-    forget(attempt);
-    carryOut(m_gate.finished(attempt, now));
+    removeWork(attempt);
+    applyEffects(m_gate.finished(attempt, now));
 }
 
-void sidecar_core::startFailed(const attempt_id& attempt, const failure& why, steady_time now)
+void sidecar_core::notStarted(const attempt_id& attempt, const failure& why, steady_time now)
 {
     m_responses.drop(attempt);
-    carryOut(m_gate.startFailed(attempt, why, now));
+    applyEffects(m_gate.notStarted(attempt, why, now));
 }
 
-void sidecar_core::reportLoad(channel_number channel)
+void sidecar_core::reportLoad(link_number linkNumber)
 {
-    send(channel,
+    send(linkNumber,
         load_report { m_self, static_cast<std::uint32_t>(m_gate.running()), static_cast<std::uint32_t>(m_gate.queued()),
             static_cast<std::uint32_t>(m_gate.options().slots) });
 }
@@ -165,17 +165,17 @@
     return found == m_work.end() ? nullptr : &found->second.offer.work;
 }
 
-void sidecar_core::carryOut(const std::vector<gate_effect>& effects)
+void sidecar_core::applyEffects(const std::vector<gate_effect>& effects)
 {
     for (const auto& effect : effects) {
         if (const auto* accept = std::get_if<gate_accept>(&effect)) {
-            send(accept->channel, attempt_accepted { accept->attempt });
+            send(accept->linkNumber, attempt_accepted { accept->attempt });
         } else if (const auto* refuse = std::get_if<gate_refuse>(&effect)) {
             const attempt_refused refused { refuse->attempt, refuse->why.code, refuse->why.reason };
-            send(refuse->channel, refused);
-            reportLoad(refuse->channel);
+            send(refuse->linkNumber, refused);
+            reportLoad(refuse->linkNumber);
             sendToAttached(refuse->attempt, refused);
-            forget(refuse->attempt);
+            removeWork(refuse->attempt);
         } else if (const auto* started = std::get_if<gate_start>(&effect)) {
             start(started->attempt);
         } else if (const auto* cancel = std::get_if<gate_cancel>(&effect)) {
@@ -196,30 +196,30 @@
         m_responses.begin(attempt);
     m_effects.emplace_back(start_work { attempt, work.offer.work, work.deadline });
     if (work.offer.work.kind != work_kind::Stage) {
-        send(m_gate.channelOf(attempt), attempt_started { attempt });
+        send(m_gate.linkNumberOf(attempt), attempt_started { attempt });
         sendToAttached(attempt, attempt_started { attempt });
     }
 }
 
-void sidecar_core::send(channel_number channel, sidecar_message message)
+void sidecar_core::send(link_number linkNumber, sidecar_message message)
 {
-    if (channel != 0)
-        m_effects.emplace_back(send_to_channel { channel, std::move(message) });
+    if (linkNumber != 0)
+        m_effects.emplace_back(send_to_link { linkNumber, std::move(message) });
 }
 
 void sidecar_core::sendToAttached(const attempt_id& attempt, const sidecar_message& message)
 {
-    const auto found = m_attachedChannels.find(attempt);
-    if (found == m_attachedChannels.end())
+    const auto found = m_attachedLinks.find(attempt);
+    if (found == m_attachedLinks.end())
         return;
-    for (const auto channel : found->second)
-        send(channel, message);
+    for (const auto linkNumber : found->second)
+        send(linkNumber, message);
 }
 
-void sidecar_core::forget(const attempt_id& attempt)
+void sidecar_core::removeWork(const attempt_id& attempt)
 {
     m_work.erase(attempt);
-    m_attachedChannels.erase(attempt);
+    m_attachedLinks.erase(attempt);
 }
 
 } // namespace buckthornrail::dispatch
--- a/src/buckthornrail/dispatch/target_gate.cpp
+++ b/src/buckthornrail/dispatch/target_gate.cpp
@@ -12,23 +12,24 @@
 {
 }
 
-std::vector<gate_effect> target_gate::offer(const attempt_offer& offer, channel_number channel, steady_time now)
+std::vector<gate_effect> target_gate::offer(const attempt_offer& offer, link_number linkNumber, steady_time now)
 {
     std::vector<gate_effect> effects;
     const auto known = m_records.find(offer.attempt);
     if (known != m_records.end()) {
         // A repeated offer never starts a second time. The first reply stands; only a refusal is repeated.
         if (known->second.state == gate_state::Refused)
-            effects.emplace_back(gate_refuse { offer.attempt, channel, { result_code::Revoked, "already refused" } });
+            effects.emplace_back(
+                gate_refuse { offer.attempt, linkNumber, { result_code::Revoked, "already refused" } });
         return effects;
     }
     if (offer.incarnation != m_options.incarnation) {
         // Needs no record: an attempt for another incarnation never starts here.
-        effects.emplace_back(gate_refuse { offer.attempt, channel, { result_code::WrongIncarnation, "" } });
+        effects.emplace_back(gate_refuse { offer.attempt, linkNumber, { result_code::WrongIncarnation, "" } });
         return effects;
     }
     attempt_record record;
-    record.channel = channel;
+    record.linkNumber = linkNumber;
     record.nonIdempotent = offer.nonIdempotent;
     record.workspace = offer.workspace;
     record.weight = std::max<std::uint32_t>(offer.weight, 1);
@@ -49,11 +50,11 @@
     auto& inserted = m_records.emplace(offer.attempt, std::move(record)).first->second;
     if (refusal) {
         setFinalState(offer.attempt, inserted, gate_state::Refused, now);
-        effects.emplace_back(gate_refuse { offer.attempt, channel, *refusal });
+        effects.emplace_back(gate_refuse { offer.attempt, linkNumber, *refusal });
         return effects;
     }
     m_queue.push_back(offer.attempt);
-    effects.emplace_back(gate_accept { offer.attempt, channel });
+    effects.emplace_back(gate_accept { offer.attempt, linkNumber });
     startQueued(now, effects);
     return effects;
 }
@@ -95,7 +96,7 @@
     return effects;
 }
 
-std::vector<gate_effect> target_gate::startFailed(const attempt_id& attempt, failure why, steady_time now)
+std::vector<gate_effect> target_gate::notStarted(const attempt_id& attempt, failure why, steady_time now)
 {
     std::vector<gate_effect> effects;
     const auto found = m_records.find(attempt);
@@ -107,22 +108,22 @@
     return effects;
 }
 
-std::vector<gate_effect> target_gate::channelLost(channel_number channel, steady_time now)
+std::vector<gate_effect> target_gate::linkLost(link_number linkNumber, steady_time now)
 {
     std::vector<gate_effect> effects;
-    std::vector<attempt_id> waiting;
+    std::vector<attempt_id> queuedAttempts;
     for (const auto& attempt : m_queue) {
-        if (m_records.at(attempt).channel == channel)
-            waiting.push_back(attempt);
+        if (m_records.at(attempt).linkNumber == linkNumber)
+            queuedAttempts.push_back(attempt);
     }
     for (const auto& attempt : m_started) {
         auto& record = m_records.at(attempt);
-        if (record.channel != channel || record.nonIdempotent || record.cancelled)
+        if (record.linkNumber != linkNumber || record.nonIdempotent || record.cancelled)
             continue;
         record.cancelled = true;
         effects.emplace_back(gate_cancel { attempt });
     }
-    for (const auto& attempt : waiting)
+    for (const auto& attempt : queuedAttempts)
         refuse(attempt, { result_code::Cancelled, "the link that the offer came over has closed" }, now, effects);
     return effects;
 }
@@ -171,10 +172,10 @@
     return found->second.state;
 }
 
-channel_number target_gate::channelOf(const attempt_id& attempt) const
+link_number target_gate::linkNumberOf(const attempt_id& attempt) const
 {
     const auto found = m_records.find(attempt);
-    return found == m_records.end() ? 0 : found->second.channel;
+    return found == m_records.end() ? 0 : found->second.linkNumber;
 }
 
 std::optional<failure> target_gate::refusalFor(const attempt_offer& offer, steady_time now) const
@@ -203,48 +204,48 @@
 {
     // By priority, then by normalized service of the workspace, then by order of arrival.
     auto best = m_queue.end();
-    for (auto at = m_queue.begin(); at != m_queue.end(); ++at) {
+    for (auto it = m_queue.begin(); it != m_queue.end(); ++it) {
         if (best == m_queue.end()) {
-            best = at;
+            best = it;
             continue;
         }
-        const auto& candidate = m_records.at(*at);
+        const auto& candidate = m_records.at(*it);
         const auto& leading = m_records.at(*best);
         if (candidate.priority != leading.priority) {
             if (candidate.priority > leading.priority)
-                best = at;
+                best = it;
             continue;
         }
         if (normalizedService(candidate) < normalizedService(leading))
-            best = at;
+            best = it;
     }
     return best;
 }
 
-std::deque<attempt_id>::iterator target_gate::findEvictionVictim(const attempt_record& newcomer)
+std::deque<attempt_id>::iterator target_gate::findEvictionVictim(const attempt_record& newRecord)
 {
-    std::map<std::string, double> waiting; // by workspace: queued attempts divided by its weight
+    std::map<std::string, double> queuedByWorkspace; // by workspace: queued attempts divided by its weight
     for (const auto& attempt : m_queue) {
         const auto& record = m_records.at(attempt);
-        waiting[record.workspace] += 1.0 / record.weight;
+        queuedByWorkspace[record.workspace] += 1.0 / record.weight;
     }
-    const double own = waiting[newcomer.workspace] + 1.0 / newcomer.weight;
+    const double ownQueued = queuedByWorkspace[newRecord.workspace] + 1.0 / newRecord.weight;
     auto victim = m_queue.end();
-    for (auto at = m_queue.begin(); at != m_queue.end(); ++at) {
-        const auto& record = m_records.at(*at);
-        const bool isLower = record.priority < newcomer.priority;
-        const bool isOver = record.priority == newcomer.priority && waiting[record.workspace] > own;
+    for (auto it = m_queue.begin(); it != m_queue.end(); ++it) {
+        const auto& record = m_records.at(*it);
+        const bool isLower = record.priority < newRecord.priority;
+        const bool isOver = record.priority == newRecord.priority && queuedByWorkspace[record.workspace] > ownQueued;
         if (!isLower && !isOver)
             continue;
         if (victim == m_queue.end()) {
-            victim = at;
+            victim = it;
             continue;
         }
         const auto& worst = m_records.at(*victim);
-        const auto key = std::pair { record.priority, -waiting[record.workspace] };
-        const auto worstKey = std::pair { worst.priority, -waiting[worst.workspace] };
+        const auto key = std::pair { record.priority, -queuedByWorkspace[record.workspace] };
+        const auto worstKey = std::pair { worst.priority, -queuedByWorkspace[worst.workspace] };
         if (key <= worstKey) // the last to arrive among equals
-            victim = at;
+            victim = it;
     }
     return victim;
 }
@@ -252,20 +253,20 @@
 void target_gate::startQueued(steady_time now, std::vector<gate_effect>& effects)
 {
     while (running() < m_options.slots && !m_queue.empty()) {
-        const auto at = nextToStart();
-        const attempt_id attempt = *at;
+        const auto next = nextToStart();
+        const attempt_id attempt = *next;
         auto& record = m_records.at(attempt);
         if (now >= record.startDeadline) {
             refuse(attempt, { result_code::StartDeadlinePassed, "" }, now, effects);
             continue;
         }
-        m_queue.erase(at);
+        m_queue.erase(next);
         const double served = normalizedService(record);
         m_minNormalizedService = std::max(m_minNormalizedService, served - 1.0);
         m_normalizedService[record.workspace] = served + 1.0 / record.weight;
         record.state = gate_state::Started;
         m_started.insert(attempt);
-        effects.emplace_back(gate_start { attempt, record.channel });
+        effects.emplace_back(gate_start { attempt, record.linkNumber });
     }
     if (m_queue.empty() && m_started.empty()) {
         m_normalizedService.clear();
@@ -276,7 +277,7 @@
 void target_gate::refuse(const attempt_id& attempt, failure why, steady_time now, std::vector<gate_effect>& effects)
 {
     auto& record = m_records.at(attempt);
-    effects.emplace_back(gate_refuse { attempt, record.channel, std::move(why) });
+    effects.emplace_back(gate_refuse { attempt, record.linkNumber, std::move(why) });
     removeFromQueue(attempt);
     setFinalState(attempt, record, gate_state::Refused, now);
 }
--- a/src/buckthornrail/dispatch/target_gate_test.cpp
+++ b/src/buckthornrail/dispatch/target_gate_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr incarnation_number self = 9;
-constexpr channel_number entryChannel = 1;
+constexpr link_number entryLink = 1;
 const steady_time begin = steady_time {} + std::chrono::hours(1);
 
 target_gate readyGate(std::size_t slots, std::size_t queue)
@@ -46,8 +46,8 @@
 {
     std::vector<std::string> requests;
     for (const auto& effect : effects) {
-        if (const auto* one = std::get_if<Effect>(&effect))
-            requests.push_back(one->attempt.request);
+        if (const auto* matching = std::get_if<Effect>(&effect))
+            requests.push_back(matching->attempt.request);
     }
     return requests;
 }
@@ -66,11 +66,11 @@
 TEST_CASE("gate: an attempt starts when a slot is free, and only once", "[gate]")
 {
     auto gate = readyGate(1, 4);
-    CHECK(requestsOf<gate_start>(gate.offer(offerOf("a"), entryChannel, begin)) == std::vector<std::string> { "a" });
-    CHECK(gate.offer(offerOf("a"), entryChannel, begin).empty());
-    CHECK(requestsOf<gate_start>(gate.offer(offerOf("b"), entryChannel, begin)).empty());
+    CHECK(requestsOf<gate_start>(gate.offer(offerOf("a"), entryLink, begin)) == std::vector<std::string> { "a" });
+    CHECK(gate.offer(offerOf("a"), entryLink, begin).empty());
+    CHECK(requestsOf<gate_start>(gate.offer(offerOf("b"), entryLink, begin)).empty());
     CHECK(requestsOf<gate_start>(gate.finished({ "a", 1 }, begin)) == std::vector<std::string> { "b" });
-    CHECK(gate.offer(offerOf("a"), entryChannel, begin).empty());
+    CHECK(gate.offer(offerOf("a"), entryLink, begin).empty());
     CHECK(gate.finished({ "a", 1 }, begin).empty());
 }
 
@@ -79,7 +79,7 @@
     auto gate = readyGate(1, 4);
     std::vector<gate_effect> effects;
     CHECK(gate.revoke({ { "a", 1 }, self, false }, begin, effects) == revoke_outcome::NotStarted);
-    CHECK(refusalOf(gate.offer(offerOf("a"), entryChannel, begin)) == result_code::Revoked);
+    CHECK(refusalOf(gate.offer(offerOf("a"), entryLink, begin)) == result_code::Revoked);
     CHECK(gate.running() == 0);
 }
 
@@ -87,8 +87,8 @@
 {
     auto gate = readyGate(1, 4);
     std::vector<gate_effect> effects;
-    gate.offer(offerOf("a"), entryChannel, begin);
-    gate.offer(offerOf("b"), entryChannel, begin);
+    gate.offer(offerOf("a"), entryLink, begin);
+    gate.offer(offerOf("b"), entryLink, begin);
     CHECK(gate.revoke({ { "b", 1 }, self, false }, begin, effects) == revoke_outcome::NotStarted);
     CHECK(gate.revoke({ { "a", 1 }, self, false }, begin, effects) == revoke_outcome::Started);
     CHECK(gate.revoke({ { "a", 1 }, self + 1, false }, begin, effects) == revoke_outcome::Unknown);
@@ -102,11 +102,11 @@
     std::vector<gate_effect> effects;
     auto booking = offerOf("booking");
     booking.nonIdempotent = true;
-    gate.offer(offerOf("a"), entryChannel, begin);
-    gate.offer(booking, entryChannel, begin);
+    gate.offer(offerOf("a"), entryLink, begin);
+    gate.offer(booking, entryLink, begin);
     CHECK(gate.revoke({ { "booking", 1 }, self, true }, begin, effects) == revoke_outcome::Started);
     CHECK(effects.empty());
-    CHECK(requestsOf<gate_cancel>(gate.channelLost(entryChannel, begin)) == std::vector<std::string> { "a" });
+    CHECK(requestsOf<gate_cancel>(gate.linkLost(entryLink, begin)) == std::vector<std::string> { "a" });
     CHECK(gate.revoke({ { "a", 1 }, self, true }, begin, effects) == revoke_outcome::Started);
     CHECK(effects.empty()); // already cancelled
 }
@@ -116,26 +116,26 @@
     auto gate = readyGate(1, 1);
     auto offer = offerOf("other-incarnation");
     offer.incarnation = self + 1;
-    CHECK(refusalOf(gate.offer(offer, entryChannel, begin)) == result_code::WrongIncarnation);
+    CHECK(refusalOf(gate.offer(offer, entryLink, begin)) == result_code::WrongIncarnation);
     gate.renewConfiguration(2, begin + std::chrono::hours(1));
-    CHECK(refusalOf(gate.offer(offerOf("old"), entryChannel, begin)) == result_code::StaleConfiguration);
+    CHECK(refusalOf(gate.offer(offerOf("old"), entryLink, begin)) == result_code::StaleConfiguration);
     offer = offerOf("late");
     offer.configuration = 2;
     offer.startWithinMs = 0;
-    CHECK(refusalOf(gate.offer(offer, entryChannel, begin)) == result_code::StartDeadlinePassed);
+    CHECK(refusalOf(gate.offer(offer, entryLink, begin)) == result_code::StartDeadlinePassed);
     gate.setReady(false);
     offer = offerOf("unready");
     offer.configuration = 2;
-    CHECK(refusalOf(gate.offer(offer, entryChannel, begin)) == result_code::TargetNotReady);
+    CHECK(refusalOf(gate.offer(offer, entryLink, begin)) == result_code::TargetNotReady);
     gate.setReady(true);
     gate.setDraining(true);
     offer = offerOf("draining");
     offer.configuration = 2;
-    CHECK(refusalOf(gate.offer(offer, entryChannel, begin)) == result_code::Draining);
+    CHECK(refusalOf(gate.offer(offer, entryLink, begin)) == result_code::Draining);
     gate.setDraining(false);
     offer = offerOf("no-lease");
     offer.configuration = 2;
-    CHECK(refusalOf(gate.offer(offer, entryChannel, begin + std::chrono::hours(2))) == result_code::LeaseExpired);
+    CHECK(refusalOf(gate.offer(offer, entryLink, begin + std::chrono::hours(2))) == result_code::LeaseExpired);
     CHECK(gate.running() == 0);
 }
 
@@ -150,8 +150,8 @@
 TEST_CASE("gate: queued work is refused at its start deadline, running work cancelled at its finish deadline", "[gate]")
 {
     auto gate = readyGate(1, 4);
-    gate.offer(offerOf("a"), entryChannel, begin);
-    gate.offer(offerOf("b"), entryChannel, begin);
+    gate.offer(offerOf("a"), entryLink, begin);
+    gate.offer(offerOf("b"), entryLink, begin);
     CHECK(refusalOf(gate.tick(begin + milliseconds(1001))) == result_code::StartDeadlinePassed);
     CHECK(requestsOf<gate_cancel>(gate.tick(begin + milliseconds(10001))) == std::vector<std::string> { "a" });
 }
@@ -160,8 +160,8 @@
 {
     auto gate = readyGate(1, 4);
     std::vector<gate_effect> effects;
-    gate.offer(offerOf("a"), entryChannel, begin);
-    CHECK(refusalOf(gate.startFailed({ "a", 1 }, { result_code::TargetNotReady, "" }, begin))
+    gate.offer(offerOf("a"), entryLink, begin);
+    CHECK(refusalOf(gate.notStarted({ "a", 1 }, { result_code::TargetNotReady, "" }, begin))
         == result_code::TargetNotReady);
     CHECK(gate.revoke({ { "a", 1 }, self, false }, begin, effects) == revoke_outcome::NotStarted);
     CHECK(gate.running() == 0);
@@ -172,8 +172,8 @@
     auto gate = readyGate(2, 4);
     auto booking = offerOf("booking");
     booking.nonIdempotent = true;
-    gate.offer(offerOf("a"), entryChannel, begin);
-    gate.offer(booking, entryChannel, begin);
+    gate.offer(offerOf("a"), entryLink, begin);
+    gate.offer(booking, entryLink, begin);
     gate.finished({ "a", 1 }, begin);
     gate.finished({ "booking", 1 }, begin);
     gate.tick(begin + gate.options().recordRetention);
@@ -187,14 +187,14 @@
 TEST_CASE("gate: a full queue evicts work in favour of work with precedence", "[gate]")
 {
     auto gate = readyGate(1, 2);
-    gate.offer(offerOf("running", "flood"), entryChannel, begin);
-    gate.offer(offerOf("f1", "flood"), entryChannel, begin);
-    gate.offer(offerOf("f2", "flood"), entryChannel, begin);
-    CHECK(refusalOf(gate.offer(offerOf("f3", "flood"), entryChannel, begin)) == result_code::QueueFull);
-    const auto effects = gate.offer(offerOf("small", "other"), entryChannel, begin);
+    gate.offer(offerOf("running", "flood"), entryLink, begin);
+    gate.offer(offerOf("f1", "flood"), entryLink, begin);
+    gate.offer(offerOf("f2", "flood"), entryLink, begin);
+    CHECK(refusalOf(gate.offer(offerOf("f3", "flood"), entryLink, begin)) == result_code::QueueFull);
+    const auto effects = gate.offer(offerOf("small", "other"), entryLink, begin);
     CHECK(requestsOf<gate_refuse>(effects) == std::vector<std::string> { "f2" });
     CHECK(requestsOf<gate_accept>(effects) == std::vector<std::string> { "small" });
-    const auto high = gate.offer(offerOf("urgent", "flood", 1, request_priority::High), entryChannel, begin);
+    const auto high = gate.offer(offerOf("urgent", "flood", 1, request_priority::High), entryLink, begin);
     CHECK(requestsOf<gate_accept>(high) == std::vector<std::string> { "urgent" });
     CHECK(requestsOf<gate_start>(gate.finished({ "running", 1 }, begin)) == std::vector<std::string> { "urgent" });
 }
@@ -205,10 +205,10 @@
     std::map<std::string, int> starts;
     int number = 0;
     const auto refill = [&](const std::string& workspace, std::uint32_t weight) {
-        return gate.offer(offerOf(std::to_string(number++) + workspace, workspace, weight), entryChannel, begin);
+        return gate.offer(offerOf(std::to_string(number++) + workspace, workspace, weight), entryLink, begin);
     };
     std::vector<gate_effect> effects = refill("a", 3);
-    for (int at = 0; at < 8; ++at) {
+    for (int round = 0; round < 8; ++round) {
         refill("a", 3);
         refill("b", 1);
     }
@@ -231,16 +231,16 @@
         auto gate = readyGate(2, 2);
         steady_time now = begin;
         std::set<attempt_id> started;
-        std::set<attempt_id> calledNotStarted;
+        std::set<attempt_id> reportedNotStarted;
         const auto check = [&](const std::vector<gate_effect>& effects) {
             for (const auto& effect : effects) {
                 if (const auto* start = std::get_if<gate_start>(&effect)) {
                     RC_ASSERT(started.insert(start->attempt).second);
-                    RC_ASSERT(!calledNotStarted.contains(start->attempt));
+                    RC_ASSERT(!reportedNotStarted.contains(start->attempt));
                 }
                 if (const auto* refused = std::get_if<gate_refuse>(&effect)) {
                     RC_ASSERT(!started.contains(refused->attempt));
-                    calledNotStarted.insert(refused->attempt);
+                    reportedNotStarted.insert(refused->attempt);
                 }
             }
             RC_ASSERT(gate.running() <= 2U);
@@ -259,7 +259,7 @@
             case 2:
                 if (gate.revoke({ attempt, self, true }, now, effects) == revoke_outcome::NotStarted) {
                     RC_ASSERT(!started.contains(attempt));
-                    calledNotStarted.insert(attempt);
+                    reportedNotStarted.insert(attempt);
                 } else {
                     RC_ASSERT(started.contains(attempt));
                 }
@@ -268,7 +268,7 @@
                 effects = gate.finished(attempt, now);
                 break;
             case 4:
-                effects = gate.channelLost(step % 2 + 1, now);
+                effects = gate.linkLost(step % 2 + 1, now);
                 break;
             case 5:
                 now += milliseconds(step / 56 * 20);
--- a/src/buckthornrail/execution/chain.cpp
+++ b/src/buckthornrail/execution/chain.cpp
@@ -73,12 +73,12 @@
         best[candidate->stage.endLayer] = { cost, candidate->stage.firstLayer, candidate };
     }
     std::vector<chain_stage> chain;
-    auto at = best.find(layerCount);
-    if (at == best.end() || layerCount == 0)
+    auto boundary = best.find(layerCount);
+    if (boundary == best.end() || layerCount == 0)
         return tl::make_unexpected(failure { result_code::NoTarget, "the ready targets don't cover all layers" });
-    while (at->second.last != nullptr) {
-        chain.push_back(at->second.last->stage);
-        at = best.find(at->second.previousEnd);
+    while (boundary->second.last != nullptr) {
+        chain.push_back(boundary->second.last->stage);
+        boundary = best.find(boundary->second.previousEnd);
     }
     std::reverse(chain.begin(), chain.end());
     return chain;
--- a/src/buckthornrail/execution/chain_faults_test.cpp
+++ b/src/buckthornrail/execution/chain_faults_test.cpp
@@ -23,24 +23,24 @@
 constexpr std::uint32_t layerCount = 6;
 
 /// Fault that is injected when message number `faultStep` is sent.
-enum class chain_fault { None, Lose, Repeat, Delay, KillStage, FreezeStage, StepFails, CutFromEntry };
+enum class chain_fault { None, Drop, Duplicate, Delay, KillStage, PauseStage, StepFails, CutFromEntry };
 
-constexpr std::array allFaults { chain_fault::Lose, chain_fault::Repeat, chain_fault::Delay, chain_fault::KillStage,
-    chain_fault::FreezeStage, chain_fault::StepFails, chain_fault::CutFromEntry };
+constexpr std::array allFaults { chain_fault::Drop, chain_fault::Duplicate, chain_fault::Delay, chain_fault::KillStage,
+    chain_fault::PauseStage, chain_fault::StepFails, chain_fault::CutFromEntry };
 
 /// Simulates an entry and two sidecars for each of several layer ranges, in virtual time.
-class chain_world {
+class chain_simulation {
 public:
-    chain_world(const std::vector<std::uint32_t>& ends, std::uint64_t seed)
+    chain_simulation(const std::vector<std::uint32_t>& ends, std::uint64_t seed)
         : m_random(seed)
         , m_now(steady_time {} + std::chrono::hours(1))
     {
         std::uint32_t first = 0;
         for (const auto end : ends) {
             for (const char* copy : { "a", "b" }) {
-                node one;
-                one.stage = { copy + std::to_string(first), "", 1, "v", first, end };
-                m_nodes.emplace(one.stage.instance, std::move(one));
+                sidecar_node sidecar;
+                sidecar.stage = { copy + std::to_string(first), "", 1, "v", first, end };
+                m_sidecars.emplace(sidecar.stage.instance, std::move(sidecar));
             }
             first = end;
         }
@@ -60,7 +60,7 @@
         m_record.request = "r1";
         m_record.expected = responseTo("prompt", tokens);
         m_run->start(m_now);
-        drive();
+        applyEffects();
         const steady_time end = m_now + std::chrono::seconds(70);
         while (m_now < end && !m_record.hasResponse) {
             m_now += milliseconds(10);
@@ -70,7 +70,7 @@
                 action();
             }
             m_run->tick(m_now);
-            drive();
+            applyEffects();
         }
         return m_record;
     }
@@ -80,17 +80,17 @@
     [[nodiscard]] std::vector<std::string> instances() const
     {
         std::vector<std::string> names;
-        for (const auto& [name, one] : m_nodes)
+        for (const auto& [name, sidecar] : m_sidecars)
             names.push_back(name);
         return names;
     }
 
 private:
-    struct node {
+    struct sidecar_node {
         chain_stage stage;
         stage_guard guard;
         bool dead = false;
-        bool frozen = false;
+        bool paused = false;
         bool cut = false;
         bool failsNext = false;
         std::string text; ///< stage 0: its input so far in this generation
@@ -104,59 +104,59 @@
         const chain_fault active = number == faultStep ? fault : chain_fault::None;
         if (active >= chain_fault::KillStage)
             injectFault(active);
-        const auto usable = [this](const std::string& name) { return name.empty() || !m_nodes.at(name).dead; };
+        const auto usable = [this](const std::string& name) { return name.empty() || !m_sidecars.at(name).dead; };
         const auto isCut = [this](const std::string& name, const std::string& other) {
-            return !name.empty() && other.empty() && m_nodes.at(name).cut;
+            return !name.empty() && other.empty() && m_sidecars.at(name).cut;
         };
-        if (active == chain_fault::Lose || !usable(from) || isCut(from, to) || isCut(to, from))
+        if (active == chain_fault::Drop || !usable(from) || isCut(from, to) || isCut(to, from))
             return;
         const auto arrive = [this, to, deliver] {
             if (to.empty()) {
                 deliver();
                 return;
             }
-            auto& receiver = m_nodes.at(to);
+            auto& receiver = m_sidecars.at(to);
             if (receiver.dead)
                 return;
-            if (receiver.frozen) {
+            if (receiver.paused) {
                 m_events.emplace(m_now + std::chrono::seconds(8), deliver); // resumes after the entry's timeouts
                 return;
             }
             deliver();
         };
         m_events.emplace(m_now + milliseconds(active == chain_fault::Delay ? 6000 : m_random() % 10 + 1), arrive);
-        if (active == chain_fault::Repeat)
+        if (active == chain_fault::Duplicate)
             m_events.emplace(m_now + milliseconds(m_random() % 500), arrive);
     }
 
     void injectFault(chain_fault kind)
     {
-        auto& one = m_nodes.at(victim);
-        one.dead = kind == chain_fault::KillStage;
-        one.frozen = kind == chain_fault::FreezeStage;
-        one.failsNext = kind == chain_fault::StepFails;
-        one.cut = kind == chain_fault::CutFromEntry;
-        if (one.dead) {
+        auto& sidecar = m_sidecars.at(victim);
+        sidecar.dead = kind == chain_fault::KillStage;
+        sidecar.paused = kind == chain_fault::PauseStage;
+        sidecar.failsNext = kind == chain_fault::StepFails;
+        sidecar.cut = kind == chain_fault::CutFromEntry;
+        if (sidecar.dead) {
             m_events.emplace(m_now + milliseconds(20), [this] {
                 m_run->linkLost(victim, m_now);
-                drive();
+                applyEffects();
             });
         }
     }
 
-    void drive()
+    void applyEffects()
     {
         while (const auto effect = m_run->nextEffect())
-            carryOut(*effect);
+            applyEffect(*effect);
     }
 
-    void carryOut(const chain_effect& effect)
+    void applyEffect(const chain_effect& effect)
     {
         if (const auto* choose = std::get_if<choose_chain>(&effect)) {
             std::vector<stage_candidate> candidates;
-            for (const auto& [name, one] : m_nodes) {
+            for (const auto& [name, sidecar] : m_sidecars) {
                 if (!choose->excluded.contains(name))
-                    candidates.push_back({ one.stage, static_cast<double>(m_random() % 100) });
+                    candidates.push_back({ sidecar.stage, static_cast<double>(m_random() % 100) });
             }
             auto chain = buildChain(candidates, layerCount);
             if (chain)
@@ -172,10 +172,10 @@
         } else if (const auto* fence = std::get_if<fence_stage>(&effect)) {
             const std::string name = fence->stage.instance;
             send("", name, [this, name, generation = fence->generation] {
-                m_nodes.at(name).guard.fence("r1", generation, m_now + std::chrono::hours(1));
+                m_sidecars.at(name).guard.fence("r1", generation, m_now + std::chrono::hours(1));
                 send(name, "", [this, name, generation] {
                     m_run->stageFenced(name, generation, m_now);
-                    drive();
+                    applyEffects();
                 });
             });
         } else if (const auto* token = std::get_if<deliver_token>(&effect)) {
@@ -189,30 +189,31 @@
 
     void openStage(const std::string& name, const open_stage& order)
     {
-        auto& one = m_nodes.at(name);
-        const auto opened = one.guard.open("r1", order.plan, order.stage, one.stage, m_now + std::chrono::hours(1));
-        one.maxTokens = order.maxTokens;
+        auto& sidecar = m_sidecars.at(name);
+        const auto opened
+            = sidecar.guard.open("r1", order.plan, order.stage, sidecar.stage, m_now + std::chrono::hours(1));
+        sidecar.maxTokens = order.maxTokens;
         const auto generation = order.plan.generation;
         send(name, "", [this, name, generation, opened] {
             if (opened)
                 m_run->stageOpened(name, generation, m_now);
             else
                 m_run->stageRefused(name, generation, opened.error(), m_now);
-            drive();
+            applyEffects();
         });
     }
 
     void runStep(const std::string& name, const stage_step& step)
     {
-        auto& one = m_nodes.at(name);
-        const auto verdict = one.guard.admit(step);
-        if (verdict != step_verdict::Run && !(ignoresVerdicts && one.guard.planOf("r1") != nullptr))
+        auto& sidecar = m_sidecars.at(name);
+        const auto verdict = sidecar.guard.admit(step);
+        if (verdict != step_verdict::Run && !(ignoresVerdicts && sidecar.guard.planOf("r1") != nullptr))
             return;
-        const auto plan = *one.guard.planOf("r1");
-        if (one.failsNext) {
+        const auto plan = *sidecar.guard.planOf("r1");
+        if (sidecar.failsNext) {
             send(name, "", [this, step] {
                 m_run->stageFailed(step.generation, step.stage, { result_code::TargetFailed, "" }, m_now);
-                drive();
+                applyEffects();
             });
             return;
         }
@@ -222,13 +223,13 @@
         execution.isStep = true;
         execution.generation = step.generation;
         execution.token = step.token;
-        execution.firstLayer = one.stage.firstLayer;
-        execution.endLayer = one.stage.endLayer;
+        execution.firstLayer = sidecar.stage.firstLayer;
+        execution.endLayer = sidecar.stage.endLayer;
         m_executions.push_back(execution);
         std::string output = step.input;
         if (step.stage == 0) {
-            one.text = step.token == 0 ? step.input : one.text + step.input;
-            output = one.text;
+            sidecar.text = step.token == 0 ? step.input : sidecar.text + step.input;
+            output = sidecar.text;
         }
         if (step.stage + 1 < plan.stages.size()) {
             sendStep(name, plan.stages[step.stage + 1].instance,
@@ -236,10 +237,10 @@
             return;
         }
         const std::string token = nextToken(output);
-        const bool last = step.token + 1 == one.maxTokens;
+        const bool last = step.token + 1 == sidecar.maxTokens;
         send(name, "", [this, step, token, last] {
             m_run->token({ step.generation, step.token, token, last, last ? "length" : "" }, m_now);
-            drive();
+            applyEffects();
         });
         if (!last)
             sendStep(name, plan.stages.front().instance, { "r1", step.generation, step.token + 1, 0, token });
@@ -253,18 +254,18 @@
     std::mt19937_64 m_random;
     steady_time m_now;
     std::multimap<steady_time, std::function<void()>> m_events;
-    std::map<std::string, node> m_nodes;
+    std::map<std::string, sidecar_node> m_sidecars;
     std::unique_ptr<chain_run> m_run;
     caller_record m_record;
     std::vector<execution_record> m_executions;
     std::size_t m_messages = 0;
 };
 
-std::vector<std::string> violationsOf(const chain_world& world, const caller_record& caller)
+std::vector<std::string> violationsOf(const chain_simulation& simulation, const caller_record& caller)
 {
-    auto all = test_support::checkLayers(world.executions(), layerCount);
-    for (const auto& part :
-        { test_support::checkResponses({ caller }), test_support::checkNotExecuted({ caller }, world.executions()) })
+    auto all = test_support::checkLayers(simulation.executions(), layerCount);
+    for (const auto& part : { test_support::checkResponses({ caller }),
+             test_support::checkNotExecuted({ caller }, simulation.executions()) })
         all.insert(all.end(), part.begin(), part.end());
     return all;
 }
@@ -274,20 +275,20 @@
 TEST_CASE("chains: fault matrix, each fault at each message and each sidecar", "[chain][faults]")
 {
     const std::vector<std::uint32_t> split { 2, 5, 6 };
-    chain_world faultless(split, 1);
-    REQUIRE(violationsOf(faultless, faultless.runRequest(4)).empty());
+    chain_simulation withoutFault(split, 1);
+    REQUIRE(violationsOf(withoutFault, withoutFault.runRequest(4)).empty());
     std::size_t cases = 0;
     std::size_t completed = 0;
     for (const auto fault : allFaults) {
-        for (const auto& victim : faultless.instances()) {
-            for (std::size_t step = 0; step < faultless.messages() + 4; ++step) {
-                chain_world world(split, step + 1);
-                world.fault = fault;
-                world.faultStep = step;
-                world.victim = victim;
-                const auto caller = world.runRequest(4);
+        for (const auto& victim : withoutFault.instances()) {
+            for (std::size_t step = 0; step < withoutFault.messages() + 4; ++step) {
+                chain_simulation simulation(split, step + 1);
+                simulation.fault = fault;
+                simulation.faultStep = step;
+                simulation.victim = victim;
+                const auto caller = simulation.runRequest(4);
                 INFO("fault " << static_cast<int>(fault) << " at " << step << " on " << victim);
-                REQUIRE(violationsOf(world, caller).empty());
+                REQUIRE(violationsOf(simulation, caller).empty());
                 REQUIRE(caller.hasResponse);
                 CHECK(caller.code == result_code::Ok);
                 completed += caller.code == result_code::Ok ? 1 : 0;
@@ -307,28 +308,28 @@
                 ends.push_back(layer);
         }
         ends.push_back(layerCount);
-        chain_world world(ends, seed);
-        const auto names = world.instances();
-        world.fault = allFaults[*rc::gen::inRange<std::size_t>(0, allFaults.size())];
-        world.faultStep = *rc::gen::inRange<std::size_t>(0, 60);
-        world.victim = names[*rc::gen::inRange<std::size_t>(0, names.size())];
-        const auto caller = world.runRequest(*rc::gen::inRange<std::uint32_t>(1, 6));
-        RC_ASSERT(violationsOf(world, caller).empty());
+        chain_simulation simulation(ends, seed);
+        const auto names = simulation.instances();
+        simulation.fault = allFaults[*rc::gen::inRange<std::size_t>(0, allFaults.size())];
+        simulation.faultStep = *rc::gen::inRange<std::size_t>(0, 60);
+        simulation.victim = names[*rc::gen::inRange<std::size_t>(0, names.size())];
+        const auto caller = simulation.runRequest(*rc::gen::inRange<std::uint32_t>(1, 6));
+        RC_ASSERT(violationsOf(simulation, caller).empty());
         RC_ASSERT(caller.hasResponse);
     });
 }
 
 TEST_CASE("chains: the layer checker detects steps that run although a guard rejects them", "[chain][checker]")
 {
-    bool noticed = false;
-    for (std::size_t step = 0; step < 40 && !noticed; ++step) {
-        chain_world world({ 2, 5, 6 }, step + 1);
-        world.ignoresVerdicts = true;
-        world.fault = chain_fault::Repeat;
-        world.faultStep = step;
-        noticed = !violationsOf(world, world.runRequest(4)).empty();
+    bool isDetected = false;
+    for (std::size_t step = 0; step < 40 && !isDetected; ++step) {
+        chain_simulation simulation({ 2, 5, 6 }, step + 1);
+        simulation.ignoresVerdicts = true;
+        simulation.fault = chain_fault::Duplicate;
+        simulation.faultStep = step;
+        isDetected = !violationsOf(simulation, simulation.runRequest(4)).empty();
     }
-    CHECK(noticed);
+    CHECK(isDetected);
 }
 
 TEST_CASE("chains: gaps, overlaps and wrong versions are rejected, by each sidecar too", "[chain]")
@@ -361,11 +362,11 @@
     rc::prop("cover", [] {
         std::vector<stage_candidate> candidates;
         const auto count = *rc::gen::inRange(0, 12);
-        for (int at = 0; at < count; ++at) {
+        for (int index = 0; index < count; ++index) {
             const auto first = *rc::gen::inRange<std::uint32_t>(0, layerCount);
             const auto end = *rc::gen::inRange<std::uint32_t>(first + 1, layerCount + 1);
             candidates.push_back(
-                { { "n" + std::to_string(at), "", 1, "v", first, end }, *rc::gen::inRange(1, 9) * 1.0 });
+                { { "n" + std::to_string(index), "", 1, "v", first, end }, *rc::gen::inRange(1, 9) * 1.0 });
         }
         const auto built = buildChain(candidates, layerCount);
         if (built)
--- a/src/buckthornrail/execution/chain_run.cpp
+++ b/src/buckthornrail/execution/chain_run.cpp
@@ -40,9 +40,9 @@
     m_pendingInstances.clear();
     m_phase = phase::Opening;
     m_phaseDeadline = now + m_options.openTimeout;
-    for (std::uint32_t at = 0; at < m_plan.stages.size(); ++at) {
-        m_pendingInstances.insert(m_plan.stages[at].instance);
-        m_effects.emplace_back(open_stage { m_plan, at, m_request.maxTokens - m_tokensDelivered });
+    for (std::uint32_t index = 0; index < m_plan.stages.size(); ++index) {
+        m_pendingInstances.insert(m_plan.stages[index].instance);
+        m_effects.emplace_back(open_stage { m_plan, index, m_request.maxTokens - m_tokensDelivered });
     }
 }
 
@@ -85,11 +85,11 @@
         finishFencing(now);
 }
 
-void chain_run::stageFailed(std::uint32_t generation, std::uint32_t at, const failure& why, steady_time now)
+void chain_run::stageFailed(std::uint32_t generation, std::uint32_t stage, const failure& why, steady_time now)
 {
-    if (m_phase != phase::Running || generation != m_plan.generation || at >= m_plan.stages.size())
+    if (m_phase != phase::Running || generation != m_plan.generation || stage >= m_plan.stages.size())
         return;
-    m_excluded.insert(m_plan.stages[at].instance);
+    m_excluded.insert(m_plan.stages[stage].instance);
     fenceAll(why, now);
 }
 
--- a/src/buckthornrail/execution/stage_guard.cpp
+++ b/src/buckthornrail/execution/stage_guard.cpp
@@ -79,16 +79,16 @@
 
 std::vector<std::string> stage_guard::expire(steady_time now)
 {
-    std::vector<std::string> gone;
-    for (auto at = m_requests.begin(); at != m_requests.end();) {
-        if (now < at->second.deadline) {
-            ++at;
+    std::vector<std::string> expired;
+    for (auto it = m_requests.begin(); it != m_requests.end();) {
+        if (now < it->second.deadline) {
+            ++it;
             continue;
         }
-        gone.push_back(at->first);
-        at = m_requests.erase(at);
+        expired.push_back(it->first);
+        it = m_requests.erase(it);
     }
-    return gone;
+    return expired;
 }
 
 void stage_guard::close(const std::string& request)
--- a/src/buckthornrail/routing/route_table.cpp
+++ b/src/buckthornrail/routing/route_table.cpp
@@ -64,10 +64,10 @@
 
 std::optional<std::string> drawShare(const std::vector<configuration::share>& shares, std::uint32_t draw)
 {
-    for (const auto& one : shares) {
-        if (draw < one.percent)
-            return one.name;
-        draw -= one.percent;
+    for (const auto& share : shares) {
+        if (draw < share.percent)
+            return share.name;
+        draw -= share.percent;
     }
     return std::nullopt;
 }
@@ -132,12 +132,12 @@
     std::vector<candidate> candidates;
     std::vector<target_state*> candidateTargets;
     for (auto* target : targets) {
-        candidate one = estimate(*target, query, averages.averageFor(target->record.target.accelerator), now);
+        candidate estimated = estimate(*target, query, averages.averageFor(target->record.target.accelerator), now);
         if (!isRecurring)
-            one.affinity = 0;
-        if (one.waitMs > maxWaitMs)
+            estimated.affinity = 0;
+        if (estimated.waitMs > maxWaitMs)
             continue;
-        candidates.push_back(one);
+        candidates.push_back(estimated);
         candidateTargets.push_back(target);
     }
     if (candidates.empty())
@@ -165,11 +165,11 @@
             && record.target.version == query.version && !query.excluded.contains(record.id);
         if (!fits || !breakerAllows(*target, now))
             continue;
-        execution::stage_candidate one;
-        one.stage = { record.id, record.linkAddress, record.incarnation, record.target.version,
+        execution::stage_candidate stageCandidate;
+        stageCandidate.stage = { record.id, record.linkAddress, record.incarnation, record.target.version,
             record.target.firstLayer, record.target.endLayer };
-        one.cost = estimate(*target, query, defaultMsPerUnit, now).finishMs;
-        result.push_back(std::move(one));
+        stageCandidate.cost = estimate(*target, query, defaultMsPerUnit, now).finishMs;
+        result.push_back(std::move(stageCandidate));
     }
     return result;
 }
@@ -181,7 +181,7 @@
         return;
     ++target->ownInFlight;
     if (target->consecutiveFailures >= m_options.breakerThreshold)
-        target->isProbing = true;
+        target->isTrialInFlight = true;
 }
 
 void route_table::attemptReleased(const instance_id& id)
@@ -189,7 +189,7 @@
     auto* target = findState(id);
     if (target == nullptr)
         return;
-    target->isProbing = false;
+    target->isTrialInFlight = false;
     if (target->ownInFlight > 0)
         --target->ownInFlight;
 }
@@ -261,25 +261,25 @@
 {
     if (target.consecutiveFailures < m_options.breakerThreshold)
         return true;
-    return !target.isProbing && now >= target.breakerOpenUntil;
+    return !target.isTrialInFlight && now >= target.breakerOpenUntil;
 }
 
 candidate route_table::estimate(
     const target_state& target, const route_query& query, double fallbackMsPerUnit, steady_time now) const
 {
-    candidate one;
-    one.slots = std::max<std::uint32_t>(target.record.target.slots, 1);
-    one.outstanding = target.ownInFlight + (now < target.reportDeadline ? target.otherEntriesInFlight : 0);
+    candidate result;
+    result.slots = std::max<std::uint32_t>(target.record.target.slots, 1);
+    result.outstanding = target.ownInFlight + (now < target.reportDeadline ? target.otherEntriesInFlight : 0);
     const double msPerUnit = target.msPerUnit > 0 ? target.msPerUnit : fallbackMsPerUnit;
     const double serviceMs = msPerUnit * query.work;
-    const double ahead = one.outstanding >= one.slots ? one.outstanding - one.slots + 1.0 : 0.0;
-    one.waitMs = ahead * serviceMs / one.slots;
+    const double ahead = result.outstanding >= result.slots ? result.outstanding - result.slots + 1.0 : 0.0;
+    result.waitMs = ahead * serviceMs / result.slots;
     const bool isRemote = target.record.failureDomain != m_options.failureDomain;
-    one.finishMs = one.waitMs + serviceMs + (isRemote ? remoteDomainMs : 0);
-    one.rate = one.slots / std::max(msPerUnit, 1e-3);
+    result.finishMs = result.waitMs + serviceMs + (isRemote ? remoteDomainMs : 0);
+    result.rate = result.slots / std::max(msPerUnit, 1e-3);
     if (query.prefixHash != 0)
-        one.affinity = XXH64(&target.identityHash, sizeof target.identityHash, query.prefixHash) | 1U;
-    return one;
+        result.affinity = XXH64(&target.identityHash, sizeof target.identityHash, query.prefixHash) | 1U;
+    return result;
 }
 
 const std::vector<route_table::target_state*>& route_table::allTargetsFor(const route_query& query) const
--- a/src/buckthornrail/routing/route_table_test.cpp
+++ b/src/buckthornrail/routing/route_table_test.cpp
@@ -49,10 +49,10 @@
     auto leaving = makeTarget("c");
     leaving.state = instance_state::Draining;
     table.update(leaving);
-    auto asked = makeTarget("d");
-    asked.drainRequested = true;
-    table.update(asked);
-    for (int at = 0; at < 20; ++at)
+    auto drained = makeTarget("d");
+    drained.drainRequested = true;
+    table.update(drained);
+    for (int round = 0; round < 20; ++round)
         CHECK(table.choose(makeQuery(), begin)->instance == "a");
     auto query = makeQuery();
     query.excluded = { "a" };
@@ -71,7 +71,7 @@
     auto query = makeQuery();
     query.pools = { { "x", 75 }, { "y", 25 }, { "z", 0 } };
     std::map<instance_id, int> chosen;
-    for (int at = 0; at < 4000; ++at)
+    for (int round = 0; round < 4000; ++round)
         ++chosen[table.choose(query, begin)->instance];
     CHECK(chosen["x"] == Approx(3000).margin(120));
     CHECK(chosen["y"] == Approx(1000).margin(120));
@@ -84,7 +84,7 @@
 {
     route_table table({}, 3);
     table.update(makeTarget("a"));
-    for (int at = 0; at < 3; ++at) {
+    for (int round = 0; round < 3; ++round) {
         table.attemptOffered("a");
         table.attemptFailed("a", begin);
     }
@@ -107,23 +107,23 @@
     route_table table({}, 4);
     table.update(makeTarget("fast"));
     table.update(makeTarget("slow"));
-    for (int at = 0; at < 20; ++at) {
+    for (int round = 0; round < 20; ++round) {
         table.attemptSucceeded("fast", 10, 1);
         table.attemptSucceeded("slow", 80, 1);
     }
     std::map<instance_id, int> chosen;
-    for (int at = 0; at < 1000; ++at)
+    for (int round = 0; round < 1000; ++round)
         ++chosen[table.choose(makeQuery(), begin)->instance];
     CHECK(chosen["fast"] > 900);
-    for (int at = 0; at < 40; ++at)
+    for (int round = 0; round < 40; ++round)
         table.attemptOffered("fast");
     chosen.clear();
-    for (int at = 0; at < 1000; ++at)
+    for (int round = 0; round < 1000; ++round)
         ++chosen[table.choose(makeQuery(), begin)->instance];
     CHECK(chosen["slow"] > 200);
     auto query = makeQuery();
     query.startDeadline = begin + milliseconds(1);
-    for (int at = 0; at < 40; ++at)
+    for (int round = 0; round < 40; ++round)
         table.attemptOffered("slow");
     CHECK(table.choose(query, begin).error().code == result_code::Busy);
 }
@@ -136,19 +136,19 @@
     auto query = makeQuery();
     query.prefixHash = hashPrefix("w", "shared instructions");
     CHECK(table.choose(query, begin)->reason == "earliest_of_two"); // first occurrence of the prefix
-    const auto home = table.choose(query, begin)->instance;
-    for (int at = 0; at < 50; ++at)
-        CHECK(table.choose(query, begin)->instance == home);
-    table.attemptOffered(home);
-    table.attemptOffered(home);
+    const auto preferred = table.choose(query, begin)->instance;
+    for (int round = 0; round < 50; ++round)
+        CHECK(table.choose(query, begin)->instance == preferred);
+    table.attemptOffered(preferred);
+    table.attemptOffered(preferred);
     std::set<instance_id> others;
-    for (int at = 0; at < 50; ++at)
+    for (int round = 0; round < 50; ++round)
         others.insert(table.choose(query, begin)->instance);
     CHECK(others.size() == 1); // overflow goes to a single second target
-    CHECK_FALSE(others.contains(home));
+    CHECK_FALSE(others.contains(preferred));
     table.attemptOffered(*others.begin());
     table.attemptOffered(*others.begin());
-    for (int at = 0; at < 50; ++at)
+    for (int round = 0; round < 50; ++round)
         others.insert(table.choose(query, begin)->instance);
     CHECK(others.size() > 2);
     CHECK(hashPrefix("w", "a") != hashPrefix("v", "a"));
@@ -190,7 +190,7 @@
     const std::vector<candidate> candidates { { 0, 5, 1, 3, 2, 0 }, { 0, 9, 1, 1, 2, 0 }, { 0, 7, 1, 2, 2, 0 } };
     for (const auto& row : strategyNames) {
         const auto strategy = makeStrategy(row.value);
-        for (int at = 0; at < 100; ++at)
+        for (int round = 0; round < 100; ++round)
             CHECK(strategy->select(candidates, random).index < candidates.size());
     }
     CHECK(makeStrategy(strategy_kind::LeastOutstanding)->select(candidates, random).index == 1);
@@ -200,7 +200,7 @@
 {
     retry_budget budget(0.1, 5);
     int retries = 0;
-    for (int at = 0; at < 1000; ++at) {
+    for (int round = 0; round < 1000; ++round) {
         budget.countRequest();
         retries += budget.tryTake() ? 1 : 0;
     }
--- a/src/buckthornrail/routing/selection_strategy.cpp
+++ b/src/buckthornrail/routing/selection_strategy.cpp
@@ -34,17 +34,17 @@
     {
         std::size_t best = 0;
         std::size_t ties = 1;
-        for (std::size_t at = 1; at < candidates.size(); ++at) {
-            if (candidates[at].outstanding > candidates[best].outstanding)
+        for (std::size_t index = 1; index < candidates.size(); ++index) {
+            if (candidates[index].outstanding > candidates[best].outstanding)
                 continue;
-            if (candidates[at].outstanding < candidates[best].outstanding) {
-                best = at;
+            if (candidates[index].outstanding < candidates[best].outstanding) {
+                best = index;
                 ties = 1;
                 continue;
             }
             ++ties;
             if (std::uniform_int_distribution<std::size_t>(0, ties - 1)(random) == 0)
-                best = at;
+                best = index;
         }
         return { best, "least_outstanding" };
     }
@@ -78,18 +78,19 @@
     {
         std::array<std::size_t, 2> preferred { 0, 0 };
         double earliestFinishMs = candidates[0].finishMs;
-        for (std::size_t at = 0; at < candidates.size(); ++at) {
-            earliestFinishMs = std::min(earliestFinishMs, candidates[at].finishMs);
-            if (candidates[at].affinity > candidates[preferred[0]].affinity)
-                preferred = { at, preferred[0] };
-            else if (at != preferred[0]
-                && (preferred[1] == preferred[0] || candidates[at].affinity > candidates[preferred[1]].affinity))
-                preferred[1] = at;
+        for (std::size_t index = 0; index < candidates.size(); ++index) {
+            earliestFinishMs = std::min(earliestFinishMs, candidates[index].finishMs);
+            if (candidates[index].affinity > candidates[preferred[0]].affinity)
+                preferred = { index, preferred[0] };
+            else if (index != preferred[0]
+                && (preferred[1] == preferred[0] || candidates[index].affinity > candidates[preferred[1]].affinity))
+                preferred[1] = index;
         }
-        for (const std::size_t target : preferred) {
-            const auto& one = candidates[target];
-            if (one.affinity != 0 && one.waitMs <= 0 && one.finishMs <= maxAffinitySlowdown * earliestFinishMs)
-                return target;
+        for (const std::size_t choice : preferred) {
+            const auto& preferredCandidate = candidates[choice];
+            if (preferredCandidate.affinity != 0 && preferredCandidate.waitMs <= 0
+                && preferredCandidate.finishMs <= maxAffinitySlowdown * earliestFinishMs)
+                return choice;
         }
         return std::nullopt;
     }
@@ -98,13 +99,13 @@
     static std::size_t drawByRate(std::span<const candidate> candidates, std::mt19937_64& random)
     {
         double total = 0;
-        for (const auto& one : candidates)
-            total += one.rate;
+        for (const auto& weighted : candidates)
+            total += weighted.rate;
         double remaining = std::uniform_real_distribution<double>(0, total)(random);
-        for (std::size_t at = 0; at < candidates.size(); ++at) {
-            remaining -= candidates[at].rate;
+        for (std::size_t index = 0; index < candidates.size(); ++index) {
+            remaining -= candidates[index].rate;
             if (remaining < 0)
-                return at;
+                return index;
         }
         return candidates.size() - 1;
     }
--- a/tests/support/request_simulation.cpp
+++ b/tests/support/request_simulation.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr milliseconds step { 10 };
-constexpr std::uint64_t channelsPerEntry = 1'000'000;
+constexpr std::uint64_t linkNumbersPerEntry = 1'000'000;
 
 template <typename... Visitors> struct overloaded : Visitors... {
     using Visitors::operator()...;
@@ -22,35 +22,35 @@
     , m_now(steady_time {} + std::chrono::hours(1))
     , m_entries(entries)
     , m_sidecars(sidecars)
-    , m_known(entries, 1)
+    , m_knownConfigurations(entries, 1)
 {
-    for (std::size_t at = 0; at < sidecars; ++at)
-        restartSidecar(at);
+    for (std::size_t sidecar = 0; sidecar < sidecars; ++sidecar)
+        restartSidecar(sidecar);
 }
 
 std::size_t request_simulation::submit(const simulated_request& request)
 {
     const std::string id = "r" + std::to_string(++m_lastRequest);
-    caller one;
-    one.record.request = id;
-    one.record.key = request.key;
-    one.record.expected = responseTo(request.prompt, request.tokens);
-    one.prompt = request.prompt;
-    one.tokens = request.tokens;
-    m_callers.push_back(one);
+    caller newCaller;
+    newCaller.record.request = id;
+    newCaller.record.key = request.key;
+    newCaller.record.expected = responseTo(request.prompt, request.tokens);
+    newCaller.prompt = request.prompt;
+    newCaller.tokens = request.tokens;
+    m_callers.push_back(newCaller);
     m_keys[id] = request.key;
-    run_request wanted;
-    wanted.id = id;
-    wanted.nonIdempotent = !request.key.empty();
-    wanted.claim = { "w", request.key };
-    wanted.requestDigest = std::hash<std::string>()(request.prompt);
-    wanted.canResume = true;
-    wanted.isStream = request.streams;
-    wanted.deadline = m_now + request.timeout;
+    run_request runRequest;
+    runRequest.id = id;
+    runRequest.nonIdempotent = !request.key.empty();
+    runRequest.claim = { "w", request.key };
+    runRequest.requestDigest = std::hash<std::string>()(request.prompt);
+    runRequest.canResume = true;
+    runRequest.isStream = request.streams;
+    runRequest.deadline = m_now + request.timeout;
     auto& runs = m_entries[request.entry].runs;
-    runs.emplace(id, open_run { request_run(wanted, {}, m_now), m_callers.size() - 1, "" });
+    runs.emplace(id, open_run { request_run(runRequest, {}, m_now), m_callers.size() - 1, "" });
     runs.at(id).run.start(m_now);
-    processEffects(request.entry, id);
+    applyEffects(request.entry, id);
     return m_callers.size() - 1;
 }
 
@@ -64,20 +64,20 @@
             m_events.erase(m_events.begin());
             action();
         }
-        for (std::size_t at = 0; at < m_sidecars.size(); ++at) {
-            if (m_sidecars[at].paused)
+        for (std::size_t sidecar = 0; sidecar < m_sidecars.size(); ++sidecar) {
+            if (m_sidecars[sidecar].paused)
                 continue;
-            m_sidecars[at].core->gate().renewConfiguration(m_configuration, m_now + std::chrono::seconds(3));
-            m_sidecars[at].core->tick(m_now);
-            processSidecarEffects(at);
+            m_sidecars[sidecar].core->gate().renewConfiguration(m_configuration, m_now + std::chrono::seconds(3));
+            m_sidecars[sidecar].core->tick(m_now);
+            applySidecarEffects(sidecar);
         }
-        for (std::size_t at = 0; at < m_entries.size(); ++at) {
+        for (std::size_t entry = 0; entry < m_entries.size(); ++entry) {
             std::vector<std::string> ids;
-            for (const auto& [id, open] : m_entries[at].runs)
+            for (const auto& [id, open] : m_entries[entry].runs)
                 ids.push_back(id);
             for (const auto& id : ids) {
-                m_entries[at].runs.at(id).run.tick(m_now);
-                processEffects(at, id);
+                m_entries[entry].runs.at(id).run.tick(m_now);
+                applyEffects(entry, id);
             }
         }
     }
@@ -86,35 +86,35 @@
 void request_simulation::killSidecar(std::size_t sidecar)
 {
     restartSidecar(sidecar);
-    for (std::size_t at = 0; at < m_entries.size(); ++at)
-        closeLink(at, sidecar);
+    for (std::size_t entry = 0; entry < m_entries.size(); ++entry)
+        closeLink(entry, sidecar);
 }
 
 void request_simulation::pauseSidecar(std::size_t sidecar, bool paused)
 {
-    auto& one = m_sidecars[sidecar];
-    one.paused = paused;
+    auto& node = m_sidecars[sidecar];
+    node.paused = paused;
     if (paused)
         return;
-    for (const auto& action : std::exchange(one.deferredEvents, {}))
+    for (const auto& action : std::exchange(node.deferredEvents, {}))
         action();
-    processSidecarEffects(sidecar);
+    applySidecarEffects(sidecar);
 }
 
 void request_simulation::killEntry(std::size_t entry)
 {
     m_entries[entry].runs.clear();
-    m_entries[entry].followers.clear();
+    m_entries[entry].attachedRequests.clear();
     ++m_entries[entry].incarnation;
-    for (std::size_t at = 0; at < m_sidecars.size(); ++at)
-        closeLink(entry, at);
+    for (std::size_t sidecar = 0; sidecar < m_sidecars.size(); ++sidecar)
+        closeLink(entry, sidecar);
 }
 
 void request_simulation::closeLink(std::size_t entry, std::size_t sidecar)
 {
-    const channel_number channel = channelOf(entry, sidecar);
+    const link_number linkNumber = linkNumberOf(entry, sidecar);
     ++linkOf(entry, sidecar).epoch;
-    runAtSidecar(sidecar, [this, sidecar, channel] { m_sidecars[sidecar].core->channelLost(channel, m_now); });
+    runAtSidecar(sidecar, [this, sidecar, linkNumber] { m_sidecars[sidecar].core->linkLost(linkNumber, m_now); });
     std::vector<std::string> ids;
     for (const auto& [id, open] : m_entries[entry].runs)
         ids.push_back(id);
@@ -123,7 +123,7 @@
         if (found == m_entries[entry].runs.end())
             continue;
         found->second.run.linkLost(std::to_string(sidecar), m_now);
-        processEffects(entry, id);
+        applyEffects(entry, id);
     }
 }
 
@@ -145,15 +145,15 @@
 void request_simulation::publishConfiguration()
 {
     ++m_configuration;
-    for (std::size_t at = 0; at < m_entries.size(); ++at) {
-        schedule(milliseconds(m_random() % 300), [this, at] {
-            m_known[at] = m_configuration;
+    for (std::size_t entry = 0; entry < m_entries.size(); ++entry) {
+        schedule(milliseconds(m_random() % 300), [this, entry] {
+            m_knownConfigurations[entry] = m_configuration;
             std::vector<std::string> ids;
-            for (const auto& [id, open] : m_entries[at].runs)
+            for (const auto& [id, open] : m_entries[entry].runs)
                 ids.push_back(id);
             for (const auto& id : ids) {
-                m_entries[at].runs.at(id).run.configurationReceived(m_now);
-                processEffects(at, id);
+                m_entries[entry].runs.at(id).run.configurationReceived(m_now);
+                applyEffects(entry, id);
             }
         });
     }
@@ -162,8 +162,8 @@
 std::vector<caller_record> request_simulation::callers() const
 {
     std::vector<caller_record> records;
-    for (const auto& one : m_callers)
-        records.push_back(one.record);
+    for (const auto& caller : m_callers)
+        records.push_back(caller.record);
     return records;
 }
 
@@ -182,36 +182,36 @@
     m_events.emplace(m_now + delay, std::move(action));
 }
 
-void request_simulation::processEffects(std::size_t entry, const std::string& request)
+void request_simulation::applyEffects(std::size_t entry, const std::string& request)
 {
     const auto found = m_entries[entry].runs.find(request);
     if (found == m_entries[entry].runs.end())
         return;
     auto& open = found->second;
     while (const auto effect = open.run.nextEffect())
-        carryOut(entry, open, *effect);
+        applyEffect(entry, open, *effect);
     if (open.run.isFinished()) {
-        std::erase_if(m_entries[entry].followers, [&](const auto& item) { return item.second == request; });
+        std::erase_if(m_entries[entry].attachedRequests, [&](const auto& item) { return item.second == request; });
         m_entries[entry].runs.erase(request);
     }
 }
 
-void request_simulation::carryOut(std::size_t entry, open_run& open, const run_effect& effect)
+void request_simulation::applyEffect(std::size_t entry, open_run& open, const run_effect& effect)
 {
     auto& caller = m_callers[open.caller];
     const auto sidecarOf = [](const chosen_target& target) { return std::stoul(target.instance); };
     std::visit(overloaded {
                    [&](const choose_target& request) {
-                       std::vector<std::size_t> free;
-                       for (std::size_t at = 0; at < m_sidecars.size(); ++at) {
-                           if (!request.excluded.contains(std::to_string(at)))
-                               free.push_back(at);
+                       std::vector<std::size_t> candidates;
+                       for (std::size_t sidecar = 0; sidecar < m_sidecars.size(); ++sidecar) {
+                           if (!request.excluded.contains(std::to_string(sidecar)))
+                               candidates.push_back(sidecar);
                        }
-                       if (free.empty()) {
+                       if (candidates.empty()) {
                            open.run.noTarget({ result_code::NoTarget, "" }, m_now);
                            return;
                        }
-                       const std::size_t chosen = free[m_random() % free.size()];
+                       const std::size_t chosen = candidates[m_random() % candidates.size()];
                        // An entry sometimes knows only an outdated incarnation.
                        const auto known
                            = m_sidecars[chosen].incarnation - (usesStaleIncarnations && m_random() % 8 == 0 ? 1 : 0);
@@ -222,7 +222,7 @@
                        attempt_offer message;
                        message.attempt = offer.attempt;
                        message.incarnation = offer.target.incarnation;
-                       message.configuration = m_known[entry];
+                       message.configuration = m_knownConfigurations[entry];
                        message.startWithinMs = 2000;
                        message.finishWithinMs = 8000;
                        message.workspace = "w";
@@ -244,7 +244,7 @@
                            attempt_revoke { revoke.attempt, revoke.target.incarnation, revoke.cancelStarted });
                    },
                    [&](const send_attach& attach) {
-                       m_entries[entry].followers.emplace(attach.attempt.request, open.run.request().id);
+                       m_entries[entry].attachedRequests.emplace(attach.attempt.request, open.run.request().id);
                        sendToSidecar(entry, sidecarOf(attach.target),
                            response_attach { attach.attempt, attach.target.incarnation });
                    },
@@ -273,25 +273,25 @@
     std::size_t entry, const attempt_id& attempt, const std::function<void(request_run&)>& action)
 {
     std::vector<std::string> ids { attempt.request };
-    const auto [first, last] = m_entries[entry].followers.equal_range(attempt.request);
-    for (auto at = first; at != last; ++at)
-        ids.push_back(at->second);
+    const auto [first, last] = m_entries[entry].attachedRequests.equal_range(attempt.request);
+    for (auto it = first; it != last; ++it)
+        ids.push_back(it->second);
     for (const auto& id : ids) {
         const auto found = m_entries[entry].runs.find(id);
         if (found == m_entries[entry].runs.end())
             continue;
         action(found->second.run);
-        processEffects(entry, id);
+        applyEffects(entry, id);
     }
 }
 
-void request_simulation::sendClaim(std::size_t entry, const std::string& request, const send_claim& wanted)
+void request_simulation::sendClaim(std::size_t entry, const std::string& request, const send_claim& claim)
 {
     claim_command command;
     command.key = { "w", m_keys[request] };
     command.requestDigest = 1;
-    command.holder = wanted.holder;
-    command.replaces = wanted.replaces;
+    command.holder = claim.holder;
+    command.replaces = claim.replaces;
     command.wallSeconds = 1000;
     command.retainSeconds = 3600;
     const auto incarnation = m_entries[entry].incarnation;
@@ -307,8 +307,8 @@
             const auto found = m_entries[entry].runs.find(request);
             if (incarnation != m_entries[entry].incarnation || found == m_entries[entry].runs.end())
                 return;
-            found->second.run.claimAnswered(result, m_now);
-            processEffects(entry, request);
+            found->second.run.claimReplyReceived(result, m_now);
+            applyEffects(entry, request);
         });
     });
 }
@@ -339,82 +339,85 @@
 void request_simulation::receive(std::size_t entry, std::size_t sidecar, const to_sidecar& message)
 {
     auto& core = *m_sidecars[sidecar].core;
-    const auto channel = channelOf(entry, sidecar);
+    const auto linkNumber = linkNumberOf(entry, sidecar);
     const auto known = [&](incarnation_number named) {
         return disabled == disabled_protection::Incarnations ? m_sidecars[sidecar].incarnation : named;
     };
     std::visit(overloaded {
                    [&](attempt_offer offer) {
                        offer.incarnation = known(offer.incarnation);
-                       core.offer(offer, channel, m_now);
+                       core.offer(offer, linkNumber, m_now);
                    },
                    [&](attempt_revoke revoke) {
                        revoke.incarnation = known(revoke.incarnation);
-                       core.revoke(revoke, channel, m_now);
+                       core.revoke(revoke, linkNumber, m_now);
                    },
                    [&](response_attach attach) {
                        attach.incarnation = known(attach.incarnation);
-                       core.attach(attach, channel, m_now);
+                       core.attach(attach, linkNumber, m_now);
                    },
                },
         message);
 }
 
-void request_simulation::sendToEntry(std::size_t sidecar, channel_number channel, const sidecar_message& message)
+void request_simulation::sendToEntry(std::size_t sidecar, link_number linkNumber, const sidecar_message& message)
 {
-    const std::size_t entry = channel / channelsPerEntry - 1;
-    if (channel != channelOf(entry, sidecar))
+    const std::size_t entry = linkNumber / linkNumbersPerEntry - 1;
+    if (linkNumber != linkNumberOf(entry, sidecar))
         return; // the link has closed since
     transmit(entry, sidecar, [this, entry, message] { receive(entry, message); });
 }
 
 void request_simulation::receive(std::size_t entry, const sidecar_message& message)
 {
-    std::visit(overloaded {
-                   [&](const attempt_accepted& one) {
-                       forEachRun(entry, one.attempt, [&](request_run& run) { run.accepted(one.attempt, m_now); });
-                   },
-                   [&](const attempt_refused& one) {
-                       forEachRun(entry, one.attempt, [&](request_run& run) { run.refused(one, m_now); });
-                   },
-                   [&](const attempt_started& one) {
-                       forEachRun(entry, one.attempt, [&](request_run& run) { run.started(one.attempt, m_now); });
-                   },
-                   [&](response_frame one) {
-                       if (disabled == disabled_protection::Ownership && !m_entries[entry].runs.empty()) {
-                           auto& open = m_entries[entry].runs.begin()->second;
-                           if (isForeign(open, one.attempt))
-                               open.buffered += one.bytes;
-                       }
-                       forEachRun(entry, one.attempt, [&](request_run& run) { run.frame(one, m_now); });
-                   },
-                   [&](const response_end& one) {
-                       auto end = one;
-                       if (disabled == disabled_protection::Digests) {
-                           forEachRun(entry, one.attempt, [&](request_run& run) {
-                               // Makes the received part pass for the complete response.
-                               end.frameCount = 0;
-                               end.digest = response_digest().value();
-                               run.ended(end, m_now);
-                           });
-                           return;
-                       }
-                       forEachRun(entry, one.attempt, [&](request_run& run) { run.ended(one, m_now); });
-                   },
-                   [&](const revoke_reply& one) {
-                       forEachRun(entry, one.attempt, [&](request_run& run) { run.revokeAnswered(one, m_now); });
-                   },
-                   [&](const attach_reply& one) {
-                       forEachRun(entry, one.attempt, [&](request_run& run) { run.attachAnswered(one, m_now); });
-                   },
-                   [&](const load_report&) {},
-               },
+    std::visit(
+        overloaded {
+            [&](const attempt_accepted& received) {
+                forEachRun(entry, received.attempt, [&](request_run& run) { run.accepted(received.attempt, m_now); });
+            },
+            [&](const attempt_refused& received) {
+                forEachRun(entry, received.attempt, [&](request_run& run) { run.refused(received, m_now); });
+            },
+            [&](const attempt_started& received) {
+                forEachRun(entry, received.attempt, [&](request_run& run) { run.started(received.attempt, m_now); });
+            },
+            [&](response_frame received) {
+                if (disabled == disabled_protection::Ownership && !m_entries[entry].runs.empty()) {
+                    auto& open = m_entries[entry].runs.begin()->second;
+                    if (isForeign(open, received.attempt))
+                        open.buffered += received.bytes;
+                }
+                forEachRun(entry, received.attempt, [&](request_run& run) { run.frame(received, m_now); });
+            },
+            [&](const response_end& received) {
+                auto end = received;
+                if (disabled == disabled_protection::Digests) {
+                    forEachRun(entry, received.attempt, [&](request_run& run) {
+                        // Makes the received part pass for the complete response.
+                        end.frameCount = 0;
+                        end.digest = response_digest().value();
+                        run.ended(end, m_now);
+                    });
+                    return;
+                }
+                forEachRun(entry, received.attempt, [&](request_run& run) { run.ended(received, m_now); });
+            },
+            [&](const revoke_reply& received) {
+                forEachRun(
+                    entry, received.attempt, [&](request_run& run) { run.revokeReplyReceived(received, m_now); });
+            },
+            [&](const attach_reply& received) {
+                forEachRun(
+                    entry, received.attempt, [&](request_run& run) { run.attachReplyReceived(received, m_now); });
+            },
+            [&](const load_report&) {},
+        },
         message);
 }
 
-channel_number request_simulation::channelOf(std::size_t entry, std::size_t sidecar)
+link_number request_simulation::linkNumberOf(std::size_t entry, std::size_t sidecar)
 {
-    return (entry + 1) * channelsPerEntry + linkOf(entry, sidecar).epoch;
+    return (entry + 1) * linkNumbersPerEntry + linkOf(entry, sidecar).epoch;
 }
 
 } // namespace test_support
--- a/tests/support/request_simulation.hpp
+++ b/tests/support/request_simulation.hpp
@@ -112,7 +112,7 @@
     };
     struct entry_node {
         std::map<std::string, open_run> runs;
-        std::multimap<std::string, std::string> followers;
+        std::multimap<std::string, std::string> attachedRequests;
         std::uint64_t incarnation = 0;
     };
     struct link_state {
@@ -121,22 +121,22 @@
     };
 
     void schedule(milliseconds delay, event action);
-    void processEffects(std::size_t entry, const std::string& request);
-    void carryOut(std::size_t entry, open_run& open, const run_effect& effect);
+    void applyEffects(std::size_t entry, const std::string& request);
+    void applyEffect(std::size_t entry, open_run& open, const run_effect& effect);
     void forEachRun(std::size_t entry, const attempt_id& attempt, const std::function<void(request_run&)>& action);
-    void sendClaim(std::size_t entry, const std::string& request, const send_claim& wanted);
+    void sendClaim(std::size_t entry, const std::string& request, const send_claim& claim);
     void sendToSidecar(std::size_t entry, std::size_t sidecar, const to_sidecar& message);
     void receive(std::size_t entry, std::size_t sidecar, const to_sidecar& message);
-    void sendToEntry(std::size_t sidecar, channel_number channel, const sidecar_message& message);
+    void sendToEntry(std::size_t sidecar, link_number linkNumber, const sidecar_message& message);
     void receive(std::size_t entry, const sidecar_message& message);
     void transmit(std::size_t entry, std::size_t sidecar, const event& deliver);
-    void processSidecarEffects(std::size_t sidecar);
+    void applySidecarEffects(std::size_t sidecar);
     void startJob(std::size_t sidecar, const start_work& work);
     void advanceJob(std::size_t sidecar, incarnation_number incarnation, const attempt_id& attempt);
     void runAtSidecar(std::size_t sidecar, const event& action);
     void restartSidecar(std::size_t sidecar);
     link_state& linkOf(std::size_t entry, std::size_t sidecar) { return m_links[{ entry, sidecar }]; }
-    [[nodiscard]] channel_number channelOf(std::size_t entry, std::size_t sidecar);
+    [[nodiscard]] link_number linkNumberOf(std::size_t entry, std::size_t sidecar);
     [[nodiscard]] bool isForeign(const open_run& open, const attempt_id& attempt) const;
 
     std::mt19937_64 m_random;
@@ -151,7 +151,7 @@
     claim_table m_claims;
     bool m_losesClaims = false;
     configuration_version m_configuration = 1;
-    std::vector<configuration_version> m_known; ///< newest configuration that each entry has received
+    std::vector<configuration_version> m_knownConfigurations; ///< newest configuration that each entry has received
     std::size_t m_messages = 0;
     std::uint64_t m_lastRequest = 0;
     std::uint64_t m_lastIncarnation = 0;
--- a/tests/support/request_simulation_sidecars.cpp
+++ b/tests/support/request_simulation_sidecars.cpp
@@ -13,33 +13,33 @@
 
 void request_simulation::runAtSidecar(std::size_t sidecar, const event& action)
 {
-    auto& one = m_sidecars[sidecar];
-    if (one.paused) {
-        one.deferredEvents.push_back(action);
+    auto& node = m_sidecars[sidecar];
+    if (node.paused) {
+        node.deferredEvents.push_back(action);
         return;
     }
     action();
-    processSidecarEffects(sidecar);
+    applySidecarEffects(sidecar);
 }
 
-void request_simulation::processSidecarEffects(std::size_t sidecar)
+void request_simulation::applySidecarEffects(std::size_t sidecar)
 {
-    auto& one = m_sidecars[sidecar];
-    while (const auto effect = one.core->nextEffect()) {
+    auto& node = m_sidecars[sidecar];
+    while (const auto effect = node.core->nextEffect()) {
         if (const auto* work = std::get_if<start_work>(&*effect))
             startJob(sidecar, *work);
         else if (const auto* cancel = std::get_if<cancel_work>(&*effect))
-            one.jobs[cancel->attempt].cancelled = true;
-        else if (const auto* sent = std::get_if<send_to_channel>(&*effect))
-            sendToEntry(sidecar, sent->channel, sent->message);
+            node.jobs[cancel->attempt].cancelled = true;
+        else if (const auto* sent = std::get_if<send_to_link>(&*effect))
+            sendToEntry(sidecar, sent->linkNumber, sent->message);
     }
 }
 
 void request_simulation::startJob(std::size_t sidecar, const start_work& work)
 {
-    auto& one = m_sidecars[sidecar];
-    if (one.mode == target_mode::Refuses) {
-        schedule(milliseconds(5), [this, sidecar, incarnation = one.incarnation, attempt = work.attempt] {
+    auto& node = m_sidecars[sidecar];
+    if (node.mode == target_mode::Refuses) {
+        schedule(milliseconds(5), [this, sidecar, incarnation = node.incarnation, attempt = work.attempt] {
             if (m_sidecars[sidecar].incarnation != incarnation)
                 return;
             runAtSidecar(sidecar, [this, sidecar, attempt] {
@@ -54,18 +54,18 @@
     execution.attempt = work.attempt.number;
     execution.key = m_keys[work.attempt.request];
     m_executions.push_back(execution);
-    one.jobs[work.attempt] = { work.work, 0, work.work.prompt, false };
-    schedule(tokenTime, [this, sidecar, incarnation = one.incarnation, attempt = work.attempt] {
+    node.jobs[work.attempt] = { work.work, 0, work.work.prompt, false };
+    schedule(tokenTime, [this, sidecar, incarnation = node.incarnation, attempt = work.attempt] {
         advanceJob(sidecar, incarnation, attempt);
     });
 }
 
 void request_simulation::advanceJob(std::size_t sidecar, incarnation_number incarnation, const attempt_id& attempt)
 {
-    auto& one = m_sidecars[sidecar];
-    if (one.incarnation != incarnation)
+    auto& node = m_sidecars[sidecar];
+    if (node.incarnation != incarnation)
         return;
-    auto& job = one.jobs.at(attempt);
+    auto& job = node.jobs.at(attempt);
     const auto end = [&](const work_outcome& outcome) {
         runAtSidecar(
             sidecar, [this, sidecar, attempt, outcome] { m_sidecars[sidecar].core->ended(attempt, outcome, m_now); });
@@ -74,11 +74,11 @@
         end({ result_code::Cancelled, "", "", false });
         return;
     }
-    if (one.mode == target_mode::Stalls && job.generated > 0) {
+    if (node.mode == target_mode::Stalls && job.generated > 0) {
         schedule(tokenTime, [this, sidecar, incarnation, attempt] { advanceJob(sidecar, incarnation, attempt); });
         return;
     }
-    if (one.mode == target_mode::Fails && job.generated > 0) {
+    if (node.mode == target_mode::Fails && job.generated > 0) {
         end({ result_code::TargetFailed, "", "", false });
         return;
     }
@@ -97,19 +97,19 @@
 
 void request_simulation::restartSidecar(std::size_t sidecar)
 {
-    auto& one = m_sidecars[sidecar];
-    one.incarnation = m_lastIncarnation += 2; // the number below it serves as an outdated incarnation
+    auto& node = m_sidecars[sidecar];
+    node.incarnation = m_lastIncarnation += 2; // the number below it serves as an outdated incarnation
     gate_options options;
-    options.incarnation = one.incarnation;
+    options.incarnation = node.incarnation;
     options.slots = 2;
     options.queueLimit = 3;
-    one.core = std::make_unique<sidecar_core>(std::to_string(sidecar), options, 1U << 20U, m_now);
-    one.core->gate().renewConfiguration(m_configuration, m_now + std::chrono::seconds(3));
-    one.core->gate().setReady(true);
-    one.core->gate().setDraining(one.draining);
-    one.jobs.clear();
-    one.paused = false;
-    one.deferredEvents.clear();
+    node.core = std::make_unique<sidecar_core>(std::to_string(sidecar), options, 1U << 20U, m_now);
+    node.core->gate().renewConfiguration(m_configuration, m_now + std::chrono::seconds(3));
+    node.core->gate().setReady(true);
+    node.core->gate().setDraining(node.draining);
+    node.jobs.clear();
+    node.paused = false;
+    node.deferredEvents.clear();
 }
 
 } // namespace test_support
--- a/tests/support/simulated_cluster.cpp
+++ b/tests/support/simulated_cluster.cpp
@@ -39,10 +39,10 @@
     , m_random(seed)
     , m_now(steady_time {} + std::chrono::hours(1))
 {
-    for (std::size_t at = 0; at < nodes; ++at) {
+    for (std::size_t index = 0; index < nodes; ++index) {
         simulated_node node;
-        node.address = "node" + std::to_string(at);
-        node.id = at + 1;
+        node.address = "node" + std::to_string(index);
+        node.id = index + 1;
         m_nodes.push_back(std::move(node));
     }
     for (auto& node : m_nodes)
@@ -51,7 +51,8 @@
     for (int round = 0; round < maxFormationSteps; ++round) {
         run(1);
         const auto& members = m_nodes.front().process->members();
-        const auto voters = std::count_if(members.begin(), members.end(), [](const auto& one) { return one.voter; });
+        const auto voters
+            = std::count_if(members.begin(), members.end(), [](const auto& member) { return member.voter; });
         if (static_cast<std::size_t>(voters) == nodes)
             break;
     }
@@ -59,7 +60,7 @@
 
 void simulated_cluster::run(int steps)
 {
-    for (int at = 0; at < steps; ++at) {
+    for (int step = 0; step < steps; ++step) {
         m_now += stepDuration;
         std::vector<std::pair<steady_time, peer_message>> due;
         std::vector<std::pair<steady_time, peer_message>> later;
@@ -72,7 +73,7 @@
                 auto& node = m_nodes[index];
                 if (node.id == message.to && node.process && !m_isolated.contains(index)) {
                     node.process->receive(message, m_now);
-                    carryOutEffects(node, crash_point::None);
+                    applyEffects(node, crash_point::None);
                 }
             }
         }
@@ -87,7 +88,7 @@
             node.process->tick(m_now);
             if (auto members = nextMembers(*node.process, joining, m_now))
                 (void)node.process->proposeMembers(std::move(*members));
-            carryOutEffects(node, crash_point::None);
+            applyEffects(node, crash_point::None);
         }
         checkLeaders();
     }
@@ -97,7 +98,7 @@
 {
     for (auto& node : m_nodes) {
         if (node.process && node.process->propose(command))
-            carryOutEffects(node, crash_point::None);
+            applyEffects(node, crash_point::None);
     }
 }
 
@@ -109,7 +110,7 @@
     const std::uint64_t id = ++m_lastReadId;
     node.pendingReads[id] = { m_committed.begin(), m_committed.end() };
     node.process->requestReadIndex(id);
-    carryOutEffects(node, crash_point::None);
+    applyEffects(node, crash_point::None);
 }
 
 void simulated_cluster::crash(std::size_t index, crash_point point)
@@ -119,7 +120,7 @@
         return;
     if (m_random() % 2 == 0)
         node.process->propose("crash-" + std::to_string(m_random() % 1000));
-    carryOutEffects(node, point);
+    applyEffects(node, point);
     node.process.reset();
     node.pendingReads.clear();
 }
@@ -153,8 +154,8 @@
 {
     m_isolated.clear();
     m_lossProbability = 0;
-    for (std::size_t at = 0; at < m_nodes.size(); ++at)
-        restart(at);
+    for (std::size_t index = 0; index < m_nodes.size(); ++index)
+        restart(index);
 }
 
 void simulated_cluster::compact(std::size_t index)
@@ -169,14 +170,15 @@
 
 std::optional<std::size_t> simulated_cluster::leader() const
 {
-    for (std::size_t at = 0; at < m_nodes.size(); ++at) {
-        if (m_nodes[at].process && m_nodes[at].process->role() == replica_role::Leader && !m_isolated.contains(at))
-            return at;
+    for (std::size_t index = 0; index < m_nodes.size(); ++index) {
+        if (m_nodes[index].process && m_nodes[index].process->role() == replica_role::Leader
+            && !m_isolated.contains(index))
+            return index;
     }
     return std::nullopt;
 }
 
-void simulated_cluster::carryOutEffects(simulated_node& node, crash_point point)
+void simulated_cluster::applyEffects(simulated_node& node, crash_point point)
 {
     for (int round = 0; round < maxEffectRounds; ++round) {
         const effects effects = node.process->takeEffects();
@@ -202,7 +204,7 @@
         }
         if (point == crash_point::AfterSend)
             return;
-        apply(node, effects);
+        applyCommitted(node, effects);
     }
 }
 
@@ -220,7 +222,7 @@
     }
 }
 
-void simulated_cluster::apply(simulated_node& node, const effects& effects)
+void simulated_cluster::applyCommitted(simulated_node& node, const effects& effects)
 {
     if (effects.installed)
         node.applied = split(effects.installed->state);
@@ -228,12 +230,12 @@
         if (entry.kind == entry_kind::Command)
             node.applied.push_back(entry.command);
     }
-    for (std::size_t at = 0; at < node.applied.size(); ++at) {
-        if (at >= m_committed.size())
-            m_committed.push_back(node.applied[at]);
-        else if (m_committed[at] != node.applied[at])
-            m_violations.push_back(
-                node.address + " applied '" + node.applied[at] + "' where '" + m_committed[at] + "' was committed");
+    for (std::size_t index = 0; index < node.applied.size(); ++index) {
+        if (index >= m_committed.size())
+            m_committed.push_back(node.applied[index]);
+        else if (m_committed[index] != node.applied[index])
+            m_violations.push_back(node.address + " applied '" + node.applied[index] + "' where '" + m_committed[index]
+                + "' was committed");
     }
     for (const auto& read : effects.reads) {
         const auto found = node.pendingReads.find(read.readId);
--- a/tests/support/simulated_cluster.hpp
+++ b/tests/support/simulated_cluster.hpp
@@ -74,9 +74,9 @@
     bool skipHardState = false;
 
 private:
-    void carryOutEffects(simulated_node& node, crash_point point);
+    void applyEffects(simulated_node& node, crash_point point);
     void persist(simulated_node& node, const effects& effects) const;
-    void apply(simulated_node& node, const effects& effects);
+    void applyCommitted(simulated_node& node, const effects& effects);
     void checkLeaders();
     void start(simulated_node& node);
 
