--- a/src/app/entry/entry.cpp
+++ b/src/app/entry/entry.cpp
@@ -95,7 +95,7 @@
     session_callbacks callbacks;
     callbacks.leaseRenewed = [](configuration_version, steady_time) {};
     callbacks.configurationApplied = [this](const configuration::document&, configuration_version) {
-        driveAll(m_runs, [](auto& run, steady_time now) { run.configurationReceived(now); });
+        passEventToAll(m_runs, [](auto& run, steady_time now) { run.configurationReceived(now); });
     };
     callbacks.orderReceived = [](const dispatch::target_order&) {};
     callbacks.membershipChanged = [this](const membership::membership_delta& delta) { onMembership(delta); };
@@ -217,8 +217,8 @@
 
 void entry::onLinkLost(const instance_id& instance)
 {
-    driveAll(m_runs, [&](auto& run, steady_time now) { run.linkLost(instance, now); });
-    driveAll(m_chains, [&](auto& run, steady_time now) { run.linkLost(instance, now); });
+    passEventToAll(m_runs, [&](auto& run, steady_time now) { run.linkLost(instance, now); });
+    passEventToAll(m_chains, [&](auto& run, steady_time now) { run.linkLost(instance, now); });
 }
 
 routing::route_query entry::makeQuery(const run_context& context, steady_time now) const
@@ -447,8 +447,8 @@
 void entry::tick()
 {
     const steady_time now = steadyNow();
-    driveAll(m_runs, [](auto& run, steady_time tickTime) { run.tick(tickTime); });
-    driveAll(m_chains, [](auto& run, steady_time tickTime) { run.tick(tickTime); });
+    passEventToAll(m_runs, [](auto& run, steady_time tickTime) { run.tick(tickTime); });
+    passEventToAll(m_chains, [](auto& run, steady_time tickTime) { run.tick(tickTime); });
     m_isReady = !m_isStopping && !m_refusesRequests && !m_drainedByOperator && m_session->hasLease();
     m_metrics.gauge("requests_in_flight", static_cast<double>(m_runs.size() + m_chains.size()));
     m_metrics.gauge("link_bytes_sent", static_cast<double>(m_hub->bytesSent()));
--- a/src/app/entry/entry.hpp
+++ b/src/app/entry/entry.hpp
@@ -119,9 +119,9 @@
     template <typename Event> void withAttempt(const attempt_id& attempt, Event event);
     /// Passes an event to a chain, if it is active, and carries out the effects.
     template <typename Event> void withChain(const std::string& requestId, Event event);
-    template <typename Runs, typename Event> void drive(Runs& runs, const std::string& requestId, Event event);
+    template <typename Runs, typename Event> void passEvent(Runs& runs, const std::string& requestId, Event event);
     /// Passes an event to every active run or chain.
-    template <typename Runs, typename Event> void driveAll(Runs& runs, Event event);
+    template <typename Runs, typename Event> void passEventToAll(Runs& runs, Event event);
 
     void tick();
     /// @brief Records a decision for explain(). Only the most recent requests are kept.
@@ -157,7 +157,7 @@
 /// @brief Runs the role until SIGTERM. @return the exit status
 int runEntry(const settings::settings& settings);
 
-template <typename Runs, typename Event> void entry::drive(Runs& runs, const std::string& requestId, Event event)
+template <typename Runs, typename Event> void entry::passEvent(Runs& runs, const std::string& requestId, Event event)
 {
     const auto found = runs.find(requestId);
     if (found == runs.end())
@@ -170,24 +170,24 @@
         removeRun(requestId);
 }
 
-template <typename Runs, typename Event> void entry::driveAll(Runs& runs, Event event)
+template <typename Runs, typename Event> void entry::passEventToAll(Runs& runs, Event event)
 {
     std::vector<std::string> all;
     all.reserve(runs.size());
     for (const auto& [id, active] : runs)
         all.push_back(id);
     for (const auto& id : all)
-        drive(runs, id, event);
+        passEvent(runs, id, event);
 }
 
 template <typename Event> void entry::withRun(const std::string& requestId, Event event)
 {
-    drive(m_runs, requestId, event);
+    passEvent(m_runs, requestId, event);
 }
 
 template <typename Event> void entry::withChain(const std::string& requestId, Event event)
 {
-    drive(m_chains, requestId, event);
+    passEvent(m_chains, requestId, event);
 }
 
 template <typename Event> void entry::withAttempt(const attempt_id& attempt, Event event)
--- a/src/app/sidecar/target_adapter.cpp
+++ b/src/app/sidecar/target_adapter.cpp
@@ -203,10 +203,10 @@
         const auto metrics = get(address(), "/metrics");
         std::istringstream lines(metrics.body);
         for (std::string line; std::getline(lines, line);) {
-            std::istringstream words(line);
+            std::istringstream fields(line);
             std::string name;
             double value = 0;
-            if (!(words >> name >> value))
+            if (!(fields >> name >> value))
                 continue;
             if (name == "num_requests_running")
                 status.running = static_cast<std::uint32_t>(value);
--- a/src/buckthornrail/execution/chain_faults_test.cpp
+++ b/src/buckthornrail/execution/chain_faults_test.cpp
@@ -89,7 +89,7 @@
     struct sidecar_node {
         chain_stage stage;
         stage_guard guard;
-        bool dead = false;
+        bool killed = false;
         bool paused = false;
         bool cut = false;
         bool failsNext = false;
@@ -104,11 +104,11 @@
         const chain_fault active = number == faultStep ? fault : chain_fault::None;
         if (active >= chain_fault::KillStage)
             injectFault(active);
-        const auto usable = [this](const std::string& name) { return name.empty() || !m_sidecars.at(name).dead; };
+        const auto isRunning = [this](const std::string& name) { return name.empty() || !m_sidecars.at(name).killed; };
         const auto isCut = [this](const std::string& name, const std::string& other) {
             return !name.empty() && other.empty() && m_sidecars.at(name).cut;
         };
-        if (active == chain_fault::Drop || !usable(from) || isCut(from, to) || isCut(to, from))
+        if (active == chain_fault::Drop || !isRunning(from) || isCut(from, to) || isCut(to, from))
             return;
         const auto arrive = [this, to, deliver] {
             if (to.empty()) {
@@ -116,7 +116,7 @@
                 return;
             }
             auto& receiver = m_sidecars.at(to);
-            if (receiver.dead)
+            if (receiver.killed)
                 return;
             if (receiver.paused) {
                 m_events.emplace(m_now + std::chrono::seconds(8), deliver); // resumes after the entry's timeouts
@@ -132,11 +132,11 @@
     void injectFault(chain_fault kind)
     {
         auto& sidecar = m_sidecars.at(victim);
-        sidecar.dead = kind == chain_fault::KillStage;
+        sidecar.killed = kind == chain_fault::KillStage;
         sidecar.paused = kind == chain_fault::PauseStage;
         sidecar.failsNext = kind == chain_fault::StepFails;
         sidecar.cut = kind == chain_fault::CutFromEntry;
-        if (sidecar.dead) {
+        if (sidecar.killed) {
             m_events.emplace(m_now + milliseconds(20), [this] {
                 m_run->linkLost(victim, m_now);
                 applyEffects();
