--- a/include/buckthornrail/dispatch/claim_table.hpp
+++ b/include/buckthornrail/dispatch/claim_table.hpp
@@ -60,8 +60,8 @@
 /// @ingroup dispatch
 class claim_table {
 public:
-    /// @brief Advances the clock, removes expired claims, then grants or refuses the command's claim. Repeating a
-    /// granted command has no effect.
+    /// @brief Advances the clock, removes expired claims, then grants or refuses the command's claim. Applying a
+    /// granted command again has no effect.
     claim_result apply(const claim_command& command);
 
     [[nodiscard]] std::size_t size() const { return m_claims.size(); }
--- a/include/buckthornrail/dispatch/messages.hpp
+++ b/include/buckthornrail/dispatch/messages.hpp
@@ -25,7 +25,7 @@
     Stage, ///< one stage of a chain
 };
 
-/// Work that a target is asked to do.
+/// Work for a target.
 struct work_order {
     work_kind kind = work_kind::Completion;
     std::string model;
--- a/include/buckthornrail/dispatch/order_sequencer.hpp
+++ b/include/buckthornrail/dispatch/order_sequencer.hpp
@@ -28,8 +28,8 @@
 };
 
 struct order_options {
-    bool targetChecksFences = true; ///< the target refuses orders with a token below the highest it has seen
-    milliseconds orderTimeout { 10000 }; ///< maximum duration of the call that carries an order
+    bool targetChecksFences = true; ///< the target refuses orders with a token below the highest it has received
+    milliseconds orderTimeout { 10000 }; ///< maximum duration of the call that sends an order
     milliseconds readBackInterval { 200 }; ///< between reads of the loaded version
 };
 
@@ -42,7 +42,7 @@
     target_order order;
     steady_time deadline {};
 };
-/// Ask the target what it has loaded, then call stateRead().
+/// Read the loaded model and version from the target, then call stateRead().
 struct read_target_state { };
 /// Report to the controllers that an order has ended.
 struct report_order {
@@ -51,26 +51,26 @@
 };
 using order_effect = std::variant<pause_work, resume_work, send_order, read_target_state, report_order>;
 
-/// @brief State machine of the orders to one target. The owner passes events in and carries out the effects.
+/// @brief State machine of the orders to one target. The owner passes events in and applies the effects.
 /// @ingroup dispatch
 class order_sequencer {
 public:
     order_sequencer(order_options options, steady_time now);
 
-    /// @brief Handles an order of the controllers. Repeated and older orders are ignored; a newer one replaces a
+    /// @brief Handles an order of the controllers. Duplicate and older orders are ignored; a newer one replaces a
     /// pending one.
     void offer(const target_order& order, steady_time now);
     /// @brief No work is queued or running since pause_work.
     void workDrained(steady_time now);
-    /// @brief The call that carried an order has ended.
+    /// @brief The call that sent an order has ended.
     /// @param accepted not used: the loaded version decides on the outcome
-    /// @param refusedAsStale whether the target has refused the order because it has seen a higher fencing token
+    /// @param refusedAsStale whether the target has refused the order because it has received a higher fencing token
     void orderCallEnded(fencing_token fence, bool accepted, bool refusedAsStale, steady_time now);
     /// @brief The target reports the model and version that it has loaded.
     void stateRead(const std::string& model, const std::string& version, steady_time now);
     void tick(steady_time now);
 
-    /// @return the next effect to carry out, if any
+    /// @return the next effect to apply, if any
     std::optional<order_effect> nextEffect();
     /// @return highest token of any order so far
     [[nodiscard]] fencing_token highestFence() const { return m_highestFence; }
--- a/include/buckthornrail/dispatch/request_run.hpp
+++ b/include/buckthornrail/dispatch/request_run.hpp
@@ -85,7 +85,7 @@
 using run_effect = std::variant<choose_target, send_claim, send_offer, send_revoke, send_attach, deliver_frames,
     await_configuration, finish_run>;
 
-/// @brief The owner passes events in and carries out the effects that nextEffect() returns. Events of attempts other
+/// @brief The owner passes events in and applies the effects that nextEffect() returns. Events of attempts other
 /// than the current one are ignored.
 /// @ingroup dispatch
 class request_run {
@@ -115,7 +115,7 @@
     void callerGone(steady_time now);
     void tick(steady_time now);
 
-    /// @return the next effect to carry out, if any
+    /// @return the next effect to apply, if any
     std::optional<run_effect> nextEffect();
     /// @return time at which tick() must be called next
     [[nodiscard]] steady_time nextDeadline() const;
@@ -184,15 +184,15 @@
     bool m_earlierStarted = false; ///< an earlier attempt started
     bool m_earlierUnknown = false; ///< an earlier attempt may have started
     bool m_isAttachedToOtherRun = false; ///< the current attempt belongs to another run, which holds the key
-    claim_holder m_claimHolder; ///< known holder of the key: an attempt of this or of the followed run; may be empty
+    claim_holder m_claimHolder; ///< known holder of the key: an attempt of this or of the other run; may be empty
     claim_holder m_replaces; ///< holder that is proven not to have run; the next claim replaces it
     claim_holder m_requestedClaim; ///< holder in the last send_claim
     failure m_lastFailure;
     std::set<instance_id> m_excluded;
     std::optional<response_assembler> m_assembler;
-    std::vector<response_frame> m_bufferedFrames; ///< not a stream: held until the response is complete
-    std::vector<std::string> m_tokensDelivered;
-    bool m_hasDelivered = false;
+    std::vector<response_frame> m_bufferedFrames; ///< not a stream: delivered once the response is complete
+    std::vector<std::string> m_tokensDelivered; ///< their texts, of all attempts
+    bool m_hasDelivered = false; ///< a stream: frames were delivered
     std::deque<run_effect> m_effects;
 };
 
--- a/include/buckthornrail/dispatch/sidecar_core.hpp
+++ b/include/buckthornrail/dispatch/sidecar_core.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A sidecar's handling of attempts: admission, responses and the linkNumbers that receive them. Does no I/O.
+/// @brief A sidecar's handling of attempts: admission, responses and the links that they are sent over. Does no I/O.
 #pragma once
 
 #include "buckthornrail/dispatch/response.hpp"
@@ -37,10 +37,10 @@
     result_code code = result_code::Ok;
     std::string reason;
     std::string finishReason; ///< "stop" or "length" for completions
-    bool notStarted = false; ///< the target never received the work
+    bool notStarted = false; ///< the work was not begun: it was refused, or it never reached the target
 };
 
-/// @brief The owner passes events in and carries out the effects that nextEffect() returns.
+/// @brief The owner passes events in and applies the effects that nextEffect() returns.
 /// @ingroup dispatch
 class sidecar_core {
 public:
@@ -61,11 +61,11 @@
     void stageOpened(const attempt_id& attempt);
     /// @brief A stage has ended. Sends no end message.
     void stageClosed(const attempt_id& attempt, steady_time now);
-    /// @brief The work of an attempt could not be started, so that the attempt has not run.
+    /// @brief The work of an attempt was not begun after all, so that the attempt has not run.
     void notStarted(const attempt_id& attempt, const failure& why, steady_time now);
     void reportLoad(link_number linkNumber);
 
-    /// @return the next effect to carry out, if any
+    /// @return the next effect to apply, if any
     std::optional<sidecar_effect> nextEffect();
 
     target_gate& gate() { return m_gate; }
@@ -84,8 +84,9 @@
     void applyEffects(const std::vector<gate_effect>& effects);
     void start(const attempt_id& attempt);
     void send(link_number linkNumber, sidecar_message message);
-    /// @brief Sends to the linkNumbers that are attached to an attempt, in addition to the one that offered it.
+    /// @brief Sends over the links that are attached to an attempt, in addition to the one that offered it.
     void sendToAttached(const attempt_id& attempt, const sidecar_message& message);
+    /// @brief Removes the work of an attempt and detaches all links from it.
     void removeWork(const attempt_id& attempt);
 
     instance_id m_self;
--- a/include/buckthornrail/dispatch/target_gate.hpp
+++ b/include/buckthornrail/dispatch/target_gate.hpp
@@ -1,7 +1,8 @@
 /// @file
 /// @brief Admission control of a sidecar: queues offered attempts and decides which of them starts next at the target.
 ///
-/// All work for the target passes the gate. An attempt starts at most once, and never after it was refused or revoked.
+/// All work for the target goes through the gate. An attempt starts at most once, and never after it was refused or
+/// revoked.
 #pragma once
 
 #include "buckthornrail/core/clock.hpp"
@@ -23,7 +24,7 @@
     std::size_t slots = 1; ///< requests that the target runs concurrently
     std::size_t queueLimit = 16; ///< maximum number of attempts that are accepted and not started
     milliseconds recordRetention { 600'000 }; ///< of ended attempts; longer than any request lasts
-    milliseconds nonIdempotentRetention { 7'200'000 }; ///< of ended attempts; longer than the controllers keep a claim
+    milliseconds nonIdempotentRetention { 7'200'000 }; ///< of ended attempts; longer than a claim is retained
 };
 
 /// Start this attempt at the target.
@@ -50,22 +51,23 @@
 
 enum class gate_state : std::uint8_t { Queued, Started, Finished, Refused };
 
-/// @brief State machine. Each event returns the effects that the owner has to carry out.
+/// @brief State machine. Each event returns the effects that the owner must apply.
 /// @ingroup dispatch
 class target_gate {
 public:
     target_gate(gate_options options, steady_time now);
 
-    /// @brief Queues or refuses an offered attempt. A repeated offer has no effect, except that a refusal is sent
-    /// again.
+    /// @brief Queues or refuses an offered attempt. A duplicate offer has no effect, except that a refusal is
+    /// sent again.
     std::vector<gate_effect> offer(const attempt_offer& offer, link_number linkNumber, steady_time now);
     /// @brief Prevents the start of an attempt, also of one that has not been offered yet.
-    /// @param effects receives the cancellation of an attempt that has started, if the revocation asks for that
+    /// @param effects receives the cancellation of an attempt that has started, if the revocation requests that
     /// @return NotStarted only if a tombstone prevents a later start
     revoke_outcome revoke(const attempt_revoke& revoke, steady_time now, std::vector<gate_effect>& effects);
     /// @brief The target has ended the attempt, successfully or not.
     std::vector<gate_effect> finished(const attempt_id& attempt, steady_time now);
-    /// @brief The target never received the work, for example because it refused the connection.
+    /// @brief The work of a started attempt was not begun after all, for example because the target refused the
+    /// connection.
     std::vector<gate_effect> notStarted(const attempt_id& attempt, failure why, steady_time now);
     /// @brief A link has closed. Refuses its queued attempts and cancels its running ones, except non-idempotent ones.
     std::vector<gate_effect> linkLost(link_number linkNumber, steady_time now);
@@ -88,7 +90,7 @@
     [[nodiscard]] std::size_t running() const { return m_started.size(); }
     [[nodiscard]] std::size_t queued() const { return m_queue.size(); }
     [[nodiscard]] std::optional<gate_state> stateOf(const attempt_id& attempt) const;
-    /// @return linkNumber that offered an attempt, or 0
+    /// @return link that an attempt was offered over, or 0
     [[nodiscard]] link_number linkNumberOf(const attempt_id& attempt) const;
     [[nodiscard]] const gate_options& options() const { return m_options; }
     [[nodiscard]] configuration_version configuration() const { return m_configuration; }
@@ -113,7 +115,7 @@
     /// @return queued attempt of the highest priority whose workspace has the lowest normalized service; the first to
     /// arrive among equals
     [[nodiscard]] std::deque<attempt_id>::iterator nextToStart();
-    /// @return queued attempt to evict in favour of a newcomer, or the end: one of lower priority, or of the same
+    /// @return queued attempt to evict in favour of a new one, or the end: one of lower priority, or of the same
     /// priority and a workspace with more queued work relative to its weight
     [[nodiscard]] std::deque<attempt_id>::iterator findEvictionVictim(const attempt_record& newRecord);
     /// @brief Starts queued attempts while slots are free.
--- a/include/buckthornrail/execution/chain_run.hpp
+++ b/include/buckthornrail/execution/chain_run.hpp
@@ -42,39 +42,39 @@
     std::string finishReason;
 };
 
-/// Requests a chain without these instances. The answer is a call of chainBuilt() or noChain().
+/// Build a chain without these instances, then call chainBuilt() or noChain().
 struct choose_chain {
     std::set<instance_id> excluded;
 };
-/// Offers stage `stage` of the plan to its sidecar.
+/// Offer stage `stage` of the plan to its sidecar.
 struct open_stage {
     chain_plan plan;
     std::uint32_t stage = 0;
     std::uint32_t maxTokens = 0; ///< that remain to be generated
 };
-/// Withdraws the offer of a stage in a generation that did not open completely.
+/// Revoke the offer of a stage in a generation that did not open completely.
 struct revoke_stage {
     chain_stage stage;
     std::uint32_t generation = 0;
 };
-/// Sends the first step to stage 0. Each later one is sent by a sidecar.
+/// Send the first step to stage 0. Each later one is sent by a sidecar.
 struct send_first_step {
     chain_stage stage;
     stage_step step;
 };
-/// Tells a sidecar to reject all generations below this one.
+/// Fence a stage: its sidecar rejects all generations below this one.
 struct fence_stage {
     chain_stage stage;
     std::uint32_t generation = 0;
 };
-/// Ends the request at a sidecar.
+/// End the request at a sidecar.
 struct close_stage {
     chain_stage stage;
 };
 struct deliver_token {
     std::string text;
 };
-/// The final result of the request.
+/// Send the caller the final result; the last effect of a run.
 struct finish_chain {
     failure result;
     ran_state ran = ran_state::No; ///< whether any target may have run it
@@ -83,7 +83,7 @@
 using chain_effect = std::variant<choose_chain, open_stage, revoke_stage, send_first_step, fence_stage, close_stage,
     deliver_token, finish_chain>;
 
-/// @brief Runs one request. Its caller reports events, then carries out the effects from nextEffect().
+/// @brief Runs one request. The owner passes events in and applies the effects that nextEffect() returns.
 /// @ingroup execution
 class chain_run {
 public:
@@ -108,7 +108,7 @@
     /// @brief Handles timeouts; due at nextDeadline().
     void tick(steady_time now);
 
-    /// @return the next effect to carry out, if any
+    /// @return the next effect to apply, if any
     std::optional<chain_effect> nextEffect();
     [[nodiscard]] steady_time nextDeadline() const;
     [[nodiscard]] bool isFinished() const { return m_phase == phase::Finished; }
@@ -136,7 +136,7 @@
     std::set<instance_id> m_pendingInstances; ///< Opening: stage is not open; Fencing: fence is not confirmed
     std::set<instance_id> m_excluded;
     std::uint32_t m_nextToken = 0; ///< expected next, counted within the generation
-    std::uint32_t m_tokensDelivered = 0; ///< in all generations
+    std::uint32_t m_tokensDelivered = 0; ///< number of them, in all generations
     std::string m_text; ///< the prompt and the tokens delivered
     bool m_hasSentStep = false; ///< in any generation: targets may have run the request
     failure m_lastFailure;
--- a/include/buckthornrail/routing/route_table.hpp
+++ b/include/buckthornrail/routing/route_table.hpp
@@ -45,7 +45,7 @@
     instance_id instance;
     incarnation_number incarnation = 0;
     std::size_t candidates = 0; ///< number of candidates it was selected from
-    double estimateMs = 0; ///< expected time until the answer is complete
+    double estimateMs = 0; ///< expected time until the response is complete
     std::string_view reason; ///< as given by the selection strategy
 };
 
@@ -75,7 +75,7 @@
 
     /// @brief Records that an attempt was offered to a target; while its breaker is open, this is the trial request.
     void attemptOffered(const instance_id& id);
-    /// @brief Records the end of an attempt that did not start, or whose outcome says nothing about the target.
+    /// @brief Records the end of an attempt that did not start, or whose outcome is no evidence about the target.
     void attemptReleased(const instance_id& id);
     /// @brief Records a successful attempt; closes the breaker.
     /// @param elapsedMs time from start to end of the attempt
@@ -116,7 +116,7 @@
     [[nodiscard]] const std::vector<target_state*>& allTargetsFor(const route_query& query) const;
     /// Targets that are ready, match the query alone and whose breaker allows a request.
     [[nodiscard]] std::vector<target_state*> eligibleTargets(const route_query& query, steady_time now) const;
-    /// Draws a pool by the shares of the query and keeps only its targets.
+    /// Draws a pool by the shares of the query and removes the targets of all others.
     void restrictToPool(std::vector<target_state*>& targets, const route_query& query);
     void removeFromIndex(const target_state& target);
     target_state* findState(const instance_id& id);
--- a/include/buckthornrail/routing/selection_strategy.hpp
+++ b/include/buckthornrail/routing/selection_strategy.hpp
@@ -15,7 +15,7 @@
 /// @brief A target that could take a request, with its estimates.
 struct candidate {
     double waitMs = 0; ///< expected time until a slot is free
-    double finishMs = 0; ///< expected time until the answer is complete
+    double finishMs = 0; ///< expected time until the response is complete
     double rate = 1; ///< throughput with all slots in use, in work units per ms
     std::uint32_t outstanding = 0; ///< requests at the target, running or queued, as far as known
     std::uint32_t slots = 1; ///< requests that the target runs concurrently
--- a/src/app/entry/entry.hpp
+++ b/src/app/entry/entry.hpp
@@ -40,7 +40,7 @@
 
     /// @return names of the pipelines that a workspace may use
     [[nodiscard]] std::vector<std::string> allowedPipelines(const std::string& workspace) const;
-    /// @return the decisions made for a recent request, oldest first; empty: not known any more
+    /// @return the decisions made for a recent request, oldest first; empty: no longer stored
     [[nodiscard]] std::vector<std::string> explain(const std::string& requestId) const;
     [[nodiscard]] bool isReady() const { return m_isReady; }
     /// @brief Number of HTTP threads that serve a request. The process doesn't exit before it is 0.
@@ -81,7 +81,7 @@
     [[nodiscard]] tl::expected<admission_result, failure> admitRequest(const caller_request& request) const;
     /// @brief Stores the parameters of a request and draws its version.
     void applyAdmission(run_context& context, admission_result admission);
-    /// @brief Logs the reason and answers a request that isn't started.
+    /// @brief Logs the reason why a request isn't started, and sends it to the caller.
     void refuse(const run_context& context, const failure& why);
     [[nodiscard]] routing::route_query makeQuery(const run_context& context, steady_time now) const;
     void startRun(run_context context);
@@ -89,11 +89,11 @@
 
     /// @brief Removes a finished run or chain.
     void removeRun(const std::string& requestId);
-    /// @brief Carries out an effect that the state machine of a run or chain has requested.
+    /// @brief Applies an effect that the state machine of a run or chain has requested.
     void applyEffect(active_run& active, const dispatch::run_effect& effect);
     void applyEffect(active_chain& active, const execution::chain_effect& effect);
     void chooseTarget(active_run& active, const dispatch::choose_target& effect);
-    /// @brief Logs why routing has found no target and tells the run.
+    /// @brief Logs why routing has found no target, and reports it to the run.
     void reportNoTarget(active_run& active, const failure& why, steady_time now);
     /// @brief Admits a request again, under the configuration that is active now. To be called only before the first
     /// frame is delivered. @return why the request is refused now
@@ -113,18 +113,18 @@
     /// @brief Pushes a frame to the caller's queue. If it is full the request is cancelled.
     void deliverFrame(run_context& context, dispatch::response_frame frame);
 
-    /// Passes an event to a run, if it is active, and carries out the effects.
+    /// Passes an event to a run, if it is active, and applies the effects.
     template <typename Event> void withRun(const std::string& requestId, Event event);
     /// Passes an event to the run that made an attempt and to those attached to it, which resent its key.
     template <typename Event> void withAttempt(const attempt_id& attempt, Event event);
-    /// Passes an event to a chain, if it is active, and carries out the effects.
+    /// Passes an event to a chain, if it is active, and applies the effects.
     template <typename Event> void withChain(const std::string& requestId, Event event);
     template <typename Runs, typename Event> void passEvent(Runs& runs, const std::string& requestId, Event event);
     /// Passes an event to every active run or chain.
     template <typename Runs, typename Event> void passEventToAll(Runs& runs, Event event);
 
     void tick();
-    /// @brief Records a decision for explain(). Only the most recent requests are kept.
+    /// @brief Records a decision for explain(). Only the decisions of the most recent requests are stored.
     void recordDecision(const std::string& requestId, const std::string& decision);
 
     link::event_loop& m_loop;
--- a/src/app/sidecar/sidecar.hpp
+++ b/src/app/sidecar/sidecar.hpp
@@ -46,9 +46,9 @@
     void onFence(link::channel_number linkNumber, const link::stage_fence& fence);
     void onStageClose(const std::string& request);
 
-    /// @brief Carries out the pending effects of the dispatch core.
+    /// @brief Applies the pending effects of the dispatch core.
     void applyEffects();
-    /// @brief Carries out the pending effects of the order sequencer.
+    /// @brief Applies the pending effects of the order sequencer.
     void applyOrderEffects();
     void sendOrder(const dispatch::send_order& sending);
     void readTargetState();
@@ -72,7 +72,7 @@
     /// @brief Reports the state Ready or Joined to the controllers, unless the sidecar is stopping.
     void announceState();
     void tick();
-    /// @return the layers that the target holds, and how other sidecars reach this one
+    /// @return the layers that the target holds, and the address at which other sidecars reach this one
     [[nodiscard]] execution::chain_stage ownStage() const;
 
     link::event_loop& m_loop;
@@ -83,7 +83,7 @@
     dispatch::sidecar_core m_core;
     execution::stage_guard m_guard;
     dispatch::order_sequencer m_orders;
-    bool m_paused = false; ///< an order is waiting for work to end or is in progress
+    bool m_paused = false; ///< an order waits until work has ended, or is in progress
     std::map<attempt_id, std::shared_ptr<http::call_canceller>> m_cancellers; ///< of calls in flight
     std::map<std::string, attempt_id> m_stageAttempts; ///< open stage attempt by request
     std::map<link::channel_number, peer> m_peers;
--- a/src/app/sidecar/sidecar_links.hpp
+++ b/src/app/sidecar/sidecar_links.hpp
@@ -37,7 +37,7 @@
 
     void onOpened(link::channel_number linkNumber);
     void onClosed(link::channel_number linkNumber);
-    /// @return the sidecar at the other end, or an empty identifier for a linkNumber that isn't one of these links
+    /// @return the sidecar at the other end, or an empty identifier for any other link
     [[nodiscard]] instance_id instanceOf(link::channel_number linkNumber) const
     {
         const auto found = m_instanceByLink.find(linkNumber);
@@ -62,7 +62,7 @@
     sidecar_link_callbacks m_callbacks;
     std::map<instance_id, sidecar_link> m_links;
     std::map<link::channel_number, instance_id> m_instanceByLink;
-    std::uint64_t m_epoch = 0; ///< number of links opened; tells a sidecar which of them is the newest
+    std::uint64_t m_epoch = 0; ///< number of links opened; shows a sidecar which of them is the newest
 };
 
 } // namespace buckthornrail::app
--- a/src/app/sidecar/sidecar_orders.cpp
+++ b/src/app/sidecar/sidecar_orders.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Carries out the effects of the order sequencer: calls the target and reports to the controllers.
+/// @brief Applies the effects of the order sequencer: calls the target and reports to the controllers.
 #include "app/sidecar/sidecar.hpp"
 
 namespace buckthornrail::app {
--- a/src/app/sidecar/target_adapter.cpp
+++ b/src/app/sidecar/target_adapter.cpp
@@ -109,7 +109,7 @@
     std::string m_buffer;
 };
 
-/// Orders to load a model, which all kinds of targets that hold one accept in the same form.
+/// Orders to load a model, accepted in the same form by all kinds of targets that run one.
 class model_adapter : public target_adapter {
 public:
     explicit model_adapter(std::string address)
--- a/src/app/sidecar/target_adapter.hpp
+++ b/src/app/sidecar/target_adapter.hpp
@@ -17,7 +17,7 @@
 struct target_status {
     bool ready = false;
     std::uint32_t running = 0; ///< requests in progress
-    std::uint32_t queued = 0; ///< requests queued
+    std::uint32_t queued = 0;
 };
 
 using dispatch::work_outcome;
@@ -50,25 +50,25 @@
     target_adapter& operator=(const target_adapter&) = delete;
     virtual ~target_adapter() = default;
 
-    /// @brief Asks the target for its readiness and load. A target that doesn't respond is not ready.
+    /// @brief Queries the readiness and load of the target. A target that doesn't respond is not ready.
     virtual target_status probe() = 0;
     /// @brief Runs an attempt at the target, until it has ended or the canceller is used.
     /// @param sink receives the frames of the response on the calling thread
     virtual work_outcome run(const attempt_id& attempt, const dispatch::work_order& work, steady_time deadline,
         http::call_canceller& canceller, const frame_sink& sink)
         = 0;
-    /// @brief Tells the target to stop an attempt, because it may not stop when the connection closes.
+    /// @brief Cancels an attempt at the target, which may not stop it when the connection closes.
     virtual void cancel(const attempt_id& attempt) { (void)attempt; }
     /// @brief Runs a step.
     /// @return TargetRejected if the target doesn't hold a range of layers
     virtual step_outcome runStep(const step_order& order, steady_time deadline);
-    /// @brief Tells the target to load a version of a model.
-    /// @return false if the target refuses the order because it has seen a higher fencing token; true otherwise, also
-    /// when the call fails
+    /// @brief Sends the target an order to load a version of a model.
+    /// @return false if the target refuses the order because it has received a higher fencing token; true otherwise,
+    /// also when the call fails
     virtual bool sendOrder(const dispatch::target_order& order, steady_time deadline) = 0;
     /// @return model and version that the target has loaded, empty if unknown
     virtual std::pair<std::string, std::string> loadedModel() = 0;
-    /// @brief Tells the target that it can discard the state of a split request.
+    /// @brief Notifies the target that it can discard the state of a split request.
     virtual void closeStage(const std::string& request) { (void)request; }
 };
 
--- a/src/buckthornrail/dispatch/order_sequencer.cpp
+++ b/src/buckthornrail/dispatch/order_sequencer.cpp
@@ -43,10 +43,10 @@
     if (m_phase != phase::Sending || fence != m_current->fence)
         return;
     if (refusedAsStale) {
-        finish({ result_code::StaleFence, "the target has seen a higher fencing token" }, now);
+        finish({ result_code::StaleFence, "the target has received a higher fencing token" }, now);
         return;
     }
-    (void)accepted; // the loaded version is read back whatever the target has replied
+    (void)accepted; // the loaded version is read back whatever the target has responded
     readBack(now);
 }
 
--- a/src/buckthornrail/dispatch/target_gate.cpp
+++ b/src/buckthornrail/dispatch/target_gate.cpp
@@ -17,7 +17,7 @@
     std::vector<gate_effect> effects;
     const auto known = m_records.find(offer.attempt);
     if (known != m_records.end()) {
-        // A repeated offer never starts a second time. The first reply stands; only a refusal is repeated.
+        // A duplicate offer never starts a second time. The first reply remains valid; only a refusal is sent again.
         if (known->second.state == gate_state::Refused)
             effects.emplace_back(
                 gate_refuse { offer.attempt, linkNumber, { result_code::Revoked, "already refused" } });
@@ -224,7 +224,7 @@
 
 std::deque<attempt_id>::iterator target_gate::findEvictionVictim(const attempt_record& newRecord)
 {
-    std::map<std::string, double> queuedByWorkspace; // by workspace: queued attempts divided by its weight
+    std::map<std::string, double> queuedByWorkspace; // number of attempts divided by the weight
     for (const auto& attempt : m_queue) {
         const auto& record = m_records.at(attempt);
         queuedByWorkspace[record.workspace] += 1.0 / record.weight;
--- a/src/buckthornrail/execution/chain_faults_test.cpp
+++ b/src/buckthornrail/execution/chain_faults_test.cpp
@@ -296,7 +296,7 @@
             }
         }
     }
-    std::cout << "chain fault matrix: " << cases << " cases, " << completed << " with a complete answer\n";
+    std::cout << "chain fault matrix: " << cases << " cases, " << completed << " with a complete response\n";
 }
 
 TEST_CASE("chains: any split of the layers with any fault at any message", "[chain][property]")
--- a/src/buckthornrail/routing/selection_strategy.cpp
+++ b/src/buckthornrail/routing/selection_strategy.cpp
@@ -66,8 +66,8 @@
     }
 
 private:
-    /// Bound on what a cached prefix is worth: targets slower than this multiple of the earliest finish time get no
-    /// preference.
+    /// Limit on the preference for a cached prefix: it doesn't apply to targets that finish later than this multiple of
+    /// the earliest finish time.
     static constexpr double maxAffinitySlowdown = 2.0;
 
     static bool finishesEarlier(const candidate& a, const candidate& b) { return a.finishMs < b.finishMs; }
--- a/tests/support/request_simulation.cpp
+++ b/tests/support/request_simulation.cpp
@@ -393,7 +393,7 @@
                 auto end = received;
                 if (disabled == disabled_protection::Digests) {
                     forEachRun(entry, received.attempt, [&](request_run& run) {
-                        // Makes the received part pass for the complete response.
+                        // The end message of an empty response: it matches if it arrives before all frames.
                         end.frameCount = 0;
                         end.digest = response_digest().value();
                         run.ended(end, m_now);
--- a/tests/support/request_simulation.hpp
+++ b/tests/support/request_simulation.hpp
@@ -27,11 +27,11 @@
 /// A protection to disable, to test that a checker detects the violations that follow.
 enum class disabled_protection {
     None,
-    Tombstones, ///< a revocation is answered "not started" without asking the sidecar
+    Tombstones, ///< a revocation gets the reply "not started" without being sent to the sidecar
     Claims, ///< every claim is granted
     Incarnations, ///< sidecars accept messages for an earlier incarnation
     Ownership, ///< an entry also adds each frame to a request that it doesn't belong to
-    Digests, ///< every end passes for that of a complete response
+    Digests, ///< each end message is replaced by that of a complete, empty response
 };
 
 struct simulated_request {
--- a/tests/support/simulated_cluster.hpp
+++ b/tests/support/simulated_cluster.hpp
@@ -18,7 +18,7 @@
 using namespace buckthornrail;
 using namespace buckthornrail::agreement;
 
-/// Step of carrying out its effects at which a replica crashes. None: after all of them.
+/// Step of applying its effects at which a replica crashes. None: after all of them.
 enum class crash_point { None, BeforePersist, AfterPersist, AfterSend };
 
 /// A replica with its disk and its state machine, which is the list of applied commands.
