--- a/src/app/entry/entry.hpp
+++ b/src/app/entry/entry.hpp
@@ -40,7 +40,7 @@
 
     /// @return names of the pipelines that a workspace may use
     [[nodiscard]] std::vector<std::string> allowedPipelines(const std::string& workspace) const;
-    /// @return the decisions made for a recent request, oldest first; empty: not known any more
+    /// @return the decisions made for a recent request, oldest first; empty: no longer stored
     [[nodiscard]] std::vector<std::string> explain(const std::string& requestId) const;
     [[nodiscard]] bool isReady() const { return m_isReady; }
     /// @brief Number of HTTP threads that serve a request. The process doesn't exit before it is 0.
@@ -70,10 +70,10 @@
     };
 
     session_callbacks sessionCallbacks();
-    void onMessage(link::link_number channel, const std::string& bytes);
-    void handle(link::link_number channel, const link::message& message);
-    void handleStage(link::link_number channel, const link::message& message);
-    void onRefused(link::link_number channel, const dispatch::attempt_refused& refused);
+    void onMessage(link::link_number linkNumber, const std::string& bytes);
+    void handle(link::link_number linkNumber, const link::message& message);
+    void handleStage(link::link_number linkNumber, const link::message& message);
+    void onRefused(link::link_number linkNumber, const dispatch::attempt_refused& refused);
     void onMembership(const membership::membership_delta& delta);
     void onUnsentOffer(const attempt_id& attempt);
     void onLinkLost(const instance_id& instance);
@@ -81,7 +81,7 @@
     [[nodiscard]] tl::expected<admission_result, failure> admitRequest(const caller_request& request) const;
     /// @brief Stores the parameters of a request and draws its version.
     void applyAdmission(run_context& context, admission_result admission);
-    /// @brief Logs the reason and answers a request that isn't started.
+    /// @brief Logs the reason why a request isn't started, and sends it to the caller.
     void refuse(const run_context& context, const failure& why);
     [[nodiscard]] routing::route_query makeQuery(const run_context& context, steady_time now) const;
     void startRun(run_context context);
@@ -89,11 +89,11 @@
 
     /// @brief Removes a finished run or chain.
     void removeRun(const std::string& requestId);
-    /// @brief Carries out an effect that the state machine of a run or chain has requested.
-    void carryOut(active_run& active, const dispatch::run_effect& effect);
-    void carryOut(active_chain& active, const execution::chain_effect& effect);
+    /// @brief Applies an effect that the state machine of a run or chain has requested.
+    void applyEffect(active_run& active, const dispatch::run_effect& effect);
+    void applyEffect(active_chain& active, const execution::chain_effect& effect);
     void chooseTarget(active_run& active, const dispatch::choose_target& effect);
-    /// @brief Logs why routing has found no target and tells the run.
+    /// @brief Logs why routing has found no target, and reports it to the run.
     void reportNoTarget(active_run& active, const failure& why, steady_time now);
     /// @brief Admits a request again, under the configuration that is active now. To be called only before the first
     /// frame is delivered. @return why the request is refused now
@@ -113,18 +113,18 @@
     /// @brief Pushes a frame to the caller's queue. If it is full the request is cancelled.
     void deliverFrame(run_context& context, dispatch::response_frame frame);
 
-    /// Passes an event to a run, if it is active, and carries out the effects.
+    /// Passes an event to a run, if it is active, and applies the effects.
     template <typename Event> void withRun(const std::string& requestId, Event event);
     /// Passes an event to the run that made an attempt and to those attached to it, which resent its key.
     template <typename Event> void withAttempt(const attempt_id& attempt, Event event);
-    /// Passes an event to a chain, if it is active, and carries out the effects.
+    /// Passes an event to a chain, if it is active, and applies the effects.
     template <typename Event> void withChain(const std::string& requestId, Event event);
-    template <typename Runs, typename Event> void drive(Runs& runs, const std::string& requestId, Event event);
+    template <typename Runs, typename Event> void passEvent(Runs& runs, const std::string& requestId, Event event);
     /// Passes an event to every active run or chain.
-    template <typename Runs, typename Event> void driveAll(Runs& runs, Event event);
+    template <typename Runs, typename Event> void passEventToAll(Runs& runs, Event event);
 
     void tick();
-    /// @brief Records a decision for explain(). Only the most recent requests are kept.
+    /// @brief Records a decision for explain(). Only the decisions of the most recent requests are stored.
     void recordDecision(const std::string& requestId, const std::string& decision);
 
     link::event_loop& m_loop;
@@ -143,7 +143,7 @@
     std::deque<std::string> m_recentRequests; ///< keys of m_decisions, oldest first
     bool m_refusesRequests = false; ///< shutting down; set after the grace period
     bool m_drainedByOperator = false;
-    std::function<void()> m_onDrained;
+    std::function<void()> m_onStopped;
     steady_time m_leaveDeadline {}; ///< for the acknowledgement of the state Left
     std::atomic<bool> m_isReady { false };
     std::atomic<bool> m_isStopping { false };
@@ -157,7 +157,7 @@
 /// @brief Runs the role until SIGTERM. @return the exit status
 int runEntry(const settings::settings& settings);
 
-template <typename Runs, typename Event> void entry::drive(Runs& runs, const std::string& requestId, Event event)
+template <typename Runs, typename Event> void entry::passEvent(Runs& runs, const std::string& requestId, Event event)
 {
     const auto found = runs.find(requestId);
     if (found == runs.end())
@@ -165,29 +165,29 @@
     auto& active = found->second;
     event(active.run, steadyNow());
     while (const auto effect = active.run.nextEffect())
-        carryOut(active, *effect);
+        applyEffect(active, *effect);
     if (active.run.isFinished())
         removeRun(requestId);
 }
 
-template <typename Runs, typename Event> void entry::driveAll(Runs& runs, Event event)
+template <typename Runs, typename Event> void entry::passEventToAll(Runs& runs, Event event)
 {
     std::vector<std::string> all;
     all.reserve(runs.size());
     for (const auto& [id, active] : runs)
         all.push_back(id);
     for (const auto& id : all)
-        drive(runs, id, event);
+        passEvent(runs, id, event);
 }
 
 template <typename Event> void entry::withRun(const std::string& requestId, Event event)
 {
-    drive(m_runs, requestId, event);
+    passEvent(m_runs, requestId, event);
 }
 
 template <typename Event> void entry::withChain(const std::string& requestId, Event event)
 {
-    drive(m_chains, requestId, event);
+    passEvent(m_chains, requestId, event);
 }
 
 template <typename Event> void entry::withAttempt(const attempt_id& attempt, Event event)
@@ -195,8 +195,8 @@
     withRun(attempt.request, event);
     const auto [first, last] = m_attachedRequests.equal_range(attempt.request);
     std::vector<std::string> attached;
-    for (auto at = first; at != last; ++at)
-        attached.push_back(at->second);
+    for (auto it = first; it != last; ++it)
+        attached.push_back(it->second);
     for (const auto& id : attached)
         withRun(id, event);
 }
