--- a/include/buckthornrail/configuration/configuration_store.hpp
+++ b/include/buckthornrail/configuration/configuration_store.hpp
@@ -64,7 +64,7 @@
     /// @brief Result of an earlier change, if it is still kept.
     [[nodiscard]] std::optional<change_result> resultOf(const std::string& changeId) const;
     /// @brief Update for a receiver that holds a version; nothing if that is the current one.
-    [[nodiscard]] std::optional<configuration_update> updateFor(configuration_version held) const;
+    [[nodiscard]] std::optional<configuration_update> updateFor(configuration_version receiverVersion) const;
 
     [[nodiscard]] configuration_version version() const { return m_state.version; }
     [[nodiscard]] const std::string& text() const;
--- a/include/buckthornrail/core/request_fingerprint.hpp
+++ b/include/buckthornrail/core/request_fingerprint.hpp
@@ -19,7 +19,7 @@
 };
 
 /// @brief Formats a fingerprint as hexadecimal digits.
-std::string text(const request_fingerprint& one);
+std::string text(const request_fingerprint& fingerprint);
 
 /// @brief Reads a fingerprint formatted by text(). @return nothing if the digits aren't valid
 std::optional<request_fingerprint> parseFingerprint(std::string_view digits);
--- a/include/buckthornrail/settings/settings.hpp
+++ b/include/buckthornrail/settings/settings.hpp
@@ -73,7 +73,7 @@
     std::uint32_t probeMs = 500;
     std::string targetFencing = "checked";
     std::uint32_t orderTimeoutMs = 60000;
-    std::uint32_t answerKeepBytes = 8U << 20U;
+    std::uint32_t responseStoreBytes = 8U << 20U;
 
     std::string dataFolder;
     std::uint32_t snapshotEntries = 2000;
@@ -109,7 +109,7 @@
 std::span<const setting_rule> settingRules();
 
 /// Error in a settings file.
-struct settings_fault {
+struct settings_error {
     std::string file;
     std::string section;
     std::string key;
@@ -117,18 +117,18 @@
 };
 
 /// @brief Formats an error. @return "file: [section] key: reason", without the parts that are empty
-std::string toString(const settings_fault& fault);
+std::string toString(const settings_error& error);
 
 /// @brief Parses and validates settings. @param file name of the file, for errors
 /// @return the settings, or all errors found
-tl::expected<settings, std::vector<settings_fault>> parseSettings(
+tl::expected<settings, std::vector<settings_error>> parseSettings(
     const std::string& text, const std::string& file, process_role role);
 
 /// @brief Reads a whole file. @return nothing if it can't be opened
 std::optional<std::string> readFile(const std::string& file);
 
 /// @brief Reads, parses and validates a settings file. @return the settings, or all errors found
-tl::expected<settings, std::vector<settings_fault>> loadSettings(const std::string& file, process_role role);
+tl::expected<settings, std::vector<settings_error>> loadSettings(const std::string& file, process_role role);
 
 /// @brief Checks that an address is "IP:port", an IPv4 address and a port from 1 to 65535. @return why it is invalid
 tl::expected<void, std::string> checkAddress(const std::string& address);
--- a/src/app/controller/controller.cpp
+++ b/src/app/controller/controller.cpp
@@ -17,7 +17,7 @@
 constexpr milliseconds maxLeaseCheckGap { 1000 };
 constexpr milliseconds claimTimeout { 2500 };
 constexpr milliseconds commandTimeout { 10000 };
-constexpr milliseconds handOverPeriod { 300 };
+constexpr milliseconds handOverDelay { 300 };
 
 } // namespace
 
@@ -76,7 +76,7 @@
 {
     m_isReady = false;
     m_log->stop();
-    m_loop.runAt(steadyNow() + handOverPeriod, std::move(done));
+    m_loop.runAt(steadyNow() + handOverDelay, std::move(done));
 }
 
 tl::expected<void, failure> controller::initialize() { return m_log->initialize(); }
@@ -269,7 +269,7 @@
     if (!m_log->isLeader())
         return;
     const steady_time now = steadyNow();
-    const steady_time lastCheck = std::exchange(m_leasesChecked, now);
+    const steady_time lastCheck = std::exchange(m_leasesCheckedAt, now);
     if (now - lastCheck > maxLeaseCheckGap) {
         // This process was stalled, or has just become the leader: heartbeats sent meanwhile may still be unread.
         for (auto& [id, deadline] : m_leases)
@@ -277,9 +277,9 @@
     }
     transition_batch batch;
     for (const auto& [id, record] : m_state.membership().records()) {
-        const bool isGone
+        const bool isLeftOrLost
             = record.state == membership::instance_state::Left || record.state == membership::instance_state::Lost;
-        if (isGone) {
+        if (isLeftOrLost) {
             m_leases.erase(id);
             continue;
         }
--- a/src/app/controller/controller.hpp
+++ b/src/app/controller/controller.hpp
@@ -92,7 +92,7 @@
     std::uint64_t m_openConfirmation = 0; ///< number of the sessions' confirmation in flight; 0: none
     agreement::member_id m_confirmingLeader = 0; ///< leader that the confirmation in flight was requested from
     std::map<instance_id, steady_time> m_leases; ///< deadlines; only the leader acts on them
-    steady_time m_leasesChecked {};
+    steady_time m_leasesCheckedAt {};
     steady_time m_transitionDeadline {}; ///< timeout of the submitted batch; the next one is not sent before
     bool m_pushNeeded = false; ///< the state has changed since the last push to the sessions
     steady_time m_pushDeadline {};
--- a/src/app/controller/controller_api.cpp
+++ b/src/app/controller/controller_api.cpp
@@ -26,9 +26,9 @@
     exchange.respond(200, { { "Content-Type", "application/json" } }, text + "\n");
 }
 
-void refuse(http_exchange& exchange, const failure& why)
+void refuse(http_exchange& exchange, const failure& error)
 {
-    http::respondError(exchange, why, why.code == result_code::NoQuorum ? ran_state::Unknown : ran_state::No);
+    http::respondError(exchange, error, error.code == result_code::NoQuorum ? ran_state::Unknown : ran_state::No);
 }
 
 json instanceToJson(const membership::instance_record& record)
@@ -125,23 +125,23 @@
 
     void instance(const http_request& request, http_exchange& exchange)
     {
-        const std::string rest = request.path.substr(instancePrefix.size());
-        const auto slash = rest.rfind('/');
-        const std::string action = slash == std::string::npos ? "" : rest.substr(slash + 1);
+        const std::string suffix = request.path.substr(instancePrefix.size());
+        const auto slash = suffix.rfind('/');
+        const std::string action = slash == std::string::npos ? "" : suffix.substr(slash + 1);
         if (request.method == "POST" && action == "order") {
-            order(rest.substr(0, slash), request.body, exchange);
+            order(suffix.substr(0, slash), request.body, exchange);
             return;
         }
         if (request.method != "POST" || (action != "drain" && action != "undrain")) {
             refuse(exchange, { result_code::NotFound, "use POST .../drain, .../undrain or .../order" });
             return;
         }
-        const auto result = commit(drain_command { rest.substr(0, slash), action == "drain" });
+        const auto result = commit(drain_command { suffix.substr(0, slash), action == "drain" });
         if (!result || result->outcome.code != result_code::Ok) {
             refuse(exchange, result ? result->outcome : result.error());
             return;
         }
-        respondJson(exchange, { { "instance", rest.substr(0, slash) }, { "drain", action == "drain" } });
+        respondJson(exchange, { { "instance", suffix.substr(0, slash) }, { "drain", action == "drain" } });
     }
 
 private:
@@ -177,8 +177,8 @@
 
     std::optional<confirmed_configuration> readConfirmed()
     {
-        using reading = std::optional<confirmed_configuration>;
-        const auto answer = callOnLoop<reading>(m_loop, loopTimeout, [this](const auto& reply) {
+        using optional_configuration = std::optional<confirmed_configuration>;
+        const auto result = callOnLoop<optional_configuration>(m_loop, loopTimeout, [this](const auto& reply) {
             m_role.confirm(
                 [this, reply](bool current) {
                     if (!current) {
@@ -190,28 +190,28 @@
                 },
                 confirmTimeout);
         });
-        return answer.value_or(std::nullopt);
+        return result.value_or(std::nullopt);
     }
 
     void getConfiguration(http_exchange& exchange, bool withHistory)
     {
-        const auto reading = readConfirmed();
-        if (!reading) {
+        const auto confirmed = readConfirmed();
+        if (!confirmed) {
             refuse(exchange, { result_code::NoQuorum, "" });
             return;
         }
-        json answer = { { "version", reading->version } };
+        json body = { { "version", confirmed->version } };
         if (!withHistory) {
-            answer["document"] = json::parse(reading->text);
-            respondJson(exchange, answer);
+            body["document"] = json::parse(confirmed->text);
+            respondJson(exchange, body);
             return;
         }
-        answer["changes"] = json::array();
-        for (const auto& change : reading->history) {
-            answer["changes"].push_back({ { "version", change.version }, { "change_id", change.changeId },
+        body["changes"] = json::array();
+        for (const auto& change : confirmed->history) {
+            body["changes"].push_back({ { "version", change.version }, { "change_id", change.changeId },
                 { "author", change.author }, { "time", change.wallSeconds }, { "patch", json::parse(change.patch) } });
         }
-        respondJson(exchange, answer);
+        respondJson(exchange, body);
     }
 
     /// Parses a body with the fields "base", "change_id", "author" (optional) and "document".
@@ -258,8 +258,8 @@
             return;
         }
         const auto parsed = configuration::parseDocument(change->second);
-        const auto reading = readConfirmed();
-        if (!reading) {
+        const auto confirmed = readConfirmed();
+        if (!confirmed) {
             refuse(exchange, { result_code::NoQuorum, "" });
             return;
         }
@@ -268,14 +268,14 @@
             refuse(exchange, parsed.error());
             return;
         }
-        if (change->first.base > reading->version) {
+        if (change->first.base > confirmed->version) {
             refuse(exchange,
-                { result_code::VersionConflict, "version " + std::to_string(reading->version) + " is current" });
+                { result_code::VersionConflict, "version " + std::to_string(confirmed->version) + " is current" });
             return;
         }
         // With an older base the patch is not applied: the result is a conflict or, for a resent change, the first
         // result.
-        change->first.patch = configuration::makePatch(reading->text, configuration::formatDocument(*parsed));
+        change->first.patch = configuration::makePatch(confirmed->text, configuration::formatDocument(*parsed));
         const auto result = commit(change->first);
         if (!result) {
             refuse(exchange, result.error());
@@ -290,11 +290,11 @@
         respondJson(exchange, { { "version", outcome.version }, { "change_id", outcome.changeId } });
     }
 
-    static void logRejection(const std::string& changeId, const failure& why)
+    static void logRejection(const std::string& changeId, const failure& error)
     {
         telemetry::logEvent(event_code::ConfigurationRejected,
-            { { "change", changeId }, { "code", std::to_string(static_cast<int>(why.code)) },
-                { "reason", why.reason } });
+            { { "change", changeId }, { "code", std::to_string(static_cast<int>(error.code)) },
+                { "reason", error.reason } });
     }
 
     link::event_loop& m_loop;
--- a/src/app/controller/controller_state.cpp
+++ b/src/app/controller/controller_state.cpp
@@ -25,12 +25,13 @@
 
 using nlohmann::json;
 
-template <std::size_t At = 0> command_body bodyFromJson(std::size_t type, const json& body)
+template <std::size_t Index = 0> command_body bodyFromJson(std::size_t type, const json& body)
 {
-    if constexpr (At < std::variant_size_v<command_body>) {
-        if (type == At)
-            return command_body(std::in_place_index<At>, body.get<std::variant_alternative_t<At, command_body>>());
-        return bodyFromJson<At + 1>(type, body);
+    if constexpr (Index < std::variant_size_v<command_body>) {
+        if (type == Index)
+            return command_body(
+                std::in_place_index<Index>, body.get<std::variant_alternative_t<Index, command_body>>());
+        return bodyFromJson<Index + 1>(type, body);
     } else {
         throw std::out_of_range("command type " + std::to_string(type) + " is unknown");
     }
@@ -40,7 +41,7 @@
 
 std::string encodeCommand(const command& value)
 {
-    const json body = std::visit([](const auto& one) { return json(one); }, value.body);
+    const json body = std::visit([](const auto& alternative) { return json(alternative); }, value.body);
     std::string bytes;
     json::to_cbor(json { { "id", value.id }, { "t", value.body.index() }, { "b", body } }, bytes);
     return bytes;
--- a/src/app/controller/operator_access.cpp
+++ b/src/app/controller/operator_access.cpp
@@ -17,8 +17,8 @@
     if (left.size() != right.size())
         return false;
     unsigned difference = 0;
-    for (std::size_t at = 0; at < left.size(); ++at)
-        difference |= static_cast<unsigned char>(left[at]) ^ static_cast<unsigned char>(right[at]);
+    for (std::size_t i = 0; i < left.size(); ++i)
+        difference |= static_cast<unsigned char>(left[i]) ^ static_cast<unsigned char>(right[i]);
     return difference == 0;
 }
 
--- a/src/app/controller/placement.cpp
+++ b/src/app/controller/placement.cpp
@@ -20,12 +20,12 @@
     return false;
 }
 
-bool isReadyCopy(const membership::instance_record& record, const membership::target_description& like)
+bool isReadyCopy(const membership::instance_record& record, const membership::target_description& expected)
 {
     const auto& target = record.target;
     return record.role == membership::instance_role::Sidecar && record.state == membership::instance_state::Ready
-        && !record.drainRequested && target.model == like.model && target.version == like.version
-        && target.firstLayer == like.firstLayer && target.endLayer == like.endLayer;
+        && !record.drainRequested && target.model == expected.model && target.version == expected.version
+        && target.firstLayer == expected.firstLayer && target.endLayer == expected.endLayer;
 }
 
 } // namespace
@@ -39,19 +39,19 @@
             failure { result_code::NotFound, "no target with a model at instance " + command.instance });
     if (!document.models.contains(command.model))
         return tl::make_unexpected(failure { result_code::NotFound, "no such model: " + command.model });
-    const auto& held = subject->target;
-    const bool changes = held.model != command.model || held.version != command.version;
+    const auto& current = subject->target;
+    const bool changes = current.model != command.model || current.version != command.version;
     // A copy that a pending order will unload doesn't count.
     const auto staysReady = [&](const auto& item) {
         const auto open = m_records.find(item.first);
-        const bool isOrderedAway = open != m_records.end()
+        const bool willUnload = open != m_records.end()
             && (open->second.state == order_state::Waiting || open->second.state == order_state::Released)
-            && (open->second.order.model != held.model || open->second.order.version != held.version);
-        return item.first != command.instance && !isOrderedAway && isReadyCopy(item.second, held);
+            && (open->second.order.model != current.model || open->second.order.version != current.version);
+        return item.first != command.instance && !willUnload && isReadyCopy(item.second, current);
     };
     const bool hasOtherCopy = std::any_of(instances.records().begin(), instances.records().end(), staysReady);
-    if (changes && !hasOtherCopy && isReadyCopy(*subject, held) && isInUse(document, held.model, held.version))
-        return tl::make_unexpected(failure { result_code::LastCopy, held.model + " version " + held.version });
+    if (changes && !hasOtherCopy && isReadyCopy(*subject, current) && isInUse(document, current.model, current.version))
+        return tl::make_unexpected(failure { result_code::LastCopy, current.model + " version " + current.version });
     auto& record = m_records[command.instance];
     record = { command.instance, { ++m_lastFence, command.model, command.version }, order_state::Waiting, "" };
     releaseWaiting();
--- a/src/app/controller/session_table.cpp
+++ b/src/app/controller/session_table.cpp
@@ -13,9 +13,9 @@
 {
     const std::size_t count = std::max<std::size_t>(1, (update.text.size() + pageBytes - 1) / pageBytes);
     std::vector<link::configuration_page> pages;
-    for (std::size_t at = 0; at < count; ++at) {
-        pages.push_back({ update.from, update.to, static_cast<std::uint32_t>(at), static_cast<std::uint32_t>(count),
-            update.text.substr(at * pageBytes, pageBytes) });
+    for (std::size_t i = 0; i < count; ++i) {
+        pages.push_back({ update.from, update.to, static_cast<std::uint32_t>(i), static_cast<std::uint32_t>(count),
+            update.text.substr(i * pageBytes, pageBytes) });
     }
     return pages;
 }
@@ -135,11 +135,11 @@
 }
 
 const std::vector<std::string>& session_table::configurationUpdates(
-    configuration_version held, const controller_state& state)
+    configuration_version receiverVersion, const controller_state& state)
 {
     resetIfOutdated(m_configuration, state.configuration().version());
-    const auto [known, isNew] = m_configuration.byHeldVersion.try_emplace(held);
-    const auto update = isNew ? state.configuration().updateFor(held) : std::nullopt;
+    const auto [known, isNew] = m_configuration.byReceiverVersion.try_emplace(receiverVersion);
+    const auto update = isNew ? state.configuration().updateFor(receiverVersion) : std::nullopt;
     if (!update)
         return known->second;
     for (const auto& page : makePages(*update))
@@ -147,19 +147,20 @@
     return known->second;
 }
 
-const std::vector<std::string>& session_table::membershipUpdates(std::uint64_t held, const controller_state& state)
+const std::vector<std::string>& session_table::membershipUpdates(
+    std::uint64_t receiverRevision, const controller_state& state)
 {
     resetIfOutdated(m_membership, state.membership().revision());
-    const auto [known, isNew] = m_membership.byHeldVersion.try_emplace(held);
-    if (isNew && held != state.membership().revision())
-        known->second.push_back(link::encode(state.membership().changesSince(held)));
+    const auto [known, isNew] = m_membership.byReceiverVersion.try_emplace(receiverRevision);
+    if (isNew && receiverRevision != state.membership().revision())
+        known->second.push_back(link::encode(state.membership().changesSince(receiverRevision)));
     return known->second;
 }
 
 void session_table::resetIfOutdated(encoded_updates& updates, std::uint64_t to)
 {
     if (updates.to != to)
-        updates.byHeldVersion.clear();
+        updates.byReceiverVersion.clear();
     updates.to = to;
 }
 
--- a/src/app/controller/session_table.hpp
+++ b/src/app/controller/session_table.hpp
@@ -70,16 +70,19 @@
     /// time.
     struct encoded_updates {
         std::uint64_t to = 0; ///< version or revision after the update
-        std::map<std::uint64_t, std::vector<std::string>> byHeldVersion;
+        std::map<std::uint64_t, std::vector<std::string>> byReceiverVersion;
     };
 
     void push(link::channel_number channel, session_entry& session, const controller_state& state);
     /// @brief Drops the updates if they lead to another version or revision.
     static void resetIfOutdated(encoded_updates& updates, std::uint64_t to);
-    /// @param held the receiver's version, or revision of the membership table
+    /// @param receiverVersion version that the receiver has
     /// @return encoded messages; none when the receiver is up to date
-    const std::vector<std::string>& configurationUpdates(configuration_version held, const controller_state& state);
-    const std::vector<std::string>& membershipUpdates(std::uint64_t held, const controller_state& state);
+    const std::vector<std::string>& configurationUpdates(
+        configuration_version receiverVersion, const controller_state& state);
+    /// @param receiverRevision revision of the membership table that the receiver has
+    /// @return as configurationUpdates()
+    const std::vector<std::string>& membershipUpdates(std::uint64_t receiverRevision, const controller_state& state);
 
     channel_sender m_send;
     milliseconds m_lease;
--- a/src/app/controller/session_table_test.cpp
+++ b/src/app/controller/session_table_test.cpp
@@ -93,18 +93,18 @@
     session_table table([&](auto, const std::string& bytes) { bytesSent += bytes.size(); }, lease);
     controller_state state = configured();
     transition_batch batch;
-    for (std::size_t at = 0; at < sidecars; ++at) {
+    for (std::size_t i = 0; i < sidecars; ++i) {
         auto record = announceOf(membership::instance_state::Ready, false).record;
-        record.id = "sidecar-" + std::to_string(at);
+        record.id = "sidecar-" + std::to_string(i);
         record.linkAddress = "10.1.2.3:7000";
         batch.transitions.push_back({ record, false });
     }
     state.apply({ "1", batch });
-    for (std::size_t at = 0; at < entries; ++at) {
+    for (std::size_t i = 0; i < entries; ++i) {
         auto announce = announceOf(membership::instance_state::Ready, true);
-        announce.record.id = "entry-" + std::to_string(at);
-        table.announced(at, announce, begin);
-        table.heartbeat(at, { 1 }, begin);
+        announce.record.id = "entry-" + std::to_string(i);
+        table.announced(i, announce, begin);
+        table.heartbeat(i, { 1 }, begin);
     }
     table.beginConfirmation(1);
     const auto started = boot_clock::now();
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -81,9 +81,9 @@
 int runCommand(const std::vector<std::string>& arguments)
 {
     const std::string command = arguments.size() > 1 ? arguments[1] : "";
-    std::vector<std::string> rest(arguments);
-    if (rest.size() > 1)
-        rest.erase(rest.begin() + 1);
+    std::vector<std::string> remaining(arguments);
+    if (remaining.size() > 1)
+        remaining.erase(remaining.begin() + 1);
     if (command == "--version") {
         std::cout << version << "\n";
         return app::exitOk;
@@ -93,10 +93,10 @@
         return app::exitOk;
     }
     if (command == "ctl")
-        return app::runControlShell(rest);
+        return app::runControlShell(remaining);
     for (const auto& daemon : daemonCommands) {
         if (nameIn(settings::processRoleNames, daemon.role) == command)
-            return runDaemon(daemon, rest);
+            return runDaemon(daemon, remaining);
     }
     printUsage(std::cerr);
     return app::exitBadSettings;
--- a/src/app/shell/control_shell.cpp
+++ b/src/app/shell/control_shell.cpp
@@ -36,12 +36,12 @@
 };
 
 /// Answer to an HTTP call.
-struct shell_answer {
+struct shell_response {
     int status = 0; ///< HTTP status; 0: no answer
     json body;
 };
 
-shell_answer callOne(const shell_options& options, const std::string& address, const std::string& method,
+shell_response callOne(const shell_options& options, const std::string& address, const std::string& method,
     const std::string& path, const std::string& body)
 {
     http::client_request request;
@@ -61,15 +61,15 @@
 
 /// Calls the controllers in turn until one answers with a status other than that of NoQuorum.
 /// @return the last answer
-shell_answer callAny(
+shell_response callAny(
     const shell_options& options, const std::string& method, const std::string& path, const std::string& body = {})
 {
-    shell_answer last;
+    shell_response last;
     for (const auto& address : options.controllers) {
-        auto answer = callOne(options, address, method, path, body);
-        if (answer.status == 0)
+        auto response = callOne(options, address, method, path, body);
+        if (response.status == 0)
             continue;
-        last = std::move(answer);
+        last = std::move(response);
         const bool unavailable = last.status == describe(result_code::NoQuorum).httpStatus;
         if (!unavailable)
             return last;
@@ -78,9 +78,9 @@
 }
 
 /// Prints the sentence, the answer as JSON, or the error. @return the exit status
-int report(const shell_options& options, const shell_answer& answer, const std::string& sentence)
+int report(const shell_options& options, const shell_response& response, const std::string& sentence)
 {
-    if (answer.status == 0) {
+    if (response.status == 0) {
         std::cerr << "buckthornrail ctl: no controller answered at";
         for (const auto& address : options.controllers)
             std::cerr << " " << address;
@@ -88,20 +88,20 @@
         return exitFailure;
     }
     if (options.asJson) {
-        std::cout << answer.body.dump() << "\n";
-        return answer.status < firstErrorStatus ? exitOk : exitFailure;
+        std::cout << response.body.dump() << "\n";
+        return response.status < firstErrorStatus ? exitOk : exitFailure;
     }
-    if (answer.status < firstErrorStatus) {
+    if (response.status < firstErrorStatus) {
         std::cout << sentence << "\n";
         return exitOk;
     }
-    const json error = answer.body.is_object() ? answer.body.value("error", json::object()) : json::object();
-    std::cerr << "buckthornrail ctl: " << error.value("code", answer.status) << " " << error.value("name", "error")
+    const json error = response.body.is_object() ? response.body.value("error", json::object()) : json::object();
+    std::cerr << "buckthornrail ctl: " << error.value("code", response.status) << " " << error.value("name", "error")
               << ": " << error.value("message", "");
     // Registries answer errors with a reason alone.
-    const json& reasoned = error.contains("reason") ? error : answer.body;
-    if (reasoned.is_object() && reasoned.contains("reason"))
-        std::cerr << " (" << reasoned.value("reason", "") << ")";
+    const json& withReason = error.contains("reason") ? error : response.body;
+    if (withReason.is_object() && withReason.contains("reason"))
+        std::cerr << " (" << withReason.value("reason", "") << ")";
     std::cerr << "\n";
     return exitFailure;
 }
@@ -120,21 +120,21 @@
 
 int configGet(const shell_options& options)
 {
-    const auto answer = callAny(options, "GET", "/v1/config");
-    return report(options, answer, answer.body.dump(2));
+    const auto response = callAny(options, "GET", "/v1/config");
+    return report(options, response, response.body.dump(2));
 }
 
 int configHistory(const shell_options& options)
 {
-    const auto answer = callAny(options, "GET", "/v1/config/history");
+    const auto response = callAny(options, "GET", "/v1/config/history");
     std::string lines;
-    if (answer.body.is_object()) {
-        for (const auto& change : answer.body.value("changes", json::array())) {
+    if (response.body.is_object()) {
+        for (const auto& change : response.body.value("changes", json::array())) {
             lines += std::to_string(change.value("version", 0)) + "  " + change.value("author", "") + "  "
                 + change.value("change_id", "") + "\n";
         }
     }
-    return report(options, answer, lines);
+    return report(options, response, lines);
 }
 
 int configCheck(const shell_options& options)
@@ -166,23 +166,23 @@
     const std::string changeId = options.changeId.empty() ? randomId() : options.changeId;
     const json change
         = { { "base", base }, { "change_id", changeId }, { "author", options.author }, { "document", document } };
-    const auto answer = callAny(options, "PUT", "/v1/config", change.dump());
-    const auto version = answer.body.is_object() ? answer.body.value("version", 0) : 0;
-    return report(options, answer, "version " + std::to_string(version) + " (change " + changeId + ")");
+    const auto response = callAny(options, "PUT", "/v1/config", change.dump());
+    const auto version = response.body.is_object() ? response.body.value("version", 0) : 0;
+    return report(options, response, "version " + std::to_string(version) + " (change " + changeId + ")");
 }
 
 int status(const shell_options& options)
 {
-    const auto answer = callAny(options, "GET", "/v1/status");
+    const auto response = callAny(options, "GET", "/v1/status");
     std::ostringstream out;
-    if (answer.status > 0 && answer.status < firstErrorStatus) {
-        out << "configuration version " << answer.body.value("version", 0) << ", term " << answer.body.value("term", 0)
-            << ", commit " << answer.body.value("commit", 0) << "\n";
-        for (const auto& member : answer.body.value("controllers", json::array())) {
+    if (response.status > 0 && response.status < firstErrorStatus) {
+        out << "configuration version " << response.body.value("version", 0) << ", term "
+            << response.body.value("term", 0) << ", commit " << response.body.value("commit", 0) << "\n";
+        for (const auto& member : response.body.value("controllers", json::array())) {
             out << "controller " << member.value("address", "") << (member.value("leader", false) ? "  leader" : "")
                 << (member.value("voter", false) ? "" : "  learner") << "\n";
         }
-        for (const auto& instance : answer.body.value("instances", json::array())) {
+        for (const auto& instance : response.body.value("instances", json::array())) {
             out << instance.value("role", "") << " " << instance.value("id", "") << "  " << instance.value("state", "")
                 << "  " << instance.value("failure_domain", "");
             if (instance.contains("target")) {
@@ -196,36 +196,36 @@
     std::string text = out.str();
     if (!text.empty())
         text.pop_back();
-    return report(options, answer, text);
+    return report(options, response, text);
 }
 
 int drain(const shell_options& options)
 {
     const std::string& action = options.words[0];
-    const auto answer = callAny(options, "POST", "/v1/instances/" + options.words[1] + "/" + action);
-    return report(options, answer, action + " requested for " + options.words[1]);
+    const auto response = callAny(options, "POST", "/v1/instances/" + options.words[1] + "/" + action);
+    return report(options, response, action + " requested for " + options.words[1]);
 }
 
 int order(const shell_options& options)
 {
     const json parameters = { { "model", options.words[2] }, { "version", options.words[3] } };
-    const auto answer = callAny(options, "POST", "/v1/instances/" + options.words[1] + "/order", parameters.dump());
-    const auto fence = answer.body.is_object() ? answer.body.value("fence", 0) : 0;
-    return report(options, answer, "ordered with fencing token " + std::to_string(fence));
+    const auto response = callAny(options, "POST", "/v1/instances/" + options.words[1] + "/order", parameters.dump());
+    const auto fence = response.body.is_object() ? response.body.value("fence", 0) : 0;
+    return report(options, response, "ordered with fencing token " + std::to_string(fence));
 }
 
 int initialize(const shell_options& options)
 {
     // Only the first controller is called: a second one must not form a log of its own.
-    const auto answer = callOne(options, options.controllers.front(), "POST", "/v1/cluster/init", "{}");
-    return report(options, answer, "initialized; the other controllers join by themselves");
+    const auto response = callOne(options, options.controllers.front(), "POST", "/v1/cluster/init", "{}");
+    return report(options, response, "initialized; the other controllers join by themselves");
 }
 
 int quarantineList(const shell_options& options)
 {
-    const auto answer = callAny(options, "GET", "/quarantine");
+    const auto response = callAny(options, "GET", "/quarantine");
     std::string text = "fingerprint                       stage    ended  proofs  targets";
-    for (const auto& row : answer.body.is_object() ? answer.body.value("requests", json::array()) : json::array()) {
+    for (const auto& row : response.body.is_object() ? response.body.value("requests", json::array()) : json::array()) {
         std::ostringstream line;
         line << "\n"
              << std::left << std::setw(34) << row.value("fingerprint", "") << std::setw(9) << row.value("stage", "")
@@ -233,14 +233,14 @@
              << row.value("ended", "");
         text += line.str();
     }
-    return report(options, answer, text);
+    return report(options, response, text);
 }
 
 int pushbackList(const shell_options& options)
 {
-    const auto answer = callAny(options, "GET", "/pushback");
+    const auto response = callAny(options, "GET", "/pushback");
     std::string text = "target                        per second  heard ms ago  rest left ms  leaving";
-    for (const auto& row : answer.body.is_object() ? answer.body.value("targets", json::array()) : json::array()) {
+    for (const auto& row : response.body.is_object() ? response.body.value("targets", json::array()) : json::array()) {
         const auto shown
             = [&row](const char* name) { return row.contains(name) ? row.at(name).dump() : std::string("-"); };
         std::ostringstream line;
@@ -250,14 +250,14 @@
              << (row.value("leaving", false) ? "yes" : "no");
         text += line.str();
     }
-    return report(options, answer, text);
+    return report(options, response, text);
 }
 
 int quarantineClear(const shell_options& options)
 {
-    const auto answer = callAny(options, "DELETE", "/quarantine/" + options.words[2]);
-    const auto cleared = answer.body.is_object() ? answer.body.value("cleared", 0) : 0;
-    return report(options, answer, "cleared: " + std::to_string(cleared));
+    const auto response = callAny(options, "DELETE", "/quarantine/" + options.words[2]);
+    const auto cleared = response.body.is_object() ? response.body.value("cleared", 0) : 0;
+    return report(options, response, "cleared: " + std::to_string(cleared));
 }
 
 /// @brief Explains a request from log files, for which no process needs to run.
@@ -293,13 +293,14 @@
     for (const auto& instance : known.body.value("instances", json::array())) {
         if (instance.value("role", "") != "entry")
             continue;
-        const auto answer = callOne(options, instance.value("http", ""), "GET", "/v1/explain/" + options.words[1], "");
-        if (answer.status == 0 || answer.status >= firstErrorStatus)
+        const auto response
+            = callOne(options, instance.value("http", ""), "GET", "/v1/explain/" + options.words[1], "");
+        if (response.status == 0 || response.status >= firstErrorStatus)
             continue;
         std::string text = "entry " + instance.value("id", "");
-        for (const auto& decision : answer.body.value("decisions", json::array()))
+        for (const auto& decision : response.body.value("decisions", json::array()))
             text += "\n  " + decision.get<std::string>();
-        return report(options, answer, text);
+        return report(options, response, text);
     }
     std::cerr << "buckthornrail ctl: no entry has a record of request " << options.words[1] << "\n";
     return exitFailure;
@@ -340,8 +341,8 @@
 {
     if (command.words.size() != words.size())
         return false;
-    for (std::size_t at = 0; at < words.size(); ++at) {
-        if (!isPlaceholder(command.words[at]) && command.words[at] != words[at])
+    for (std::size_t i = 0; i < words.size(); ++i) {
+        if (!isPlaceholder(command.words[i]) && command.words[i] != words[i])
             return false;
     }
     return true;
--- a/src/app/sidecar/sidecar.cpp
+++ b/src/app/sidecar/sidecar.cpp
@@ -58,7 +58,7 @@
     , m_metrics(metrics)
     , m_incarnation(randomNumber())
     , m_targetAdapter(makeTargetAdapter(settings))
-    , m_core(settings.id, gateOptions(settings, m_incarnation), settings.answerKeepBytes, steadyNow())
+    , m_core(settings.id, gateOptions(settings, m_incarnation), settings.responseStoreBytes, steadyNow())
     , m_orders(orderOptions(settings), steadyNow())
     , m_pool(settings.slots + extraThreads)
 {
--- a/src/buckthornrail/agreement/admission.cpp
+++ b/src/buckthornrail/agreement/admission.cpp
@@ -12,7 +12,7 @@
 std::optional<std::vector<member>> withLearner(std::vector<member> members, std::span<const joining_replica> joining)
 {
     for (const auto& newReplica : joining) {
-        const auto isSame = [&newReplica](const member& one) { return one.id == newReplica.id; };
+        const auto isSame = [&newReplica](const member& member) { return member.id == newReplica.id; };
         if (std::any_of(members.begin(), members.end(), isSame))
             continue;
         members.push_back({ newReplica.id, newReplica.address, false });
@@ -40,13 +40,13 @@
         // that each change concerns one voter only.
         auto changed = leader.members();
         const auto old = std::find_if(changed.begin(), changed.end(),
-            [&learner](const member& one) { return one.address == learner.address && one.id != learner.id; });
+            [&learner](const member& member) { return member.address == learner.address && member.id != learner.id; });
         if (old != changed.end()) {
             changed.erase(old);
             return changed;
         }
         const auto promoted = std::find_if(
-            changed.begin(), changed.end(), [&learner](const member& one) { return one.id == learner.id; });
+            changed.begin(), changed.end(), [&learner](const member& member) { return member.id == learner.id; });
         promoted->voter = true;
         return changed;
     }
@@ -60,21 +60,22 @@
     const auto isIn = [](std::span<const member_id> list, member_id id) {
         return std::find(list.begin(), list.end(), id) != list.end();
     };
-    const auto voters = std::count_if(members.begin(), members.end(), [](const member& one) { return one.voter; });
+    const auto voters
+        = std::count_if(members.begin(), members.end(), [](const member& member) { return member.voter; });
     const auto reachable = std::count_if(members.begin(), members.end(),
-        [&](const member& one) { return one.voter && leader.isReachable(one.id, now); });
-    for (const auto& one : members) {
-        const bool isSurplus = one.voter && voters >= 4 && voters % 2 == 0 && isIn(replaceable, one.id);
-        const bool occupiesSlot = members.size() >= maxMembers && isIn(droppable, one.id);
-        const bool isDeadLearner = !one.voter && isIn(droppable, one.id);
+        [&](const member& member) { return member.voter && leader.isReachable(member.id, now); });
+    for (const auto& subject : members) {
+        const bool isSurplus = subject.voter && voters >= 4 && voters % 2 == 0 && isIn(replaceable, subject.id);
+        const bool occupiesSlot = members.size() >= maxMembers && isIn(droppable, subject.id);
+        const bool isDeadLearner = !subject.voter && isIn(droppable, subject.id);
         if (!isSurplus && !occupiesSlot && !isDeadLearner)
             continue;
-        const auto votersLeft = voters - (one.voter ? 1 : 0);
+        const auto votersLeft = voters - (subject.voter ? 1 : 0);
         if (reachable < votersLeft / 2 + 1)
             continue;
         std::vector<member> left;
         std::copy_if(members.begin(), members.end(), std::back_inserter(left),
-            [&one](const member& other) { return other.id != one.id; });
+            [&subject](const member& other) { return other.id != subject.id; });
         return left;
     }
     return std::nullopt;
--- a/src/buckthornrail/agreement/replica.cpp
+++ b/src/buckthornrail/agreement/replica.cpp
@@ -166,9 +166,9 @@
             failure { result_code::NoQuorum, "the leader has not yet committed an entry in its term" });
     std::size_t changedVoters = 0;
     const auto countMissing = [&changedVoters](const std::vector<member>& from, const std::vector<member>& in) {
-        for (const auto& one : from) {
-            const auto same = [&one](const member& other) { return other.id == one.id && other.voter; };
-            if (one.voter && std::none_of(in.begin(), in.end(), same))
+        for (const auto& subject : from) {
+            const auto same = [&subject](const member& other) { return other.id == subject.id && other.voter; };
+            if (subject.voter && std::none_of(in.begin(), in.end(), same))
                 ++changedVoters;
         }
     };
@@ -200,18 +200,18 @@
     index = std::min(index, m_applied);
     if (index <= m_snapshot.index)
         return m_snapshot;
-    snapshot made;
-    made.index = index;
-    made.term = termAt(index).value_or(0);
-    made.members = m_snapshot.members;
-    for (log_index at = m_snapshot.index + 1; at <= index; ++at) {
-        if (entryAt(at).kind == entry_kind::Members)
-            made.members = entryAt(at).members;
+    snapshot result;
+    result.index = index;
+    result.term = termAt(index).value_or(0);
+    result.members = m_snapshot.members;
+    for (log_index i = m_snapshot.index + 1; i <= index; ++i) {
+        if (entryAt(i).kind == entry_kind::Members)
+            result.members = entryAt(i).members;
     }
-    made.state = std::move(state);
+    result.state = std::move(state);
     const auto dropped = static_cast<std::ptrdiff_t>(index - m_snapshot.index);
     m_entries.erase(m_entries.begin(), m_entries.begin() + dropped);
-    m_snapshot = std::move(made);
+    m_snapshot = std::move(result);
     return m_snapshot;
 }
 
@@ -248,12 +248,12 @@
     out.installed = std::exchange(m_installed, std::nullopt);
     if (std::exchange(m_hardChanged, false))
         out.hardState = m_hard;
-    for (log_index at = m_unpersisted; at <= lastIndex(); ++at)
-        out.appended.push_back(entryAt(at));
+    for (log_index i = m_unpersisted; i <= lastIndex(); ++i)
+        out.appended.push_back(entryAt(i));
     m_unpersisted = lastIndex() + 1;
     out.messages = std::exchange(m_messages, {});
-    for (log_index at = m_applied + 1; at <= m_commit; ++at)
-        out.committed.push_back(entryAt(at));
+    for (log_index i = m_applied + 1; i <= m_commit; ++i)
+        out.committed.push_back(entryAt(i));
     m_applied = std::max(m_applied, m_commit);
     out.reads = std::exchange(m_reads, {});
     return out;
@@ -296,27 +296,27 @@
     }
     if (m_leader != m_self || m_self == 0)
         return;
-    std::map<member_id, progress> kept;
-    for (const auto& one : m_members) {
-        if (one.id == m_self)
+    std::map<member_id, progress> updated;
+    for (const auto& member : m_members) {
+        if (member.id == m_self)
             continue;
-        const auto old = m_progress.find(one.id);
-        progress fresh;
-        fresh.next = lastIndex();
-        fresh.contactDeadline = m_now + m_options.electionTimeoutMax;
-        kept.emplace(one.id, old != m_progress.end() ? old->second : fresh);
+        const auto old = m_progress.find(member.id);
+        progress initial;
+        initial.next = lastIndex();
+        initial.contactDeadline = m_now + m_options.electionTimeoutMax;
+        updated.emplace(member.id, old != m_progress.end() ? old->second : initial);
     }
-    m_progress = std::move(kept);
+    m_progress = std::move(updated);
 }
 
 void replica::completeReads()
 {
     std::vector<std::uint64_t> rounds;
-    for (const auto& one : m_members) {
-        if (!one.voter)
+    for (const auto& member : m_members) {
+        if (!member.voter)
             continue;
-        const auto found = m_progress.find(one.id);
-        rounds.push_back(one.id == m_self ? m_round : found != m_progress.end() ? found->second.ackedRound : 0);
+        const auto found = m_progress.find(member.id);
+        rounds.push_back(member.id == m_self ? m_round : found != m_progress.end() ? found->second.ackedRound : 0);
     }
     if (rounds.empty())
         return;
@@ -346,7 +346,7 @@
 bool replica::isVoter(member_id id) const
 {
     return std::any_of(
-        m_members.begin(), m_members.end(), [id](const member& one) { return one.id == id && one.voter; });
+        m_members.begin(), m_members.end(), [id](const member& member) { return member.id == id && member.voter; });
 }
 
 std::optional<term_number> replica::termAt(log_index index) const
@@ -360,7 +360,8 @@
 
 std::size_t replica::quorumSize() const
 {
-    const auto voters = std::count_if(m_members.begin(), m_members.end(), [](const member& one) { return one.voter; });
+    const auto voters
+        = std::count_if(m_members.begin(), m_members.end(), [](const member& member) { return member.voter; });
     return static_cast<std::size_t>(voters) / 2 + 1;
 }
 
--- a/src/buckthornrail/agreement/replica_election.cpp
+++ b/src/buckthornrail/agreement/replica_election.cpp
@@ -94,11 +94,11 @@
         return;
     }
     const term_number electionTerm = preVote ? m_hard.term + 1 : m_hard.term;
-    for (const auto& one : m_members) {
-        if (!one.voter || one.id == m_self)
+    for (const auto& member : m_members) {
+        if (!member.voter || member.id == m_self)
             continue;
         sendInTerm(
-            one.id, electionTerm, vote_request { lastIndex(), termAt(lastIndex()).value_or(0), preVote, transfer });
+            member.id, electionTerm, vote_request { lastIndex(), termAt(lastIndex()).value_or(0), preVote, transfer });
     }
 }
 
--- a/src/buckthornrail/agreement/replica_replication.cpp
+++ b/src/buckthornrail/agreement/replica_replication.cpp
@@ -103,11 +103,11 @@
 void replica::advanceCommit()
 {
     std::vector<log_index> matches;
-    for (const auto& one : m_members) {
-        if (!one.voter)
+    for (const auto& member : m_members) {
+        if (!member.voter)
             continue;
-        const auto found = m_progress.find(one.id);
-        matches.push_back(one.id == m_self ? lastIndex() : found != m_progress.end() ? found->second.match : 0);
+        const auto found = m_progress.find(member.id);
+        matches.push_back(member.id == m_self ? lastIndex() : found != m_progress.end() ? found->second.match : 0);
     }
     if (matches.empty())
         return;
@@ -145,8 +145,8 @@
     request.previousTerm = termAt(request.previousIndex).value_or(0);
     request.commit = m_commit;
     request.round = m_round;
-    for (log_index at = peer.next; at <= lastIndex() && request.entries.size() < m_options.maxEntriesPerMessage; ++at)
-        request.entries.push_back(entryAt(at));
+    for (log_index i = peer.next; i <= lastIndex() && request.entries.size() < m_options.maxEntriesPerMessage; ++i)
+        request.entries.push_back(entryAt(i));
     peer.next += request.entries.size();
     send(to, std::move(request));
 }
--- a/src/buckthornrail/agreement/replica_test.cpp
+++ b/src/buckthornrail/agreement/replica_test.cpp
@@ -40,9 +40,9 @@
         if (!leader)
             continue;
         const auto& members = cluster.nodes()[*leader].process->members();
-        const auto isVoter = [&](const auto& one) {
+        const auto isVoter = [&](const auto& peer) {
             return std::any_of(members.begin(), members.end(),
-                [&](const auto& member) { return member.id == one.id && member.voter; });
+                [&](const auto& member) { return member.id == peer.id && member.voter; });
         };
         if (std::all_of(cluster.nodes().begin(), cluster.nodes().end(), isVoter)) {
             cluster.run(50);
@@ -117,8 +117,8 @@
     rc::prop("three replicas", [](std::uint64_t seed) {
         const auto draws = *schedule();
         simulated_cluster cluster(3, seed);
-        for (std::size_t at = 0; at < draws.size(); ++at)
-            injectFault(cluster, draws[at], static_cast<int>(at), false);
+        for (std::size_t i = 0; i < draws.size(); ++i)
+            injectFault(cluster, draws[i], static_cast<int>(i), false);
         RC_ASSERT(distinctViolations(cluster).empty());
         checkRecovers(cluster, "last");
         RC_ASSERT(distinctViolations(cluster).empty());
@@ -128,8 +128,8 @@
         replica_options options;
         options.initialElectionTimeoutMax = milliseconds(seed % 2 * 300); // in half of the cases
         simulated_cluster cluster(5, seed, options);
-        for (std::size_t at = 0; at < draws.size(); ++at)
-            injectFault(cluster, draws[at], static_cast<int>(at), true);
+        for (std::size_t i = 0; i < draws.size(); ++i)
+            injectFault(cluster, draws[i], static_cast<int>(i), true);
         checkRecovers(cluster, "last");
         RC_ASSERT(distinctViolations(cluster).empty());
     });
@@ -144,8 +144,8 @@
         simulated_cluster cluster(3, seed);
         cluster.skipHardState = true;
         std::mt19937_64 random(seed);
-        for (int at = 0; at < 60; ++at)
-            injectFault(cluster, static_cast<std::uint32_t>(random()), at, false);
+        for (int i = 0; i < 60; ++i)
+            injectFault(cluster, static_cast<std::uint32_t>(random()), i, false);
         noticed = !cluster.violations().empty();
     }
     CHECK(noticed);
@@ -210,8 +210,8 @@
                 continue;
             const auto& members = cluster.nodes()[*leader].process->members();
             const auto& id = cluster.nodes()[lost].id;
-            repaired = members.size() == 3 && std::any_of(members.begin(), members.end(), [&](const auto& one) {
-                return one.id == id && one.voter;
+            repaired = members.size() == 3 && std::any_of(members.begin(), members.end(), [&](const auto& member) {
+                return member.id == id && member.voter;
             });
         }
         REQUIRE(repaired);
@@ -236,8 +236,8 @@
         simulated_cluster cluster(members, seed);
         // With message loss some members lag, so the last command is on a bare quorum when it is acknowledged.
         cluster.setLossProbability(0.3);
-        for (int at = 0; at < 5; ++at) {
-            cluster.propose("early-" + std::to_string(at));
+        for (int i = 0; i < 5; ++i) {
+            cluster.propose("early-" + std::to_string(i));
             cluster.run(20);
         }
         const std::size_t before = cluster.committed().size();
@@ -250,10 +250,10 @@
         // leader is one of them.
         const auto leader = cluster.leader();
         const std::size_t first = leader && seed % 2 == 0 ? *leader : seed % members;
-        for (std::size_t at = 0; at < members; ++at)
-            cluster.crash((first + at) % members, at % 2 == 0 ? crash_point::BeforePersist : crash_point::AfterPersist);
-        for (std::size_t at = 0; at < maxLostDisks; ++at)
-            cluster.loseDisk((first + at) % members);
+        for (std::size_t i = 0; i < members; ++i)
+            cluster.crash((first + i) % members, i % 2 == 0 ? crash_point::BeforePersist : crash_point::AfterPersist);
+        for (std::size_t i = 0; i < maxLostDisks; ++i)
+            cluster.loseDisk((first + i) % members);
         cluster.heal();
         const auto holdsAll = [&] {
             return std::all_of(cluster.nodes().begin(), cluster.nodes().end(), [&](const auto& node) {
@@ -279,8 +279,8 @@
     const auto leader = *cluster.leader();
     const std::size_t behind = (leader + 1) % 3;
     cluster.crash(behind, crash_point::AfterPersist);
-    for (int at = 0; at < 600; ++at) {
-        cluster.propose("c" + std::to_string(at));
+    for (int i = 0; i < 600; ++i) {
+        cluster.propose("c" + std::to_string(i));
         cluster.run(1);
     }
     cluster.run(50);
@@ -319,9 +319,9 @@
     const auto old = *cluster.leader();
     cluster.nodes()[old].process->transferLeadership();
     cluster.run(10);
-    const auto fresh = cluster.leader();
-    REQUIRE(fresh);
-    CHECK(*fresh != old);
+    const auto successor = cluster.leader();
+    REQUIRE(successor);
+    CHECK(*successor != old);
 }
 
 TEST_CASE("replica: members change by one voter at a time, and a log is initialized only once", "[agreement]")
@@ -359,10 +359,10 @@
     REQUIRE(leader);
     const auto& replica = *cluster.nodes()[*leader].process;
     const auto voters = std::count_if(
-        replica.members().begin(), replica.members().end(), [](const member& one) { return one.voter; });
+        replica.members().begin(), replica.members().end(), [](const member& member) { return member.voter; });
     REQUIRE(voters == 4);
     const auto other = std::find_if(replica.members().begin(), replica.members().end(),
-        [&](const member& one) { return one.id != replica.self(); });
+        [&](const member& member) { return member.id != replica.self(); });
     const std::vector<member_id> dead { other->id };
     const auto left = withoutDeadMember(replica, dead, {}, steady_time {});
     REQUIRE(left);
@@ -377,7 +377,7 @@
     REQUIRE(first);
     const auto& replicaOfThree = *three.nodes()[*first].process;
     const auto peer = std::find_if(replicaOfThree.members().begin(), replicaOfThree.members().end(),
-        [&](const member& one) { return one.id != replicaOfThree.self(); });
+        [&](const member& member) { return member.id != replicaOfThree.self(); });
     const std::vector<member_id> unreachable { peer->id };
     // Three voters tolerate one failure, two tolerate none.
     CHECK_FALSE(withoutDeadMember(replicaOfThree, unreachable, unreachable, steady_time {}));
@@ -404,9 +404,9 @@
 }
 
 /// @return whether the replica requested votes since the last call
-bool requestsVotes(replica& one)
+bool requestsVotes(replica& subject)
 {
-    const auto effects = one.takeEffects();
+    const auto effects = subject.takeEffects();
     return std::any_of(effects.messages.begin(), effects.messages.end(),
         [](const auto& message) { return std::holds_alternative<vote_request>(message.body); });
 }
@@ -443,19 +443,19 @@
     const replica_options options;
     const milliseconds step { 100 };
     steady_time now {};
-    replica one = makeMemberOfThree(now);
-    one.receive({ leaderId, selfId, 1, election_request {} }, now);
-    one.receive({ otherId, selfId, 2, vote_reply { true, false } }, now);
-    REQUIRE(one.role() == replica_role::Leader);
+    replica leader = makeMemberOfThree(now);
+    leader.receive({ leaderId, selfId, 1, election_request {} }, now);
+    leader.receive({ otherId, selfId, 2, vote_reply { true, false } }, now);
+    REQUIRE(leader.role() == replica_role::Leader);
     for (milliseconds passed { 0 }; passed < 3 * options.electionTimeoutMax; passed += step) {
         now += step;
-        one.recordContact(otherId, now);
-        one.tick(now);
-        CHECK(one.role() == replica_role::Leader);
+        leader.recordContact(otherId, now);
+        leader.tick(now);
+        CHECK(leader.role() == replica_role::Leader);
     }
     for (milliseconds passed { 0 }; passed <= options.electionTimeoutMax; passed += step) {
         now += step;
-        one.tick(now);
+        leader.tick(now);
     }
-    CHECK(one.role() == replica_role::Follower);
+    CHECK(leader.role() == replica_role::Follower);
 }
--- a/src/buckthornrail/compression/text_patch_test.cpp
+++ b/src/buckthornrail/compression/text_patch_test.cpp
@@ -15,8 +15,8 @@
 std::string document(int version, int routes)
 {
     std::string text = "{\"version\":" + std::to_string(version) + ",\"routes\":[";
-    for (int at = 0; at < routes; ++at)
-        text += "{\"name\":\"r-" + std::to_string(at * 7919 % 10007) + "\",\"timeout-ms\":2000},";
+    for (int i = 0; i < routes; ++i)
+        text += "{\"name\":\"r-" + std::to_string(i * 7919 % 10007) + "\",\"timeout-ms\":2000},";
     return text + "],\"services\":[]}";
 }
 
--- a/src/buckthornrail/configuration/configuration_store.cpp
+++ b/src/buckthornrail/configuration/configuration_store.cpp
@@ -46,29 +46,29 @@
 
 std::optional<change_result> configuration_store::resultOf(const std::string& changeId) const
 {
-    for (auto at = m_state.results.rbegin(); at != m_state.results.rend(); ++at) {
-        if (at->changeId == changeId)
-            return *at;
+    for (auto result = m_state.results.rbegin(); result != m_state.results.rend(); ++result) {
+        if (result->changeId == changeId)
+            return *result;
     }
     return std::nullopt;
 }
 
-std::optional<configuration_update> configuration_store::updateFor(configuration_version held) const
+std::optional<configuration_update> configuration_store::updateFor(configuration_version receiverVersion) const
 {
-    if (held == m_state.version)
+    if (receiverVersion == m_state.version)
         return std::nullopt;
-    const bool isInHistory = held != 0 && held < m_state.version && !m_state.history.empty()
-        && m_state.history.front().version <= held + 1;
+    const bool isInHistory = receiverVersion != 0 && receiverVersion < m_state.version && !m_state.history.empty()
+        && m_state.history.front().version <= receiverVersion + 1;
     if (!isInHistory)
         return configuration_update { 0, m_state.version, text() };
     std::string operations;
     for (const auto& record : m_state.history) {
         const std::string patchOperations
             = record.patch.substr(1, record.patch.size() - 2); // without the brackets of the array
-        if (record.version > held && !patchOperations.empty())
+        if (record.version > receiverVersion && !patchOperations.empty())
             operations += (operations.empty() ? "" : ",") + patchOperations;
     }
-    return configuration_update { held, m_state.version, "[" + operations + "]" };
+    return configuration_update { receiverVersion, m_state.version, "[" + operations + "]" };
 }
 
 const std::string& configuration_store::text() const
--- a/src/buckthornrail/configuration/configuration_test.cpp
+++ b/src/buckthornrail/configuration/configuration_test.cpp
@@ -47,8 +47,8 @@
 json withWorkspaces(int count)
 {
     json document = validDocument();
-    for (int at = 0; at < count; ++at)
-        document["workspaces"]["w" + std::to_string(at)] = json::object();
+    for (int i = 0; i < count; ++i)
+        document["workspaces"]["w" + std::to_string(i)] = json::object();
     return document;
 }
 
@@ -147,8 +147,8 @@
 TEST_CASE("store: a receiver that is far behind gets the whole document, another one a delta", "[configuration]")
 {
     configuration_store store;
-    for (int at = 0; at < 400; ++at)
-        REQUIRE(store.apply(changeTo(store, withWorkspaces(at % 50), store.version(), std::to_string(at))).code
+    for (int i = 0; i < 400; ++i)
+        REQUIRE(store.apply(changeTo(store, withWorkspaces(i % 50), store.version(), std::to_string(i))).code
             == result_code::Ok);
     CHECK(store.updateFor(3)->from == 0);
     CHECK(store.updateFor(399)->from == 399);
--- a/src/buckthornrail/configuration/document.cpp
+++ b/src/buckthornrail/configuration/document.cpp
@@ -156,16 +156,16 @@
     std::vector<share> shares;
     std::set<std::string> names;
     std::uint32_t sum = 0;
-    for (std::size_t at = 0; at < list.size(); ++at) {
-        object_reader reader(list[at], path + "/" + std::to_string(at));
-        share one;
-        one.name = reader.text(nameField);
-        one.percent = reader.number("share", 0, percentTotal, percentTotal);
+    for (std::size_t i = 0; i < list.size(); ++i) {
+        object_reader reader(list[i], path + "/" + std::to_string(i));
+        share result;
+        result.name = reader.text(nameField);
+        result.percent = reader.number("share", 0, percentTotal, percentTotal);
         reader.rejectUnknownFields();
-        if (!names.insert(one.name).second)
+        if (!names.insert(result.name).second)
             reject(reader.pathOf(nameField), "is listed twice");
-        sum += one.percent;
-        shares.push_back(std::move(one));
+        sum += result.percent;
+        shares.push_back(std::move(result));
     }
     if (!shares.empty() && sum != percentTotal)
         reject(path, "shares add up to " + std::to_string(sum) + ", not 100");
@@ -175,11 +175,11 @@
 std::vector<std::string> readWorkspaceNames(const json& list, const std::string& path, const document& parsed)
 {
     std::vector<std::string> names;
-    for (std::size_t at = 0; at < list.size(); ++at) {
-        const std::string itemPath = path + "/" + std::to_string(at);
-        if (!list[at].is_string())
+    for (std::size_t i = 0; i < list.size(); ++i) {
+        const std::string itemPath = path + "/" + std::to_string(i);
+        if (!list[i].is_string())
             reject(itemPath, "must be the name of a workspace");
-        const auto& name = list[at].get_ref<const std::string&>();
+        const auto& name = list[i].get_ref<const std::string&>();
         if (!parsed.workspaces.contains(name))
             reject(itemPath, "workspace '" + name + "' is not defined");
         if (std::find(names.begin(), names.end(), name) != names.end())
@@ -192,58 +192,58 @@
 workspace readWorkspace(const json& value, const std::string& path)
 {
     object_reader reader(value, path);
-    workspace one;
-    one.weight = reader.number("weight", 1, maxWeight, one.weight);
-    one.maxPriority = reader.priority("max_priority", one.maxPriority);
-    one.maxInFlight = reader.number("max_in_flight", 0, maxInFlightLimit, one.maxInFlight);
+    workspace result;
+    result.weight = reader.number("weight", 1, maxWeight, result.weight);
+    result.maxPriority = reader.priority("max_priority", result.maxPriority);
+    result.maxInFlight = reader.number("max_in_flight", 0, maxInFlightLimit, result.maxInFlight);
     reader.rejectUnknownFields();
-    return one;
+    return result;
 }
 
 model readModel(const json& value, const std::string& path)
 {
     object_reader reader(value, path);
-    model one;
-    one.layers = reader.number("layers", 1, maxLayers, one.layers);
+    model result;
+    result.layers = reader.number("layers", 1, maxLayers, result.layers);
     reader.rejectUnknownFields();
-    return one;
+    return result;
 }
 
 pipeline readPipeline(const json& value, const std::string& path, const document& parsed)
 {
     object_reader reader(value, path);
-    pipeline one;
-    one.model = reader.text("model");
-    if (!parsed.models.contains(one.model))
-        reject(reader.pathOf("model"), "model '" + one.model + "' is not defined");
-    one.versions = readShares(reader.list("versions"), reader.pathOf("versions"), "version");
-    if (one.versions.empty())
+    pipeline result;
+    result.model = reader.text("model");
+    if (!parsed.models.contains(result.model))
+        reject(reader.pathOf("model"), "model '" + result.model + "' is not defined");
+    result.versions = readShares(reader.list("versions"), reader.pathOf("versions"), "version");
+    if (result.versions.empty())
         reject(reader.pathOf("versions"), "must contain at least one version");
-    one.pools = readShares(reader.list("pools"), reader.pathOf("pools"), "pool");
-    one.workspaces = readWorkspaceNames(reader.list("workspaces"), reader.pathOf("workspaces"), parsed);
-    one.priority = reader.priority("priority", one.priority);
+    result.pools = readShares(reader.list("pools"), reader.pathOf("pools"), "pool");
+    result.workspaces = readWorkspaceNames(reader.list("workspaces"), reader.pathOf("workspaces"), parsed);
+    result.priority = reader.priority("priority", result.priority);
     reader.rejectUnknownFields();
-    return one;
+    return result;
 }
 
 service readService(const json& value, const std::string& path, const document& parsed)
 {
     object_reader reader(value, path);
-    service one;
-    one.workspaces = readWorkspaceNames(reader.list("workspaces"), reader.pathOf("workspaces"), parsed);
+    service result;
+    result.workspaces = readWorkspaceNames(reader.list("workspaces"), reader.pathOf("workspaces"), parsed);
     const json& patterns = reader.list("non_idempotent");
-    for (std::size_t at = 0; at < patterns.size(); ++at) {
-        object_reader patternReader(patterns[at], reader.pathOf("non_idempotent") + "/" + std::to_string(at));
+    for (std::size_t i = 0; i < patterns.size(); ++i) {
+        object_reader patternReader(patterns[i], reader.pathOf("non_idempotent") + "/" + std::to_string(i));
         request_pattern pattern;
         pattern.method = patternReader.text("method");
         pattern.pathPrefix = patternReader.text("path_prefix");
         if (pattern.pathPrefix.front() != '/')
             reject(patternReader.pathOf("path_prefix"), "must begin with '/'");
         patternReader.rejectUnknownFields();
-        one.nonIdempotent.push_back(std::move(pattern));
+        result.nonIdempotent.push_back(std::move(pattern));
     }
     reader.rejectUnknownFields();
-    return one;
+    return result;
 }
 
 /// Calls read(name, value, path) for each entry of a section, after checking its name.
@@ -298,16 +298,16 @@
 }
 
 /// Named entry of the document that a patch changes.
-struct touched_entry {
+struct changed_entry {
     std::string section;
     std::string name;
-    auto operator<=>(const touched_entry&) const = default;
+    auto operator<=>(const changed_entry&) const = default;
 };
 
 /// @return the entries that a patch changes, or nothing if it replaces a whole section or the document
-std::optional<std::set<touched_entry>> touchedEntries(const json& patch)
+std::optional<std::set<changed_entry>> changedEntries(const json& patch)
 {
-    std::set<touched_entry> entries;
+    std::set<changed_entry> entries;
     for (const auto& operation : patch) {
         const auto pointer = json::json_pointer(operation.at("path").get<std::string>());
         auto parts = pointer;
@@ -323,30 +323,30 @@
 
 /// Parses one entry again, or erases it if it has been removed.
 template <typename Entries, typename Reader>
-void refresh(Entries& entries, const json& root, const touched_entry& touched, Reader read)
+void refresh(Entries& entries, const json& root, const changed_entry& changed, Reader read)
 {
-    const auto& section = root.at(touched.section);
-    const auto found = section.find(touched.name);
+    const auto& section = root.at(changed.section);
+    const auto found = section.find(changed.name);
     if (found == section.end())
-        entries.erase(touched.name);
+        entries.erase(changed.name);
     else
-        entries[touched.name] = read(*found, "/" + touched.section + "/" + escapePointer(touched.name));
+        entries[changed.name] = read(*found, "/" + changed.section + "/" + escapePointer(changed.name));
 }
 
-void refreshEntry(document& parsed, const json& root, const touched_entry& touched)
+void refreshEntry(document& parsed, const json& root, const changed_entry& changed)
 {
-    if (touched.section == "workspaces")
-        refresh(parsed.workspaces, root, touched, readWorkspace);
-    else if (touched.section == "models")
-        refresh(parsed.models, root, touched, readModel);
-    else if (touched.section == "pipelines")
-        refresh(parsed.pipelines, root, touched,
+    if (changed.section == "workspaces")
+        refresh(parsed.workspaces, root, changed, readWorkspace);
+    else if (changed.section == "models")
+        refresh(parsed.models, root, changed, readModel);
+    else if (changed.section == "pipelines")
+        refresh(parsed.pipelines, root, changed,
             [&parsed](const json& value, const std::string& path) { return readPipeline(value, path, parsed); });
-    else if (touched.section == "services")
-        refresh(parsed.services, root, touched,
+    else if (changed.section == "services")
+        refresh(parsed.services, root, changed,
             [&parsed](const json& value, const std::string& path) { return readService(value, path, parsed); });
     else
-        reject("/" + touched.section, "is not a known field");
+        reject("/" + changed.section, "is not a known field");
 }
 
 /// Calls a function and returns what it throws as a failure.
@@ -369,8 +369,8 @@
 json sharesToJson(const std::vector<share>& shares, const char* nameField)
 {
     json list = json::array();
-    for (const auto& one : shares)
-        list.push_back({ { nameField, one.name }, { "share", one.percent } });
+    for (const auto& share : shares)
+        list.push_back({ { nameField, share.name }, { "share", share.percent } });
     return list;
 }
 
@@ -385,22 +385,24 @@
 {
     json root = { { "workspaces", json::object() }, { "models", json::object() }, { "pipelines", json::object() },
         { "services", json::object() } };
-    for (const auto& [name, one] : value.workspaces) {
-        root["workspaces"][name] = { { "weight", one.weight },
-            { "max_priority", nameIn(priorityNames, one.maxPriority) }, { "max_in_flight", one.maxInFlight } };
+    for (const auto& [name, workspace] : value.workspaces) {
+        root["workspaces"][name]
+            = { { "weight", workspace.weight }, { "max_priority", nameIn(priorityNames, workspace.maxPriority) },
+                  { "max_in_flight", workspace.maxInFlight } };
     }
-    for (const auto& [name, one] : value.models)
-        root["models"][name] = { { "layers", one.layers } };
-    for (const auto& [name, one] : value.pipelines) {
-        root["pipelines"][name] = { { "model", one.model }, { "versions", sharesToJson(one.versions, "version") },
-            { "pools", sharesToJson(one.pools, "pool") }, { "workspaces", one.workspaces },
-            { "priority", nameIn(priorityNames, one.priority) } };
+    for (const auto& [name, model] : value.models)
+        root["models"][name] = { { "layers", model.layers } };
+    for (const auto& [name, pipeline] : value.pipelines) {
+        root["pipelines"][name]
+            = { { "model", pipeline.model }, { "versions", sharesToJson(pipeline.versions, "version") },
+                  { "pools", sharesToJson(pipeline.pools, "pool") }, { "workspaces", pipeline.workspaces },
+                  { "priority", nameIn(priorityNames, pipeline.priority) } };
     }
-    for (const auto& [name, one] : value.services) {
+    for (const auto& [name, service] : value.services) {
         json patterns = json::array();
-        for (const auto& pattern : one.nonIdempotent)
+        for (const auto& pattern : service.nonIdempotent)
             patterns.push_back({ { "method", pattern.method }, { "path_prefix", pattern.pathPrefix } });
-        root["services"][name] = { { "workspaces", one.workspaces }, { "non_idempotent", patterns } };
+        root["services"][name] = { { "workspaces", service.workspaces }, { "non_idempotent", patterns } };
     }
     return root.dump();
 }
@@ -455,14 +457,14 @@
     return catchFailure([&] {
         const json operations = json::parse(patch);
         m_tree->root.patch_inplace(operations);
-        const auto touched = touchedEntries(operations);
-        if (!touched) {
+        const auto changed = changedEntries(operations);
+        if (!changed) {
             m_document = readDocument(m_tree->root);
             return;
         }
         // Pipelines and services refer to models and workspaces, so these are parsed first.
         for (const char* section : { "workspaces", "models", "pipelines", "services" }) {
-            for (const auto& entry : *touched) {
+            for (const auto& entry : *changed) {
                 if (entry.section == section)
                     refreshEntry(m_document, m_tree->root, entry);
             }
--- a/src/buckthornrail/core/request_fingerprint.cpp
+++ b/src/buckthornrail/core/request_fingerprint.cpp
@@ -15,11 +15,11 @@
 
 } // namespace
 
-std::string text(const request_fingerprint& one)
+std::string text(const request_fingerprint& fingerprint)
 {
     std::string digits;
     digits.reserve(request_fingerprint::size * digitsPerByte);
-    for (const unsigned byte : one.bytes) {
+    for (const unsigned byte : fingerprint.bytes) {
         digits += digitNames[byte >> bitsPerDigit];
         digits += digitNames[byte & digitMask];
     }
--- a/src/buckthornrail/document/change.cpp
+++ b/src/buckthornrail/document/change.cpp
@@ -42,10 +42,10 @@
         const auto found = std::lower_bound(addedHashes.begin(), addedHashes.end(), hash);
         if (found == addedHashes.end() || *found != hash)
             continue;
-        const auto at = static_cast<std::size_t>(found - addedHashes.begin());
-        if (isAdded[at])
+        const auto position = static_cast<std::size_t>(found - addedHashes.begin());
+        if (isAdded[position])
             continue;
-        isAdded[at] = true;
+        isAdded[position] = true;
         changes.added.emplace_back(entry);
     }
     return changes;
@@ -90,9 +90,9 @@
     std::vector<change_slice> take()
     {
         std::uint32_t number = 0;
-        for (auto& one : m_slices) {
-            one.number = number++;
-            one.count = static_cast<std::uint32_t>(m_slices.size());
+        for (auto& slice : m_slices) {
+            slice.number = number++;
+            slice.count = static_cast<std::uint32_t>(m_slices.size());
         }
         return std::move(m_slices);
     }
@@ -119,7 +119,8 @@
 /// @param to version that the change leads to
 /// @param digest content_digest of the document at version `to`
 /// @return at least one slice
-std::vector<change_slice> cutIntoSlices(std::uint64_t from, std::uint64_t to, std::uint64_t digest, const change& whole)
+std::vector<change_slice> splitIntoSlices(
+    std::uint64_t from, std::uint64_t to, std::uint64_t digest, const change& whole)
 {
     change_slice head;
     head.from = from;
@@ -153,7 +154,7 @@
     m_routes = routes;
     m_workspaces = workspaces;
     m_rest = rest;
-    return cutIntoSlices(from, m_version, digestOf(m_routes, m_workspaces, m_rest), result);
+    return splitIntoSlices(from, m_version, digestOf(m_routes, m_workspaces, m_rest), result);
 }
 
 } // namespace buckthornrail::document
--- a/src/buckthornrail/document/change_test.cpp
+++ b/src/buckthornrail/document/change_test.cpp
@@ -19,13 +19,13 @@
     std::string rest = "{}";
 };
 
-outline outlineOf(std::uint64_t number, const version& one)
+outline outlineOf(std::uint64_t number, const version& texts)
 {
     outline result;
     result.version = number;
-    result.routes.assign(one.routes.begin(), one.routes.end());
-    result.workspaces.assign(one.workspaces.begin(), one.workspaces.end());
-    result.rest = one.rest;
+    result.routes.assign(texts.routes.begin(), texts.routes.end());
+    result.workspaces.assign(texts.workspaces.begin(), texts.workspaces.end());
+    result.rest = texts.rest;
     return result;
 }
 
@@ -35,21 +35,21 @@
     std::map<entry_hash, std::string> workspaces;
     std::string rest;
 
-    static void take(std::map<entry_hash, std::string>& held, const entry_changes& changes)
+    static void take(std::map<entry_hash, std::string>& entries, const entry_changes& changes)
     {
         for (const auto hash : changes.removed)
-            RC_ASSERT(held.erase(hash) == 1U);
+            RC_ASSERT(entries.erase(hash) == 1U);
         for (const auto& text : changes.added)
-            RC_ASSERT(held.emplace(hashOf(text), text).second);
+            RC_ASSERT(entries.emplace(hashOf(text), text).second);
     }
 
     void take(const std::vector<change_slice>& slices)
     {
-        for (const auto& one : slices) {
-            take(routes, one.part.routes);
-            take(workspaces, one.part.workspaces);
-            if (!one.part.rest.empty())
-                rest = one.part.rest;
+        for (const auto& slice : slices) {
+            take(routes, slice.part.routes);
+            take(workspaces, slice.part.workspaces);
+            if (!slice.part.rest.empty())
+                rest = slice.part.rest;
         }
     }
 
@@ -65,10 +65,10 @@
     }
 };
 
-std::set<std::string> textsOf(const std::map<entry_hash, std::string>& held)
+std::set<std::string> textsOf(const std::map<entry_hash, std::string>& entries)
 {
     std::set<std::string> texts;
-    for (const auto& [hash, text] : held)
+    for (const auto& [hash, text] : entries)
         texts.insert(text);
     return texts;
 }
@@ -81,17 +81,17 @@
         const auto entries = rc::gen::container<std::vector<std::string>>(
             rc::gen::map(rc::gen::inRange(0, 40), [](int name) { return "entry-" + std::to_string(name); }));
         change_tracker sender;
-        receiver held;
+        receiver copy;
         const auto versions = *rc::gen::inRange(1, 8);
         for (int number = 1; number <= versions; ++number) {
             const version next { *entries, *entries, "{" + std::to_string(*rc::gen::inRange(0, 3)) + "}" };
             const auto slices = sender.advanceTo(outlineOf(static_cast<std::uint64_t>(number), next));
-            held.take(slices);
-            RC_ASSERT(textsOf(held.routes) == std::set<std::string>(next.routes.begin(), next.routes.end()));
+            copy.take(slices);
+            RC_ASSERT(textsOf(copy.routes) == std::set<std::string>(next.routes.begin(), next.routes.end()));
             RC_ASSERT(
-                textsOf(held.workspaces) == std::set<std::string>(next.workspaces.begin(), next.workspaces.end()));
-            RC_ASSERT(held.rest == next.rest);
-            RC_ASSERT(slices.back().digest == held.digest());
+                textsOf(copy.workspaces) == std::set<std::string>(next.workspaces.begin(), next.workspaces.end()));
+            RC_ASSERT(copy.rest == next.rest);
+            RC_ASSERT(slices.back().digest == copy.digest());
         }
     });
 }
@@ -99,8 +99,8 @@
 TEST_CASE("document change: a change of one entry out of ten thousand is one slice", "[document]")
 {
     version before;
-    for (int at = 0; at < 10'000; ++at)
-        before.routes.push_back("route " + std::to_string(at));
+    for (int i = 0; i < 10'000; ++i)
+        before.routes.push_back("route " + std::to_string(i));
     change_tracker sender;
     sender.advanceTo(outlineOf(1, before));
     version after = before;
@@ -119,27 +119,27 @@
     constexpr std::size_t entryBytes = 200;
     constexpr std::size_t bound = 24U << 10U;
     version whole;
-    for (int at = 0; at < 2000; ++at) {
-        std::string entry = std::to_string(at);
+    for (int i = 0; i < 2000; ++i) {
+        std::string entry = std::to_string(i);
         entry.resize(entryBytes, '.');
         whole.routes.push_back(entry);
     }
     whole.workspaces = { std::string(bound * 2, 'w'), "small" }; // an entry above the limit has its own slice
     const auto slices = slicesOf(outlineOf(7, whole));
     std::size_t entries = 0;
-    for (std::size_t at = 0; at < slices.size(); ++at) {
-        const auto& one = slices[at];
-        CHECK(one.number == at);
-        CHECK(one.count == slices.size());
-        CHECK(one.from == 0);
-        CHECK(one.to == 7);
+    for (std::size_t i = 0; i < slices.size(); ++i) {
+        const auto& slice = slices[i];
+        CHECK(slice.number == i);
+        CHECK(slice.count == slices.size());
+        CHECK(slice.from == 0);
+        CHECK(slice.to == 7);
         std::size_t bytes = 0;
-        for (const auto* kind : { &one.part.routes, &one.part.workspaces }) {
+        for (const auto* kind : { &slice.part.routes, &slice.part.workspaces }) {
             for (const auto& text : kind->added)
                 bytes += text.size();
             entries += kind->added.size();
         }
-        CHECK((bytes <= bound || one.part.workspaces.added.size() == 1));
+        CHECK((bytes <= bound || slice.part.workspaces.added.size() == 1));
     }
     CHECK(entries == 2002);
     CHECK(slices.size() < 25);
--- a/src/buckthornrail/membership/membership_table.cpp
+++ b/src/buckthornrail/membership/membership_table.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Left and lost records are kept up to this number, except those with a drain request.
-constexpr std::size_t maxGoneRecords = 512;
+constexpr std::size_t maxLeftOrLostRecords = 512;
 
 bool isLeftOrLost(const instance_record& record)
 {
@@ -87,15 +87,15 @@
 
 void membership_table::prune()
 {
-    std::vector<const instance_record*> gone;
+    std::vector<const instance_record*> removable;
     for (const auto& [id, record] : m_records) {
         if (isLeftOrLost(record) && !record.drainRequested)
-            gone.push_back(&record);
+            removable.push_back(&record);
     }
-    if (gone.size() <= maxGoneRecords)
+    if (removable.size() <= maxLeftOrLostRecords)
         return;
     const auto older = [](const instance_record* a, const instance_record* b) { return a->revision < b->revision; };
-    const instance_id oldest = (*std::min_element(gone.begin(), gone.end(), older))->id;
+    const instance_id oldest = (*std::min_element(removable.begin(), removable.end(), older))->id;
     m_prunedRevision = m_revision;
     m_records.erase(oldest);
 }
--- a/src/buckthornrail/membership/membership_table_test.cpp
+++ b/src/buckthornrail/membership/membership_table_test.cpp
@@ -74,9 +74,9 @@
     membership_view view;
     table.apply({ recordOf("stays", 1, instance_state::Ready), false });
     view.apply(table.changesSince(0));
-    for (int at = 0; at < 2000; ++at) {
-        table.apply({ recordOf("g" + std::to_string(at), 1, instance_state::Ready), false });
-        table.apply({ recordOf("g" + std::to_string(at), 1, instance_state::Left), false });
+    for (int i = 0; i < 2000; ++i) {
+        table.apply({ recordOf("g" + std::to_string(i), 1, instance_state::Ready), false });
+        table.apply({ recordOf("g" + std::to_string(i), 1, instance_state::Left), false });
     }
     CHECK(table.records().size() < 600);
     const auto delta = table.changesSince(view.revision());
--- a/src/buckthornrail/settings/settings.cpp
+++ b/src/buckthornrail/settings/settings.cpp
@@ -118,7 +118,7 @@
         "Whether the target refuses orders with an outdated fencing token." },
     setting_rule { "target", "order_timeout_ms", sidecarRole, 0, type::Number, &settings::orderTimeoutMs, 100,
         oneHourMs, "", "Maximum duration of an order, such as loading a version." },
-    setting_rule { "target", "answer_keep_bytes", sidecarRole, 0, type::Number, &settings::answerKeepBytes, 0,
+    setting_rule { "target", "answer_keep_bytes", sidecarRole, 0, type::Number, &settings::responseStoreBytes, 0,
         256U << 20U, "", "Memory for responses to non-idempotent requests, kept in case they are requested again." },
     setting_rule { "storage", "folder", controllerRole | registryRole, controllerRole | registryRole, type::Text,
         &settings::dataFolder, 0, 0, "", "Data folder, used by this controller only." },
@@ -216,78 +216,78 @@
 
 /// Checks rules that involve more than one key.
 void checkKeyCombinations(
-    const settings& values, process_role role, const std::string& file, std::vector<settings_fault>& faults)
+    const settings& values, process_role role, const std::string& file, std::vector<settings_error>& errors)
 {
     if (role == process_role::Entry && values.defaultTimeoutMs > values.maxTimeoutMs)
-        faults.push_back({ file, "entry", "default_timeout_ms", "must not exceed max_timeout_ms" });
-    const bool keepsLease = role == process_role::Entry || role == process_role::Sidecar;
-    if (keepsLease && values.heartbeatMs * 2 > values.leaseMs)
-        faults.push_back({ file, "controllers", "heartbeat_ms", "must not exceed half of lease_ms" });
+        errors.push_back({ file, "entry", "default_timeout_ms", "must not exceed max_timeout_ms" });
+    const bool hasLease = role == process_role::Entry || role == process_role::Sidecar;
+    if (hasLease && values.heartbeatMs * 2 > values.leaseMs)
+        errors.push_back({ file, "controllers", "heartbeat_ms", "must not exceed half of lease_ms" });
     if (role != process_role::Sidecar)
         return;
     const bool isService = values.targetKind == "plain_service";
     if (isService && values.service.empty())
-        faults.push_back({ file, "target", "service", "is required for kind plain_service" });
+        errors.push_back({ file, "target", "service", "is required for kind plain_service" });
     if (!isService && values.model.empty())
-        faults.push_back({ file, "target", "model", "is required unless the kind is plain_service" });
+        errors.push_back({ file, "target", "model", "is required unless the kind is plain_service" });
     if (!isService && values.version.empty())
-        faults.push_back({ file, "target", "version", "is required unless the kind is plain_service" });
+        errors.push_back({ file, "target", "version", "is required unless the kind is plain_service" });
     if (isService && !values.model.empty())
-        faults.push_back({ file, "target", "model", "is not allowed for kind plain_service" });
+        errors.push_back({ file, "target", "model", "is not allowed for kind plain_service" });
     if (values.targetKind == "layer_range" && values.endLayer <= values.firstLayer)
-        faults.push_back({ file, "target", "end_layer", "must be greater than first_layer" });
+        errors.push_back({ file, "target", "end_layer", "must be greater than first_layer" });
 }
 
 } // namespace
 
 std::span<const setting_rule> settingRules() { return rules; }
 
-std::string toString(const settings_fault& fault)
+std::string toString(const settings_error& error)
 {
-    std::string text = fault.file + ": ";
-    if (!fault.section.empty())
-        text += "[" + fault.section + "] ";
-    if (!fault.key.empty())
-        text += fault.key + ": ";
-    return text + fault.reason;
+    std::string text = error.file + ": ";
+    if (!error.section.empty())
+        text += "[" + error.section + "] ";
+    if (!error.key.empty())
+        text += error.key + ": ";
+    return text + error.reason;
 }
 
-tl::expected<settings, std::vector<settings_fault>> parseSettings(
+tl::expected<settings, std::vector<settings_error>> parseSettings(
     const std::string& text, const std::string& file, process_role role)
 {
-    std::vector<settings_fault> faults;
+    std::vector<settings_error> errors;
     std::vector<raw_value> raw;
     const int badLine = ini_parse_string(text.c_str(), collectEntry, &raw);
     if (badLine != 0)
-        faults.push_back({ file, "", "", "line " + std::to_string(badLine) + " has a syntax error" });
+        errors.push_back({ file, "", "", "line " + std::to_string(badLine) + " has a syntax error" });
     settings values;
     values.sourceFile = file;
     std::set<std::pair<std::string, std::string>> seen;
     for (const auto& item : raw) {
-        const auto rule = std::find_if(rules.begin(), rules.end(), [&](const setting_rule& one) {
-            return one.section == item.section && one.key == item.key
-                && (one.roles & static_cast<std::uint8_t>(role)) != 0;
+        const auto rule = std::find_if(rules.begin(), rules.end(), [&](const setting_rule& candidate) {
+            return candidate.section == item.section && candidate.key == item.key
+                && (candidate.roles & static_cast<std::uint8_t>(role)) != 0;
         });
         if (rule == rules.end()) {
-            faults.push_back({ file, item.section, item.key,
+            errors.push_back({ file, item.section, item.key,
                 "is not a known key of role " + std::string(nameIn(processRoleNames, role)) });
             continue;
         }
         if (!seen.emplace(item.section, item.key).second) {
-            faults.push_back({ file, item.section, item.key, "is set twice" });
+            errors.push_back({ file, item.section, item.key, "is set twice" });
             continue;
         }
         if (auto stored = assignValue(*rule, item.value, values); !stored)
-            faults.push_back({ file, item.section, item.key, stored.error() });
+            errors.push_back({ file, item.section, item.key, stored.error() });
     }
     for (const auto& rule : rules) {
         const bool needed = (rule.requiredBy & static_cast<std::uint8_t>(role)) != 0;
         if (needed && !seen.contains({ std::string(rule.section), std::string(rule.key) }))
-            faults.push_back({ file, std::string(rule.section), std::string(rule.key), "is missing" });
+            errors.push_back({ file, std::string(rule.section), std::string(rule.key), "is missing" });
     }
-    checkKeyCombinations(values, role, file, faults);
-    if (!faults.empty())
-        return tl::make_unexpected(std::move(faults));
+    checkKeyCombinations(values, role, file, errors);
+    if (!errors.empty())
+        return tl::make_unexpected(std::move(errors));
     if (values.linkPort != 0) {
         for (auto& address : values.controllers)
             address = address.substr(0, address.rfind(':') + 1) + std::to_string(values.linkPort);
@@ -305,11 +305,11 @@
     return text.str();
 }
 
-tl::expected<settings, std::vector<settings_fault>> loadSettings(const std::string& file, process_role role)
+tl::expected<settings, std::vector<settings_error>> loadSettings(const std::string& file, process_role role)
 {
     const auto text = readFile(file);
     if (!text)
-        return tl::make_unexpected(std::vector<settings_fault> { { file, "", "", "can't be opened" } });
+        return tl::make_unexpected(std::vector<settings_error> { { file, "", "", "can't be opened" } });
     return parseSettings(*text, file, role);
 }
 
--- a/src/buckthornrail/settings/settings_test.cpp
+++ b/src/buckthornrail/settings/settings_test.cpp
@@ -12,14 +12,14 @@
                          "[http]\naddress = 127.0.0.1:8001\n[controllers]\naddresses = 127.0.0.1:1, 127.0.0.1:2\n"
                          "[target]\nkind = openai\naddress = 127.0.0.1:9001\nmodel = m\nversion = 1\n";
 
-std::string faultsOf(const std::string& text, process_role role = process_role::Sidecar)
+std::string errorsOf(const std::string& text, process_role role = process_role::Sidecar)
 {
     const auto parsed = parseSettings(text, "f.ini", role);
     std::string all;
     if (parsed)
         return all;
-    for (const auto& fault : parsed.error())
-        all += toString(fault) + "\n";
+    for (const auto& error : parsed.error())
+        all += toString(error) + "\n";
     return all;
 }
 
@@ -36,17 +36,17 @@
 
 TEST_CASE("settings: each error names file, section, key and reason", "[settings]")
 {
-    CHECK(faultsOf(good + "slots = many\n") == "f.ini: [target] slots: 'many' is not a whole number\n");
-    CHECK(faultsOf(good + "slots = 0\n") == "f.ini: [target] slots: 0 is out of range 1 to 1024\n");
-    CHECK(faultsOf(good + "colour = red\n") == "f.ini: [target] colour: is not a known key of role sidecar\n");
-    CHECK(faultsOf(good + "model = n\n") == "f.ini: [target] model: is set twice\n");
-    CHECK(faultsOf(good + "[http]\nthreads = 1\n") == "f.ini: [http] threads: 1 is out of range 2 to 4096\n");
+    CHECK(errorsOf(good + "slots = many\n") == "f.ini: [target] slots: 'many' is not a whole number\n");
+    CHECK(errorsOf(good + "slots = 0\n") == "f.ini: [target] slots: 0 is out of range 1 to 1024\n");
+    CHECK(errorsOf(good + "colour = red\n") == "f.ini: [target] colour: is not a known key of role sidecar\n");
+    CHECK(errorsOf(good + "model = n\n") == "f.ini: [target] model: is set twice\n");
+    CHECK(errorsOf(good + "[http]\nthreads = 1\n") == "f.ini: [http] threads: 1 is out of range 2 to 4096\n");
     CHECK(
-        faultsOf(good + "[storage]\nfolder = x\n") == "f.ini: [storage] folder: is not a known key of role sidecar\n");
-    CHECK(faultsOf(good + "[controllers]\nheartbeat_ms = 2000\n")
+        errorsOf(good + "[storage]\nfolder = x\n") == "f.ini: [storage] folder: is not a known key of role sidecar\n");
+    CHECK(errorsOf(good + "[controllers]\nheartbeat_ms = 2000\n")
         == "f.ini: [controllers] heartbeat_ms: must not exceed half of lease_ms\n");
-    CHECK(faultsOf("nonsense\n").starts_with("f.ini: line 1 has a syntax error\n"));
-    CHECK(faultsOf("", process_role::Entry)
+    CHECK(errorsOf("nonsense\n").starts_with("f.ini: line 1 has a syntax error\n"));
+    CHECK(errorsOf("", process_role::Entry)
         == "f.ini: [instance] id: is missing\nf.ini: [instance] failure_domain: is missing\n"
            "f.ini: [http] address: is missing\nf.ini: [controllers] addresses: is missing\n");
     CHECK(loadSettings("/nowhere/x.ini", process_role::Entry).error().front().reason == "can't be opened");
--- a/src/buckthornrail/storage/log_store.cpp
+++ b/src/buckthornrail/storage/log_store.cpp
@@ -58,11 +58,12 @@
 }
 
 /// @return whether an intact record follows anywhere after the offset
-bool hasWholeRecordAfter(const std::string& bytes, std::size_t offset)
+bool hasIntactRecordAfter(const std::string& bytes, std::size_t offset)
 {
     const std::string magic(reinterpret_cast<const char*>(&recordMagic), sizeof recordMagic);
-    for (std::size_t at = bytes.find(magic, offset + 1); at != std::string::npos; at = bytes.find(magic, at + 1)) {
-        if (readRecord(bytes, at))
+    for (std::size_t position = bytes.find(magic, offset + 1); position != std::string::npos;
+         position = bytes.find(magic, position + 1)) {
+        if (readRecord(bytes, position))
             return true;
     }
     return false;
@@ -173,10 +174,10 @@
         }
         replay.finish();
         if (offset < log.size()) {
-            if (hasWholeRecordAfter(log, offset))
+            if (hasIntactRecordAfter(log, offset))
                 return corruptionFailure("the log has a damaged record at offset " + std::to_string(offset));
-            if (auto cut = m_device.replaceSynced(logFile, log.substr(0, offset)); !cut)
-                return tl::make_unexpected(cut.error());
+            if (auto truncated = m_device.replaceSynced(logFile, log.substr(0, offset)); !truncated)
+                return tl::make_unexpected(truncated.error());
         }
     } catch (const json::exception& error) {
         return corruptionFailure(std::string("a record cannot be decoded: ") + error.what());
--- a/src/buckthornrail/storage/log_store_test.cpp
+++ b/src/buckthornrail/storage/log_store_test.cpp
@@ -21,9 +21,9 @@
 {
     agreement::effects effects;
     effects.hardState = agreement::hard_state { term, 1 };
-    for (std::size_t at = 0; at < count; ++at)
+    for (std::size_t i = 0; i < count; ++i)
         effects.appended.push_back(
-            { term, first + at, agreement::entry_kind::Command, "c" + std::to_string(first + at), {} });
+            { term, first + i, agreement::entry_kind::Command, "c" + std::to_string(first + i), {} });
     return effects;
 }
 
@@ -40,12 +40,12 @@
 TEST_CASE("log_store: every fault at every write leaves all acknowledged records and no partial one", "[storage]")
 {
     for (const auto fault : allFaults) {
-        for (int at = 0; at < 6; ++at) {
+        for (int i = 0; i < 6; ++i) {
             failing_device device;
             log_store store(device);
             REQUIRE(store.loadIdentity(77));
             device.fault = fault;
-            device.writesUntilFault = at;
+            device.writesUntilFault = i;
             agreement::log_index acknowledged = 0;
             for (agreement::log_index first = 1; first < 20; first += 3) {
                 if (!store.persist(entriesFrom(first, 3, first)))
@@ -71,12 +71,12 @@
 TEST_CASE("log_store: every fault at every write of a snapshot leaves the old or the new state", "[storage]")
 {
     for (const auto fault : allFaults) {
-        for (int at = 0; at < 3; ++at) {
+        for (int i = 0; i < 3; ++i) {
             failing_device device;
             log_store store(device);
             REQUIRE(store.persist(entriesFrom(1, 10, 1)));
             device.fault = fault;
-            device.writesUntilFault = at;
+            device.writesUntilFault = i;
             const agreement::snapshot base { 8, 1, {}, "state" };
             const auto after = entriesFrom(9, 2, 1).appended;
             (void)store.saveSnapshot(base, { 1, 1 }, after);
@@ -135,8 +135,8 @@
         }
         // Only a damaged last record is taken for a torn one. It is truncated, and the records before it remain.
         RC_ASSERT(state->entries.size() == 8U);
-        for (std::size_t at = 0; at < state->entries.size(); ++at)
-            RC_ASSERT(state->entries[at].command == "c" + std::to_string(at + 1));
+        for (std::size_t i = 0; i < state->entries.size(); ++i)
+            RC_ASSERT(state->entries[i].command == "c" + std::to_string(i + 1));
     });
 }
 
