--- a/src/app/controller/controller.cpp
+++ b/src/app/controller/controller.cpp
@@ -25,7 +25,7 @@
     : m_loop(loop)
     , m_settings(settings)
     , m_metrics(metrics)
-    , m_sessions([this](link::channel_number channel, const std::string& bytes) { m_hub->send(channel, bytes); },
+    , m_sessions([this](link::channel_number linkNumber, const std::string& bytes) { m_hub->send(linkNumber, bytes); },
           milliseconds(settings.leaseMs))
 {
 }
@@ -36,17 +36,17 @@
 {
     m_hub = std::make_unique<link::link_hub>(m_loop,
         link::hub_handlers {
-            [this](link::channel_number channel, bool inbound) {
+            [this](link::channel_number linkNumber, bool inbound) {
                 if (!inbound)
-                    m_log->onOpened(channel);
+                    m_log->onOpened(linkNumber);
             },
-            [this](link::channel_number channel) {
-                m_sessions.closed(channel);
-                m_log->onClosed(channel);
+            [this](link::channel_number linkNumber) {
+                m_sessions.closed(linkNumber);
+                m_log->onClosed(linkNumber);
             },
-            [this](link::channel_number channel, const std::string& bytes) { onMessage(channel, bytes); },
-            [this](link::channel_number channel) { m_log->onProgress(channel); },
-            [this](link::channel_number channel, const link::link_end& end) { m_log->onEnding(channel, end); },
+            [this](link::channel_number linkNumber, const std::string& bytes) { onMessage(linkNumber, bytes); },
+            [this](link::channel_number linkNumber) { m_log->onProgress(linkNumber); },
+            [this](link::channel_number linkNumber, const link::link_end& end) { m_log->onEnding(linkNumber, end); },
         });
     replicated_log_options options;
     options.dataFolder = m_settings.dataFolder;
@@ -146,22 +146,22 @@
     return status;
 }
 
-void controller::onMessage(link::channel_number channel, const std::string& bytes)
+void controller::onMessage(link::channel_number linkNumber, const std::string& bytes)
 {
-    const auto message = decodeOrClose(*m_hub, channel, bytes);
-    if (message && !m_log->onMessage(channel, *message))
-        handle(channel, *message);
+    const auto message = decodeOrClose(*m_hub, linkNumber, bytes);
+    if (message && !m_log->onMessage(linkNumber, *message))
+        handle(linkNumber, *message);
 }
 
-void controller::handle(link::channel_number channel, const link::message& message)
+void controller::handle(link::channel_number linkNumber, const link::message& message)
 {
     if (const auto* heartbeat = std::get_if<link::session_heartbeat>(&message)) {
-        m_sessions.heartbeat(channel, *heartbeat, steadyNow());
+        m_sessions.heartbeat(linkNumber, *heartbeat, steadyNow());
     } else if (const auto* announce = std::get_if<link::session_announce>(&message)) {
-        m_sessions.announced(channel, *announce, steadyNow());
+        m_sessions.announced(linkNumber, *announce, steadyNow());
         proposeTransitions();
     } else if (const auto* claim = std::get_if<link::claim_request>(&message)) {
-        onClaim(channel, *claim);
+        onClaim(linkNumber, *claim);
     } else if (const auto* report = std::get_if<link::lease_report>(&message)) {
         renewLeases(report->instances);
     } else if (const auto* ended = std::get_if<link::order_report>(&message)) {
@@ -215,17 +215,17 @@
         confirmationTimeout);
 }
 
-void controller::onClaim(link::channel_number channel, const link::claim_request& request)
+void controller::onClaim(link::channel_number linkNumber, const link::claim_request& request)
 {
     submit(
         request.command,
-        [this, channel, id = request.commandId](const tl::expected<command_result, failure>& result) {
+        [this, linkNumber, id = request.commandId](const tl::expected<command_result, failure>& result) {
             link::claim_reply reply;
             reply.commandId = id;
             reply.available = result.has_value();
             if (result)
                 reply.result = result->claim;
-            m_hub->send(channel, link::encode(reply));
+            m_hub->send(linkNumber, link::encode(reply));
         },
         claimTimeout);
 }
--- a/src/app/controller/controller.hpp
+++ b/src/app/controller/controller.hpp
@@ -64,9 +64,9 @@
     tl::expected<void, failure> restoreState(const std::string& bytes) override;
 
 private:
-    void onMessage(link::channel_number channel, const std::string& bytes);
-    void onClaim(link::channel_number channel, const link::claim_request& request);
-    void handle(link::channel_number channel, const link::message& message);
+    void onMessage(link::channel_number linkNumber, const std::string& bytes);
+    void onClaim(link::channel_number linkNumber, const link::claim_request& request);
+    void handle(link::channel_number linkNumber, const link::message& message);
     void tick();
     void logTransitions(const transition_batch& batch) const;
     /// @brief Starts a quorum round for the heartbeats to be answered, unless one is in flight.
--- a/src/app/controller/session_table.cpp
+++ b/src/app/controller/session_table.cpp
@@ -20,9 +20,9 @@
     return pages;
 }
 
-void session_table::announced(link::channel_number channel, const link::session_announce& announce, steady_time now)
+void session_table::announced(link::channel_number linkNumber, const link::session_announce& announce, steady_time now)
 {
-    auto& session = m_sessions[channel];
+    auto& session = m_sessions[linkNumber];
     const bool isNew = session.record.id.empty();
     session.record = announce.record;
     session.wantsState = announce.wantsState;
@@ -34,22 +34,23 @@
     m_renewals.insert(announce.record.id);
 }
 
-void session_table::heartbeat(link::channel_number channel, const link::session_heartbeat& heartbeat, steady_time now)
+void session_table::heartbeat(
+    link::channel_number linkNumber, const link::session_heartbeat& heartbeat, steady_time now)
 {
-    m_pendingHeartbeats[channel] = heartbeat.sequence;
-    const auto found = m_sessions.find(channel);
+    m_pendingHeartbeats[linkNumber] = heartbeat.sequence;
+    const auto found = m_sessions.find(linkNumber);
     if (found == m_sessions.end())
         return;
     found->second.leaseDeadline = now + m_lease;
     m_renewals.insert(found->second.record.id);
 }
 
-void session_table::closed(link::channel_number channel)
+void session_table::closed(link::channel_number linkNumber)
 {
-    m_sessions.erase(channel);
-    m_pendingHeartbeats.erase(channel);
-    for (auto& [confirmation, channels] : m_confirming)
-        channels.erase(channel);
+    m_sessions.erase(linkNumber);
+    m_pendingHeartbeats.erase(linkNumber);
+    for (auto& [confirmation, links] : m_confirming)
+        links.erase(linkNumber);
 }
 
 void session_table::beginConfirmation(std::uint64_t confirmation)
@@ -62,32 +63,32 @@
     const auto found = m_confirming.find(confirmation);
     if (found == m_confirming.end())
         return;
-    const auto channels = std::move(found->second);
+    const auto links = std::move(found->second);
     m_confirming.erase(m_confirming.begin(), std::next(found));
-    for (const auto& [channel, sequence] : channels) {
-        const auto open = m_sessions.find(channel);
+    for (const auto& [linkNumber, sequence] : links) {
+        const auto open = m_sessions.find(linkNumber);
         if (open == m_sessions.end()) {
-            m_send(channel,
+            m_send(linkNumber,
                 link::encode(link::session_ack { sequence, state.configuration().version(), false, false, {} }));
             continue;
         }
         auto& session = open->second;
         session.synced = true;
-        push(channel, session, state);
+        push(linkNumber, session, state);
         const auto* record = state.membership().find(session.record.id);
         const bool drain = record != nullptr && record->drainRequested;
         link::session_ack ack { sequence, state.configuration().version(), drain, true, {} };
         if (const auto* released = state.placement().releasedFor(session.record.id))
             ack.order = released->order;
-        m_send(channel, link::encode(ack));
+        m_send(linkNumber, link::encode(ack));
     }
 }
 
 void session_table::pushAll(const controller_state& state)
 {
-    for (auto& [channel, session] : m_sessions) {
+    for (auto& [linkNumber, session] : m_sessions) {
         if (session.synced)
-            push(channel, session, state);
+            push(linkNumber, session, state);
     }
 }
 
@@ -95,7 +96,7 @@
     const controller_state& state, steady_time now) const
 {
     std::vector<membership::transition> missing;
-    for (const auto& [channel, session] : m_sessions) {
+    for (const auto& [linkNumber, session] : m_sessions) {
         // A suspended process keeps its link open: its earlier announcement must not undo its loss.
         if (now >= session.leaseDeadline)
             continue;
@@ -122,15 +123,15 @@
     return renewals;
 }
 
-void session_table::push(link::channel_number channel, session_entry& session, const controller_state& state)
+void session_table::push(link::channel_number linkNumber, session_entry& session, const controller_state& state)
 {
     if (!session.wantsState)
         return;
     for (const auto& bytes : configurationUpdates(session.configuration, state))
-        m_send(channel, bytes);
+        m_send(linkNumber, bytes);
     session.configuration = state.configuration().version();
     for (const auto& bytes : membershipUpdates(session.revision, state))
-        m_send(channel, bytes);
+        m_send(linkNumber, bytes);
     session.revision = state.membership().revision();
 }
 
--- a/src/app/controller/session_table.hpp
+++ b/src/app/controller/session_table.hpp
@@ -14,25 +14,25 @@
 namespace buckthornrail::app {
 
 /// @brief Sends an encoded message over a channel.
-using channel_sender = std::function<void(link::channel_number, const std::string& bytes)>;
+using link_sender = std::function<void(link::channel_number, const std::string& bytes)>;
 
 /// @brief Sessions of one controller. A session receives nothing until a quorum round that began after one of its
 /// heartbeats has confirmed the controller's state.
 class session_table {
 public:
     /// @param lease the announcement of a session is ignored when this time has passed since its last heartbeat
-    session_table(channel_sender sender, milliseconds lease)
+    session_table(link_sender sender, milliseconds lease)
         : m_send(std::move(sender))
         , m_lease(lease)
     {
     }
 
     /// @brief Opens a session, or updates the record of an open one.
-    void announced(link::channel_number channel, const link::session_announce& announce, steady_time now);
+    void announced(link::channel_number linkNumber, const link::session_announce& announce, steady_time now);
     /// @brief Renews the session's lease. The heartbeat is answered after the next confirmation.
-    void heartbeat(link::channel_number channel, const link::session_heartbeat& heartbeat, steady_time now);
+    void heartbeat(link::channel_number linkNumber, const link::session_heartbeat& heartbeat, steady_time now);
     /// @brief Removes the session of a closed link.
-    void closed(link::channel_number channel);
+    void closed(link::channel_number linkNumber);
 
     /// @brief Whether heartbeats wait for a confirmation to begin.
     [[nodiscard]] bool hasPendingHeartbeats() const { return !m_pendingHeartbeats.empty(); }
@@ -73,7 +73,7 @@
         std::map<std::uint64_t, std::vector<std::string>> byReceiverVersion;
     };
 
-    void push(link::channel_number channel, session_entry& session, const controller_state& state);
+    void push(link::channel_number linkNumber, session_entry& session, const controller_state& state);
     /// @brief Drops the updates if they lead to another version or revision.
     static void resetIfOutdated(encoded_updates& updates, std::uint64_t to);
     /// @param receiverVersion version that the receiver has
@@ -84,7 +84,7 @@
     /// @return as configurationUpdates()
     const std::vector<std::string>& membershipUpdates(std::uint64_t receiverRevision, const controller_state& state);
 
-    channel_sender m_send;
+    link_sender m_send;
     milliseconds m_lease;
     std::map<link::channel_number, session_entry> m_sessions;
     std::map<link::channel_number, std::uint64_t> m_pendingHeartbeats; ///< sequence of the newest heartbeat, by channel
--- a/src/app/controller/session_table_test.cpp
+++ b/src/app/controller/session_table_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr milliseconds lease { 3000 };
-constexpr link::channel_number channel = 7;
+constexpr link::channel_number linkNumber = 7;
 const steady_time begin = steady_time {} + std::chrono::hours(1);
 
 link::session_announce announceOf(membership::instance_state state, bool wantsState)
@@ -40,12 +40,12 @@
     std::vector<link::message> sent;
     session_table table([&](auto, const auto& bytes) { sent.push_back(link::decode(bytes).value()); }, lease);
     const auto state = configured();
-    table.announced(channel, announceOf(membership::instance_state::Ready, true), begin);
-    table.heartbeat(channel, { 1 }, begin);
+    table.announced(linkNumber, announceOf(membership::instance_state::Ready, true), begin);
+    table.heartbeat(linkNumber, { 1 }, begin);
     table.pushAll(state);
     CHECK(sent.empty());
     table.beginConfirmation(1);
-    table.heartbeat(channel, { 2 }, begin); // arrived after the confirmation began, so it is not answered by it
+    table.heartbeat(linkNumber, { 2 }, begin); // arrived after the confirmation began, so it is not answered by it
     table.confirmed(1, state);
     REQUIRE(sent.size() == 2);
     CHECK(std::get<link::configuration_page>(sent[0]).to == 1);
@@ -59,8 +59,8 @@
 {
     std::vector<link::message> sent;
     session_table table([&](auto, const auto& bytes) { sent.push_back(link::decode(bytes).value()); }, lease);
-    table.announced(channel, announceOf(membership::instance_state::Ready, false), begin);
-    table.heartbeat(channel, { 1 }, begin);
+    table.announced(linkNumber, announceOf(membership::instance_state::Ready, false), begin);
+    table.heartbeat(linkNumber, { 1 }, begin);
     table.beginConfirmation(1);
     table.confirmed(1, configured());
     REQUIRE(sent.size() == 1);
@@ -72,13 +72,13 @@
     session_table table([](auto, const auto&) {}, lease);
     controller_state state = configured();
     const auto announce = announceOf(membership::instance_state::Ready, false);
-    table.announced(channel, announce, begin);
+    table.announced(linkNumber, announce, begin);
     REQUIRE(table.missingTransitions(state, begin).size() == 1);
     state.apply({ "1", transition_batch { table.missingTransitions(state, begin) } });
     state.apply({ "2", transition_batch { { { announce.record, true } } } });
     REQUIRE(state.membership().find("s")->state == membership::instance_state::Lost);
     CHECK(table.missingTransitions(state, begin + lease).empty());
-    table.heartbeat(channel, { 2 }, begin + lease); // the process was resumed
+    table.heartbeat(linkNumber, { 2 }, begin + lease); // the process was resumed
     CHECK(table.missingTransitions(state, begin + lease).size() == 1);
 }
 
