--- a/include/buckthornrail/agreement/replica.hpp
+++ b/include/buckthornrail/agreement/replica.hpp
@@ -1,9 +1,9 @@
 /// @file
 /// @brief Replica of a log that is replicated with Raft (Ongaro and Ousterhout, 2014). It does no I/O itself.
 ///
-/// The caller passes events in and then takes the resulting effects. Before it takes the next set, it must carry out
-/// the current one in this order: persist and sync, send, apply. All events between two calls of takeEffects() share
-/// one sync.
+/// The caller passes events in and then takes the resulting effects. Before it takes the next set, it must apply the
+/// current one in this order: persist and sync, send messages, pass committed entries to the state machine. All events
+/// between two calls of takeEffects() share one sync.
 #pragma once
 
 #include "buckthornrail/agreement/types.hpp"
@@ -34,9 +34,9 @@
     milliseconds heartbeatInterval { 100 };
     milliseconds electionTimeoutMin { 700 }; ///< lower bound of the randomized election timeout
     milliseconds electionTimeoutMax { 1400 }; ///< upper bound of the randomized election timeout
-    /// Upper bound of the election timeout until the replica has heard from a leader since its start; the lower bound
-    /// is a third of it. It may be short, as there is no known leader to wait for, and a pre-vote doesn't disrupt a
-    /// leader that other members have. 0: the usual bounds apply.
+    /// Upper bound of the election timeout until the replica knows a leader for the first time since its start; the
+    /// lower bound is a third of it. It may be short, as there is no known leader to wait for, and a pre-vote doesn't
+    /// disrupt a leader that other members have. 0: the usual bounds apply.
     milliseconds initialElectionTimeoutMax { 0 };
     milliseconds snapshotResendInterval { 3000 }; ///< before an unacknowledged snapshot is sent again
     std::size_t maxEntriesPerMessage = 512;
@@ -49,14 +49,14 @@
     log_index index = 0;
 };
 
-/// Actions that the caller must carry out, in the order of the fields.
+/// Actions that the caller must take, in the order of the fields.
 struct effects {
     std::optional<snapshot> installed; ///< replaces the log and the state machine; persist it first
     std::optional<hard_state> hardState; ///< persist
     std::vector<log_entry> appended; ///< persist; they replace all entries from the first one's index on
     std::vector<peer_message> messages; ///< send, after the sync
     std::vector<log_entry> committed; ///< apply to the state machine
-    std::vector<confirmed_read> reads; ///< each may be answered once its index is applied
+    std::vector<confirmed_read> reads; ///< each may be served once its index is applied
     bool needsPersist() const { return installed.has_value() || hardState.has_value() || !appended.empty(); }
 };
 
@@ -111,7 +111,7 @@
     /// @brief Leaves the protocol for good, after a disk failure. Effects that were not taken yet are discarded.
     void markFaulted();
 
-    /// @return everything that the caller must carry out since the last call
+    /// @return the effects since the last call, which the caller must apply
     [[nodiscard]] effects takeEffects();
 
     [[nodiscard]] replica_role role() const { return m_role; }
@@ -131,7 +131,7 @@
     /// @return number of entries that a member lacks; nothing when this replica isn't the leader, or the member's log
     /// isn't known yet
     [[nodiscard]] std::optional<log_index> lagOf(member_id id) const;
-    /// @brief At the leader: whether the member was heard from within the longest election timeout. True for itself.
+    /// @brief At the leader: whether the member was in contact within the longest election timeout. True for itself.
     [[nodiscard]] bool isReachable(member_id id, steady_time now) const;
 
 private:
--- a/include/buckthornrail/configuration/configuration_store.hpp
+++ b/include/buckthornrail/configuration/configuration_store.hpp
@@ -61,9 +61,9 @@
     /// @brief Applies a change. @return its result; for a resent change, the result of the first time
     change_result apply(const change_command& change);
 
-    /// @brief Result of an earlier change, if it is still kept.
+    /// @brief Result of an earlier change, if it is still stored.
     [[nodiscard]] std::optional<change_result> resultOf(const std::string& changeId) const;
-    /// @brief Update for a receiver that holds a version; nothing if that is the current one.
+    /// @brief Update for a receiver that has a version; nothing if that is the current one.
     [[nodiscard]] std::optional<configuration_update> updateFor(configuration_version receiverVersion) const;
 
     [[nodiscard]] configuration_version version() const { return m_state.version; }
--- a/src/app/controller/controller.cpp
+++ b/src/app/controller/controller.cpp
@@ -12,7 +12,7 @@
 constexpr milliseconds slowTickPeriod { 200 };
 constexpr milliseconds confirmationTimeout { 400 };
 constexpr milliseconds pushPeriod { 200 }; ///< changes in quick succession are batched
-constexpr milliseconds confirmationPeriod { 100 }; ///< one quorum round answers all heartbeats received since the last
+constexpr milliseconds confirmationPeriod { 100 }; ///< one quorum round confirms all heartbeats received since the last
 constexpr milliseconds transitionTimeout { 1000 };
 constexpr milliseconds maxLeaseCheckGap { 1000 };
 constexpr milliseconds claimTimeout { 2500 };
@@ -192,7 +192,7 @@
 void controller::confirmSessions()
 {
     if (m_log->replica().leader() != m_confirmingLeader) {
-        // The previous leader may never answer the confirmation that was requested from it.
+        // The previous leader may never respond to the confirmation that was requested from it.
         m_confirmingLeader = m_log->replica().leader();
         m_openConfirmation = 0;
         m_sessions.dropConfirmations();
--- a/src/app/controller/controller.hpp
+++ b/src/app/controller/controller.hpp
@@ -69,7 +69,7 @@
     void handle(link::channel_number linkNumber, const link::message& message);
     void tick();
     void logTransitions(const transition_batch& batch) const;
-    /// @brief Starts a quorum round for the heartbeats to be answered, unless one is in flight.
+    /// @brief Starts a quorum round for the pending heartbeats, unless one is in flight.
     void confirmSessions();
     /// @brief Renews the leases of instances that sent a heartbeat to this controller, or reports them to the leader.
     void reportRenewals();
--- a/src/app/controller/controller_state.hpp
+++ b/src/app/controller/controller_state.hpp
@@ -48,8 +48,8 @@
 /// @brief The replicated state machine. Deterministic: it uses neither a clock nor random numbers.
 class controller_state {
 public:
-    /// @brief Applies a command. @return its result; Ok without effect for repeated commands other than changes and
-    /// claims, whose result is repeated
+    /// @brief Applies a command. @return its result; Ok without effect for resent commands other than changes and
+    /// claims, which return their result again
     command_result apply(const command& value);
 
     /// @brief Encodes the whole state as CBOR, for a snapshot.
@@ -70,7 +70,7 @@
     dispatch::claim_table m_claims;
     placement_table m_placement;
     static constexpr std::size_t maxRecentIds = 4096;
-    /// Ids of commands that are not idempotent in themselves, so that a late repeat has no effect.
+    /// Ids of commands that are not idempotent in themselves, so that a late resend has no effect.
     recent_set<std::string> m_recentIds { maxRecentIds };
 };
 
--- a/src/app/controller/placement.hpp
+++ b/src/app/controller/placement.hpp
@@ -58,7 +58,7 @@
     /// @brief Records the end of an order and releases the next ones. Reports with another token are ignored.
     void ended(const order_ended_command& command);
 
-    /// @brief The order that an instance's sidecar should carry out; null if there is none.
+    /// @brief The order that an instance's sidecar should execute; null if there is none.
     [[nodiscard]] const order_record* releasedFor(const instance_id& instance) const;
     [[nodiscard]] const std::map<instance_id, order_record>& records() const { return m_records; }
     [[nodiscard]] dispatch::fencing_token lastFence() const { return m_lastFence; }
--- a/src/app/controller/session_table.cpp
+++ b/src/app/controller/session_table.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Sessions of a controller: pushes of updates, and answers to heartbeats.
+/// @brief Sessions of a controller: pushes of updates, and acknowledgements of heartbeats.
 #include "app/controller/session_table.hpp"
 
 namespace buckthornrail::app {
@@ -97,7 +97,7 @@
 {
     std::vector<membership::transition> missing;
     for (const auto& [linkNumber, session] : m_sessions) {
-        // A suspended process keeps its link open: its earlier announcement must not undo its loss.
+        // A stopped process keeps its link open: its earlier announcement must not undo its loss.
         if (now >= session.leaseDeadline)
             continue;
         const auto* known = state.membership().find(session.record.id);
--- a/src/app/controller/session_table.hpp
+++ b/src/app/controller/session_table.hpp
@@ -13,7 +13,7 @@
 
 namespace buckthornrail::app {
 
-/// @brief Sends an encoded message over a channel.
+/// @brief Sends an encoded message over a link.
 using link_sender = std::function<void(link::channel_number, const std::string& bytes)>;
 
 /// @brief Sessions of one controller. A session receives nothing until a quorum round that began after one of its
@@ -29,7 +29,7 @@
 
     /// @brief Opens a session, or updates the record of an open one.
     void announced(link::channel_number linkNumber, const link::session_announce& announce, steady_time now);
-    /// @brief Renews the session's lease. The heartbeat is answered after the next confirmation.
+    /// @brief Renews the session's lease. The heartbeat is acknowledged after the next confirmation.
     void heartbeat(link::channel_number linkNumber, const link::session_heartbeat& heartbeat, steady_time now);
     /// @brief Removes the session of a closed link.
     void closed(link::channel_number linkNumber);
@@ -38,8 +38,8 @@
     [[nodiscard]] bool hasPendingHeartbeats() const { return !m_pendingHeartbeats.empty(); }
     /// @brief Assigns the pending heartbeats to a confirmation that begins now.
     void beginConfirmation(std::uint64_t confirmation);
-    /// @brief Brings sessions up to date and answers the heartbeats of a confirmation. The controller's state is no
-    /// older than the beginning of that confirmation.
+    /// @brief Brings sessions up to date and acknowledges the heartbeats of a confirmation. The controller's state is
+    /// no older than the beginning of that confirmation.
     void confirmed(std::uint64_t confirmation, const controller_state& state);
     /// @brief Drops the confirmations in flight.
     void dropConfirmations() { m_confirming.clear(); }
@@ -58,14 +58,14 @@
 private:
     struct session_entry {
         membership::instance_record record;
-        configuration_version configuration = 0; ///< version that it has been sent, or announced to hold
+        configuration_version configuration = 0; ///< version that it has been sent, or announced to have
         std::uint64_t revision = 0; ///< the same, of the membership table
-        bool wantsState = false; ///< otherwise it receives only the answers to its heartbeats
+        bool wantsState = false; ///< otherwise it receives only acknowledgements of its heartbeats
         bool synced = false; ///< the state has been confirmed for it, so changes may be pushed to it
         steady_time leaseDeadline {};
     };
 
-    /// Encoded messages that bring a receiver up to date, by the version or revision that it holds. Shared by all
+    /// Encoded messages that bring a receiver up to date, by the version or revision that it has. Shared by all
     /// receivers: encoding the table of 2,600 instances for each of 390 entries took a controller four seconds of CPU
     /// time.
     struct encoded_updates {
@@ -87,7 +87,7 @@
     link_sender m_send;
     milliseconds m_lease;
     std::map<link::channel_number, session_entry> m_sessions;
-    std::map<link::channel_number, std::uint64_t> m_pendingHeartbeats; ///< sequence of the newest heartbeat, by channel
+    std::map<link::channel_number, std::uint64_t> m_pendingHeartbeats; ///< sequence of the newest heartbeat, by link
     std::map<std::uint64_t, std::map<link::channel_number, std::uint64_t>> m_confirming; ///< heartbeats by confirmation
     std::set<instance_id> m_renewals; ///< instances whose leases the leader has to renew
     encoded_updates m_configuration;
--- a/src/app/controller/session_table_test.cpp
+++ b/src/app/controller/session_table_test.cpp
@@ -34,8 +34,8 @@
 
 } // namespace
 
-TEST_CASE(
-    "sessions: updates are sent only after a quorum's confirmation, and before the heartbeat's answer", "[sessions]")
+TEST_CASE("sessions: updates are sent only after a quorum's confirmation, and before the heartbeat's acknowledgement",
+    "[sessions]")
 {
     std::vector<link::message> sent;
     session_table table([&](auto, const auto& bytes) { sent.push_back(link::decode(bytes).value()); }, lease);
@@ -45,7 +45,7 @@
     table.pushAll(state);
     CHECK(sent.empty());
     table.beginConfirmation(1);
-    table.heartbeat(linkNumber, { 2 }, begin); // arrived after the confirmation began, so it is not answered by it
+    table.heartbeat(linkNumber, { 2 }, begin); // arrived after the confirmation began, which doesn't acknowledge it
     table.confirmed(1, state);
     REQUIRE(sent.size() == 2);
     CHECK(std::get<link::configuration_page>(sent[0]).to == 1);
@@ -67,7 +67,7 @@
     CHECK(std::get<link::session_ack>(sent[0]).configuration == 1);
 }
 
-TEST_CASE("sessions: the earlier announcement of a suspended process does not undo its loss", "[sessions]")
+TEST_CASE("sessions: the earlier announcement of a stopped process does not undo its loss", "[sessions]")
 {
     session_table table([](auto, const auto&) {}, lease);
     controller_state state = configured();
--- a/src/app/shell/control_shell.cpp
+++ b/src/app/shell/control_shell.cpp
@@ -35,9 +35,9 @@
     std::vector<std::string> logs; ///< paths of log files, for explain
 };
 
-/// Answer to an HTTP call.
+/// Response to an HTTP call.
 struct shell_response {
-    int status = 0; ///< HTTP status; 0: no answer
+    int status = 0; ///< HTTP status; 0: no response
     json body;
 };
 
@@ -59,8 +59,8 @@
     return { response.status, json::parse(response.body, nullptr, false) };
 }
 
-/// Calls the controllers in turn until one answers with a status other than that of NoQuorum.
-/// @return the last answer
+/// Calls the controllers in turn until one responds with a status other than that of NoQuorum.
+/// @return the last response
 shell_response callAny(
     const shell_options& options, const std::string& method, const std::string& path, const std::string& body = {})
 {
@@ -77,7 +77,7 @@
     return last;
 }
 
-/// Prints the sentence, the answer as JSON, or the error. @return the exit status
+/// Prints the sentence, the response as JSON, or the error. @return the exit status
 int report(const shell_options& options, const shell_response& response, const std::string& sentence)
 {
     if (response.status == 0) {
@@ -98,7 +98,7 @@
     const json error = response.body.is_object() ? response.body.value("error", json::object()) : json::object();
     std::cerr << "buckthornrail ctl: " << error.value("code", response.status) << " " << error.value("name", "error")
               << ": " << error.value("message", "");
-    // Registries answer errors with a reason alone.
+    // Error responses of registries contain only a reason.
     const json& withReason = error.contains("reason") ? error : response.body;
     if (withReason.is_object() && withReason.contains("reason"))
         std::cerr << " (" << withReason.value("reason", "") << ")";
@@ -162,7 +162,7 @@
             return report(options, current, "");
         base = current.body.value("version", std::uint64_t { 0 });
     }
-    // Every controller that is tried gets the same id, so that a change whose answer was lost is not applied twice.
+    // Every controller that is tried gets the same id, so that a change whose response was lost is not applied twice.
     const std::string changeId = options.changeId.empty() ? randomId() : options.changeId;
     const json change
         = { { "base", base }, { "change_id", changeId }, { "author", options.author }, { "document", document } };
@@ -224,12 +224,12 @@
 int quarantineList(const shell_options& options)
 {
     const auto response = callAny(options, "GET", "/quarantine");
-    std::string text = "fingerprint                       stage    ended  proofs  targets";
+    std::string text = "fingerprint                       stage    crashes  proofs  ended targets";
     for (const auto& row : response.body.is_object() ? response.body.value("requests", json::array()) : json::array()) {
         std::ostringstream line;
         line << "\n"
              << std::left << std::setw(34) << row.value("fingerprint", "") << std::setw(9) << row.value("stage", "")
-             << std::setw(7) << row.value("crashes", 0) << std::setw(8) << row.value("proofs", 0)
+             << std::setw(9) << row.value("crashes", 0) << std::setw(8) << row.value("proofs", 0)
              << row.value("ended", "");
         text += line.str();
     }
@@ -239,14 +239,14 @@
 int pushbackList(const shell_options& options)
 {
     const auto response = callAny(options, "GET", "/pushback");
-    std::string text = "target                        per second  heard ms ago  rest left ms  leaving";
+    std::string text = "target                        per second  received ms ago  backoff left ms  leaving";
     for (const auto& row : response.body.is_object() ? response.body.value("targets", json::array()) : json::array()) {
         const auto shown
             = [&row](const char* name) { return row.contains(name) ? row.at(name).dump() : std::string("-"); };
         std::ostringstream line;
         line << "\n"
              << std::left << std::setw(30) << row.value("target", "") << std::setw(12) << shown("per_second")
-             << std::setw(14) << shown("heard_ms_ago") << std::setw(14) << shown("rest_left_ms")
+             << std::setw(17) << shown("heard_ms_ago") << std::setw(17) << shown("rest_left_ms")
              << (row.value("leaving", false) ? "yes" : "no");
         text += line.str();
     }
@@ -379,7 +379,7 @@
             "HTTP addresses of controllers, separated by commas", false, "127.0.0.1:8001", "IP:port,...", line);
         TCLAP::ValueArg<std::string> tokenFile(
             "t", "token-file", "File with the operators' token", false, "", "file", line);
-        TCLAP::SwitchArg asJson("j", "json", "Print answers as JSON", line);
+        TCLAP::SwitchArg asJson("j", "json", "Print responses as JSON", line);
         TCLAP::ValueArg<std::string> author("a", "author", "Name for the history", false, "ctl", "name", line);
         TCLAP::ValueArg<std::string> changeId(
             "i", "change-id", "Id of the change; repeat it to resend the change", false, "", "id", line);
--- a/src/app/shell/request_timeline.cpp
+++ b/src/app/shell/request_timeline.cpp
@@ -13,8 +13,8 @@
 namespace buckthornrail::app {
 namespace {
 
-/// Seconds. Allows for clock skew between machines, and for faults of a target that are logged after the request has
-/// met them.
+/// Seconds. Allows for clock skew between machines, and for failures of a target that are logged after the request has
+/// failed there.
 constexpr double timeMargin = 1.0;
 /// Events that concern a whole process: starts and stops, leaders and disks, documents, sessions.
 constexpr std::array processEvents { "E100", "E101", "E102", "E400", "E401", "E404", "E405", "E500", "E501", "E502",
--- a/src/buckthornrail/configuration/configuration_store.cpp
+++ b/src/buckthornrail/configuration/configuration_store.cpp
@@ -10,8 +10,8 @@
 
 using nlohmann::json;
 
-constexpr std::size_t maxHistory = 256; ///< accepted changes that are kept, for deltas and for the operators' history
-constexpr std::size_t maxResults = 4096; ///< results that are kept for resent changes
+constexpr std::size_t maxHistory = 256; ///< accepted changes that are stored, for deltas and for the operators' history
+constexpr std::size_t maxResults = 4096; ///< results that are stored for resent changes
 
 } // namespace
 
--- a/src/buckthornrail/configuration/document.cpp
+++ b/src/buckthornrail/configuration/document.cpp
@@ -297,7 +297,7 @@
     return root;
 }
 
-/// Named entry of the document that a patch changes.
+/// Named entry of the document that a patch changes, adds or removes.
 struct changed_entry {
     std::string section;
     std::string name;
--- a/src/buckthornrail/membership/membership_table.cpp
+++ b/src/buckthornrail/membership/membership_table.cpp
@@ -9,7 +9,7 @@
 namespace buckthornrail::membership {
 namespace {
 
-/// Left and lost records are kept up to this number, except those with a drain request.
+/// Maximum number of left and lost records, not counting those with a drain request.
 constexpr std::size_t maxLeftOrLostRecords = 512;
 
 bool isLeftOrLost(const instance_record& record)
