--- a/src/app/controller/controller.cpp
+++ b/src/app/controller/controller.cpp
@@ -12,12 +12,12 @@
 constexpr milliseconds slowTickPeriod { 200 };
 constexpr milliseconds confirmationTimeout { 400 };
 constexpr milliseconds pushPeriod { 200 }; ///< changes in quick succession are batched
-constexpr milliseconds confirmationPeriod { 100 }; ///< one quorum round answers all heartbeats received since the last
+constexpr milliseconds confirmationPeriod { 100 }; ///< one quorum round confirms all heartbeats received since the last
 constexpr milliseconds transitionTimeout { 1000 };
 constexpr milliseconds maxLeaseCheckGap { 1000 };
 constexpr milliseconds claimTimeout { 2500 };
 constexpr milliseconds commandTimeout { 10000 };
-constexpr milliseconds handOverPeriod { 300 };
+constexpr milliseconds handOverDelay { 300 };
 
 } // namespace
 
@@ -25,7 +25,7 @@
     : m_loop(loop)
     , m_settings(settings)
     , m_metrics(metrics)
-    , m_sessions([this](link::link_number channel, const std::string& bytes) { m_hub->send(channel, bytes); },
+    , m_sessions([this](link::link_number linkNumber, const std::string& bytes) { m_hub->send(linkNumber, bytes); },
           milliseconds(settings.leaseMs))
 {
 }
@@ -36,17 +36,17 @@
 {
     m_hub = std::make_unique<link::link_hub>(m_loop,
         link::hub_handlers {
-            [this](link::link_number channel, bool inbound) {
+            [this](link::link_number linkNumber, bool inbound) {
                 if (!inbound)
-                    m_log->onOpened(channel);
+                    m_log->onOpened(linkNumber);
             },
-            [this](link::link_number channel) {
-                m_sessions.closed(channel);
-                m_log->onClosed(channel);
+            [this](link::link_number linkNumber) {
+                m_sessions.closed(linkNumber);
+                m_log->onClosed(linkNumber);
             },
-            [this](link::link_number channel, const std::string& bytes) { onMessage(channel, bytes); },
-            [this](link::link_number channel) { m_log->onProgress(channel); },
-            [this](link::link_number channel, const link::link_end& end) { m_log->onEnding(channel, end); },
+            [this](link::link_number linkNumber, const std::string& bytes) { onMessage(linkNumber, bytes); },
+            [this](link::link_number linkNumber) { m_log->onProgress(linkNumber); },
+            [this](link::link_number linkNumber, const link::link_end& end) { m_log->onEnding(linkNumber, end); },
         });
     replicated_log_options options;
     options.dataFolder = m_settings.dataFolder;
@@ -76,7 +76,7 @@
 {
     m_isReady = false;
     m_log->stop();
-    m_loop.runAt(steadyNow() + handOverPeriod, std::move(done));
+    m_loop.runAt(steadyNow() + handOverDelay, std::move(done));
 }
 
 tl::expected<void, failure> controller::initialize() { return m_log->initialize(); }
@@ -146,22 +146,22 @@
     return status;
 }
 
-void controller::onMessage(link::link_number channel, const std::string& bytes)
+void controller::onMessage(link::link_number linkNumber, const std::string& bytes)
 {
-    const auto message = decodeOrClose(*m_hub, channel, bytes);
-    if (message && !m_log->onMessage(channel, *message))
-        handle(channel, *message);
+    const auto message = decodeOrClose(*m_hub, linkNumber, bytes);
+    if (message && !m_log->onMessage(linkNumber, *message))
+        handle(linkNumber, *message);
 }
 
-void controller::handle(link::link_number channel, const link::message& message)
+void controller::handle(link::link_number linkNumber, const link::message& message)
 {
     if (const auto* heartbeat = std::get_if<link::session_heartbeat>(&message)) {
-        m_sessions.heartbeat(channel, *heartbeat, steadyNow());
+        m_sessions.heartbeat(linkNumber, *heartbeat, steadyNow());
     } else if (const auto* announce = std::get_if<link::session_announce>(&message)) {
-        m_sessions.announced(channel, *announce, steadyNow());
+        m_sessions.announced(linkNumber, *announce, steadyNow());
         proposeTransitions();
     } else if (const auto* claim = std::get_if<link::claim_request>(&message)) {
-        onClaim(channel, *claim);
+        onClaim(linkNumber, *claim);
     } else if (const auto* report = std::get_if<link::lease_report>(&message)) {
         renewLeases(report->instances);
     } else if (const auto* ended = std::get_if<link::order_report>(&message)) {
@@ -192,7 +192,7 @@
 void controller::confirmSessions()
 {
     if (m_log->replica().leader() != m_confirmingLeader) {
-        // The previous leader may never answer the confirmation that was requested from it.
+        // The previous leader may never respond to the confirmation that was requested from it.
         m_confirmingLeader = m_log->replica().leader();
         m_openConfirmation = 0;
         m_sessions.dropConfirmations();
@@ -215,17 +215,17 @@
         confirmationTimeout);
 }
 
-void controller::onClaim(link::link_number channel, const link::claim_request& request)
+void controller::onClaim(link::link_number linkNumber, const link::claim_request& request)
 {
     submit(
         request.command,
-        [this, channel, id = request.commandId](const tl::expected<command_result, failure>& result) {
+        [this, linkNumber, id = request.commandId](const tl::expected<command_result, failure>& result) {
             link::claim_reply reply;
             reply.commandId = id;
             reply.available = result.has_value();
             if (result)
                 reply.result = result->claim;
-            m_hub->send(channel, link::encode(reply));
+            m_hub->send(linkNumber, link::encode(reply));
         },
         claimTimeout);
 }
@@ -269,7 +269,7 @@
     if (!m_log->isLeader())
         return;
     const steady_time now = steadyNow();
-    const steady_time lastCheck = std::exchange(m_leasesChecked, now);
+    const steady_time lastCheck = std::exchange(m_leasesCheckedAt, now);
     if (now - lastCheck > maxLeaseCheckGap) {
         // This process was stalled, or has just become the leader: heartbeats sent meanwhile may still be unread.
         for (auto& [id, deadline] : m_leases)
@@ -277,9 +277,9 @@
     }
     transition_batch batch;
     for (const auto& [id, record] : m_state.membership().records()) {
-        const bool isGone
+        const bool isLeftOrLost
             = record.state == membership::instance_state::Left || record.state == membership::instance_state::Lost;
-        if (isGone) {
+        if (isLeftOrLost) {
             m_leases.erase(id);
             continue;
         }
--- a/src/app/controller/controller.hpp
+++ b/src/app/controller/controller.hpp
@@ -64,12 +64,12 @@
     tl::expected<void, failure> restoreState(const std::string& bytes) override;
 
 private:
-    void onMessage(link::link_number channel, const std::string& bytes);
-    void onClaim(link::link_number channel, const link::claim_request& request);
-    void handle(link::link_number channel, const link::message& message);
+    void onMessage(link::link_number linkNumber, const std::string& bytes);
+    void onClaim(link::link_number linkNumber, const link::claim_request& request);
+    void handle(link::link_number linkNumber, const link::message& message);
     void tick();
     void logTransitions(const transition_batch& batch) const;
-    /// @brief Starts a quorum round for the heartbeats to be answered, unless one is in flight.
+    /// @brief Starts a quorum round for the pending heartbeats, unless one is in flight.
     void confirmSessions();
     /// @brief Renews the leases of instances that sent a heartbeat to this controller, or reports them to the leader.
     void reportRenewals();
@@ -92,7 +92,7 @@
     std::uint64_t m_openConfirmation = 0; ///< number of the sessions' confirmation in flight; 0: none
     agreement::member_id m_confirmingLeader = 0; ///< leader that the confirmation in flight was requested from
     std::map<instance_id, steady_time> m_leases; ///< deadlines; only the leader acts on them
-    steady_time m_leasesChecked {};
+    steady_time m_leasesCheckedAt {};
     steady_time m_transitionDeadline {}; ///< timeout of the submitted batch; the next one is not sent before
     bool m_pushNeeded = false; ///< the state has changed since the last push to the sessions
     steady_time m_pushDeadline {};
--- a/src/app/controller/session_table_test.cpp
+++ b/src/app/controller/session_table_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr milliseconds lease { 3000 };
-constexpr link::link_number channel = 7;
+constexpr link::link_number linkNumber = 7;
 const steady_time begin = steady_time {} + std::chrono::hours(1);
 
 link::session_announce announceOf(membership::instance_state state, bool wantsState)
@@ -34,18 +34,18 @@
 
 } // namespace
 
-TEST_CASE(
-    "sessions: updates are sent only after a quorum's confirmation, and before the heartbeat's answer", "[sessions]")
+TEST_CASE("sessions: updates are sent only after a quorum's confirmation, and before the heartbeat's acknowledgement",
+    "[sessions]")
 {
     std::vector<link::message> sent;
     session_table table([&](auto, const auto& bytes) { sent.push_back(link::decode(bytes).value()); }, lease);
     const auto state = configured();
-    table.announced(channel, announceOf(membership::instance_state::Ready, true), begin);
-    table.heartbeat(channel, { 1 }, begin);
+    table.announced(linkNumber, announceOf(membership::instance_state::Ready, true), begin);
+    table.heartbeat(linkNumber, { 1 }, begin);
     table.pushAll(state);
     CHECK(sent.empty());
     table.beginConfirmation(1);
-    table.heartbeat(channel, { 2 }, begin); // arrived after the confirmation began, so it is not answered by it
+    table.heartbeat(linkNumber, { 2 }, begin); // arrived after the confirmation began, which doesn't acknowledge it
     table.confirmed(1, state);
     REQUIRE(sent.size() == 2);
     CHECK(std::get<link::configuration_page>(sent[0]).to == 1);
@@ -59,26 +59,26 @@
 {
     std::vector<link::message> sent;
     session_table table([&](auto, const auto& bytes) { sent.push_back(link::decode(bytes).value()); }, lease);
-    table.announced(channel, announceOf(membership::instance_state::Ready, false), begin);
-    table.heartbeat(channel, { 1 }, begin);
+    table.announced(linkNumber, announceOf(membership::instance_state::Ready, false), begin);
+    table.heartbeat(linkNumber, { 1 }, begin);
     table.beginConfirmation(1);
     table.confirmed(1, configured());
     REQUIRE(sent.size() == 1);
     CHECK(std::get<link::session_ack>(sent[0]).configuration == 1);
 }
 
-TEST_CASE("sessions: the earlier announcement of a suspended process does not undo its loss", "[sessions]")
+TEST_CASE("sessions: the earlier announcement of a stopped process does not undo its loss", "[sessions]")
 {
     session_table table([](auto, const auto&) {}, lease);
     controller_state state = configured();
     const auto announce = announceOf(membership::instance_state::Ready, false);
-    table.announced(channel, announce, begin);
+    table.announced(linkNumber, announce, begin);
     REQUIRE(table.missingTransitions(state, begin).size() == 1);
     state.apply({ "1", transition_batch { table.missingTransitions(state, begin) } });
     state.apply({ "2", transition_batch { { { announce.record, true } } } });
     REQUIRE(state.membership().find("s")->state == membership::instance_state::Lost);
     CHECK(table.missingTransitions(state, begin + lease).empty());
-    table.heartbeat(channel, { 2 }, begin + lease); // the process was resumed
+    table.heartbeat(linkNumber, { 2 }, begin + lease); // the process was resumed
     CHECK(table.missingTransitions(state, begin + lease).size() == 1);
 }
 
@@ -93,18 +93,18 @@
     session_table table([&](auto, const std::string& bytes) { bytesSent += bytes.size(); }, lease);
     controller_state state = configured();
     transition_batch batch;
-    for (std::size_t at = 0; at < sidecars; ++at) {
+    for (std::size_t i = 0; i < sidecars; ++i) {
         auto record = announceOf(membership::instance_state::Ready, false).record;
-        record.id = "sidecar-" + std::to_string(at);
+        record.id = "sidecar-" + std::to_string(i);
         record.linkAddress = "10.1.2.3:7000";
         batch.transitions.push_back({ record, false });
     }
     state.apply({ "1", batch });
-    for (std::size_t at = 0; at < entries; ++at) {
+    for (std::size_t i = 0; i < entries; ++i) {
         auto announce = announceOf(membership::instance_state::Ready, true);
-        announce.record.id = "entry-" + std::to_string(at);
-        table.announced(at, announce, begin);
-        table.heartbeat(at, { 1 }, begin);
+        announce.record.id = "entry-" + std::to_string(i);
+        table.announced(i, announce, begin);
+        table.heartbeat(i, { 1 }, begin);
     }
     table.beginConfirmation(1);
     const auto started = boot_clock::now();
--- a/src/buckthornrail/membership/membership_table_test.cpp
+++ b/src/buckthornrail/membership/membership_table_test.cpp
@@ -36,7 +36,7 @@
     CHECK_FALSE(table.apply({ recordOf("a", 1, instance_state::Lost), true })); // of the previous incarnation
     CHECK(table.find("a")->state == instance_state::Joined);
     CHECK(table.apply({ recordOf("a", 2, instance_state::Lost), true }));
-    CHECK(table.apply({ recordOf("a", 2, instance_state::Ready), false })); // it was only suspended
+    CHECK(table.apply({ recordOf("a", 2, instance_state::Ready), false })); // its process was only stopped
 }
 
 TEST_CASE("membership: a drain request is kept when the instance announces itself again", "[membership]")
@@ -74,9 +74,9 @@
     membership_view view;
     table.apply({ recordOf("stays", 1, instance_state::Ready), false });
     view.apply(table.changesSince(0));
-    for (int at = 0; at < 2000; ++at) {
-        table.apply({ recordOf("g" + std::to_string(at), 1, instance_state::Ready), false });
-        table.apply({ recordOf("g" + std::to_string(at), 1, instance_state::Left), false });
+    for (int i = 0; i < 2000; ++i) {
+        table.apply({ recordOf("g" + std::to_string(i), 1, instance_state::Ready), false });
+        table.apply({ recordOf("g" + std::to_string(i), 1, instance_state::Left), false });
     }
     CHECK(table.records().size() < 600);
     const auto delta = table.changesSince(view.revision());
