--- a/src/app/controller/session_table.cpp
+++ b/src/app/controller/session_table.cpp
@@ -34,8 +34,7 @@
     m_renewals.insert(announce.record.id);
 }
 
-void session_table::heartbeat(
-    link::link_number linkNumber, const link::session_heartbeat& heartbeat, steady_time now)
+void session_table::heartbeat(link::link_number linkNumber, const link::session_heartbeat& heartbeat, steady_time now)
 {
     m_pendingHeartbeats[linkNumber] = heartbeat.sequence;
     const auto found = m_sessions.find(linkNumber);
