--- a/include/buckthornrail/registry/gateway_sessions.hpp
+++ b/include/buckthornrail/registry/gateway_sessions.hpp
@@ -15,7 +15,7 @@
 using session_number = std::uint64_t;
 
 /// The part of a gateway's heartbeat that concerns other gateways.
-struct gateway_heartbeat {
+struct gateway_activity {
     gateway_usage usage;
     std::uint32_t openAttempts = 0; ///< in flight at targets
     std::uint64_t targetRevision = 0; ///< of the target table that `loads` refers to
@@ -51,7 +51,7 @@
 
 /// The leader's answer to a member_report.
 struct fleet_report {
-    std::uint64_t answers = 0; ///< sequence of the report
+    std::uint64_t reportSequence = 0; ///< sequence of the report
     session_totals others; ///< of all sessions except the reporting controller's
     std::uint32_t budgetSharers = 0; ///< number of gateways that may have spent from the retry budget; 0: unknown
     std::vector<earlier_retries> earlier; ///< for the reported gateways whose own count isn't complete, where known
@@ -81,22 +81,22 @@
 
     /// @brief Drops what other controllers reported when this controller becomes the leader or a follower.
     /// @param isLeader whether it is the leader now
-    void begin(bool isLeader, steady_time now);
+    void reset(bool isLeader, steady_time now);
     /// @brief Records a gateway's heartbeat.
     /// @param table current targets; loads that refer to another revision are ignored
     void recordHeartbeat(
-        session_number session, const gateway_heartbeat& heartbeat, const target_table& table, steady_time now);
+        session_number session, const gateway_activity& activity, const target_table& table, steady_time now);
     /// @brief Removes a session, or a link to a member, that has ended.
-    void forget(session_number session);
+    void remove(session_number session);
 
     /// @brief At a follower: makes the next report to the leader.
     [[nodiscard]] member_report report(const target_table& table);
     /// @brief At the leader: records a member's report and makes the answer, without limits.
     /// @param member number of the link that the report came over
-    [[nodiscard]] fleet_report answer(
+    [[nodiscard]] fleet_report respondTo(
         session_number member, const member_report& report, const target_table& table, steady_time now);
     /// @brief At a follower: applies the leader's answer. Outdated answers are ignored.
-    void applyLeaderAnswer(const fleet_report& answer, const target_table& table);
+    void applyLeaderResponse(const fleet_report& response, const target_table& table);
 
     /// @brief What the gateway of a session is told about the others.
     /// @param session one with a recorded heartbeat; a default summary is returned otherwise
@@ -104,7 +104,7 @@
 
 private:
     struct gateway_entry {
-        gateway_heartbeat heartbeat;
+        gateway_activity activity;
         bool isUnreported = false; ///< has a heartbeat since the last report
         std::uint64_t reportedIn = 0; ///< report whose answer confirms that the leader counts this incarnation; 0: none
         std::optional<retry_counts> earlier; ///< from the leader's answer for this incarnation
@@ -114,7 +114,7 @@
     /// @return totals of this controller's sessions, without loads
     [[nodiscard]] session_totals ownTotals() const;
     /// @brief Whether the leader has answered a report with this gateway's incarnation, and so counts it.
-    [[nodiscard]] bool isCounted(const gateway_entry& one) const;
+    [[nodiscard]] bool isCounted(const gateway_entry& entry) const;
 
     bool m_isLeader = false;
     std::map<session_number, gateway_entry> m_sessions;
@@ -122,8 +122,8 @@
     std::map<session_number, session_totals> m_members; ///< at the leader, by link; their loads are in m_loads
     session_totals m_otherControllers; ///< at a follower: all other controllers' sessions, from the last answer
     std::uint32_t m_budgetSharers = 0; ///< at a follower, from the last answer
-    std::uint64_t m_reported = 0; ///< sequence of the last report
-    std::uint64_t m_answered = 0; ///< highest sequence that was answered
+    std::uint64_t m_reportSequence = 0; ///< sequence of the last report
+    std::uint64_t m_acknowledgedSequence = 0; ///< highest sequence that was answered
     load_table m_loads; ///< by session, by member link, and at a follower under `otherControllers`
     gateway_table m_gatewayTable; ///< used at the leader
 };
--- a/include/buckthornrail/registry/gateway_table.hpp
+++ b/include/buckthornrail/registry/gateway_table.hpp
@@ -54,7 +54,7 @@
     }
 
     /// @brief Clears the table and starts the settling period when this controller becomes the leader.
-    void begin(steady_time now);
+    void reset(steady_time now);
     /// @brief Records a heartbeat, and drops gateways whose window has passed.
     void recordHeartbeat(const gateway_usage& usage, steady_time now);
     /// @brief Number of gateways with a heartbeat within the window. @return 0 during the settling period
--- a/include/buckthornrail/registry/lease_table.hpp
+++ b/include/buckthornrail/registry/lease_table.hpp
@@ -21,19 +21,19 @@
     /// @brief Sets the deadline of a lease, which may be earlier than before. Starts the lease if there is none.
     void renew(const std::string& holder, steady_time deadline);
     /// @brief Starts a lease. Has no effect if the holder already has one.
-    void begin(const std::string& holder, steady_time deadline);
+    void start(const std::string& holder, steady_time deadline);
     /// @brief Removes all leases without reporting them as expired.
     void clear();
     /// @brief Removes expired leases from the table.
     /// @param maxCount maximum number to remove; the rest stay for the next call
     /// @return their holders, roughly in order of their deadlines
-    [[nodiscard]] std::vector<std::string> takeEnded(steady_time now, std::size_t maxCount);
+    [[nodiscard]] std::vector<std::string> takeExpired(steady_time now, std::size_t maxCount);
 
 private:
     struct check {
-        steady_time at {};
+        steady_time dueAt {};
         std::string holder;
-        bool operator>(const check& other) const { return at > other.at; }
+        bool operator>(const check& other) const { return dueAt > other.dueAt; }
     };
 
     std::map<std::string, steady_time> m_deadlines;
--- a/include/buckthornrail/registry/load_table.hpp
+++ b/include/buckthornrail/registry/load_table.hpp
@@ -27,7 +27,7 @@
     /// @param loads one value per target, see target_loads
     void update(std::uint64_t session, const target_table& table, std::span<const std::uint32_t> loads);
     /// @brief Removes a session's loads.
-    void forget(std::uint64_t session);
+    void remove(std::uint64_t session);
     /// @return the loads of all other sessions at the table's targets; empty when the table is too large
     [[nodiscard]] target_loads othersOf(std::uint64_t session, const target_table& table) const;
 
--- a/include/buckthornrail/registry/quarantine.hpp
+++ b/include/buckthornrail/registry/quarantine.hpp
@@ -198,10 +198,10 @@
 class quarantine_timers {
 public:
     /// @brief Restarts all timeouts when this controller becomes the leader.
-    void begin() { m_timers.clear(); }
+    void reset() { m_timers.clear(); }
     /// @brief Finds entries whose timeout has passed. An entry that stays unchanged is returned again after a retry
     /// period, in case its expiry was not committed.
-    [[nodiscard]] std::vector<quarantine_expiry> takeEnded(const quarantine_table& table, steady_time now);
+    [[nodiscard]] std::vector<quarantine_expiry> takeExpired(const quarantine_table& table, steady_time now);
 
 private:
     struct timer {
--- a/include/buckthornrail/registry/target_record.hpp
+++ b/include/buckthornrail/registry/target_record.hpp
@@ -60,7 +60,7 @@
 };
 
 /// @brief Formats an incarnation for logs: the id, followed by "@" and the start time if that is known.
-std::string text(const target_incarnation& one);
+std::string text(const target_incarnation& incarnation);
 
 /// The announcement of a target's incarnation.
 struct target_record {
--- a/src/app/registry/document_feed.cpp
+++ b/src/app/registry/document_feed.cpp
@@ -88,7 +88,7 @@
     if (held >= m_changeTracker.version())
         return messages;
     auto next = std::find_if(
-        m_changes.begin(), m_changes.end(), [held](const version_change& one) { return one.from == held; });
+        m_changes.begin(), m_changes.end(), [held](const version_change& change) { return change.from == held; });
     if (next != m_changes.end() && held != 0) {
         for (; next != m_changes.end(); ++next) {
             for (const auto& message : next->messages)
--- a/src/app/registry/layer_orders.cpp
+++ b/src/app/registry/layer_orders.cpp
@@ -223,11 +223,11 @@
         = m_dialect.writeOrder({ record.id, order.layers, m_fence, report.revision, order.isUrgent });
     order.call = net::http_call::start(m_loop, record.address, { head, body }, steadyNow() + callTimeout,
         [this, record](net::call_outcome outcome, const net::whole_response& response) {
-            onOrderAnswered(record, outcome, response);
+            onOrderResponse(record, outcome, response);
         });
 }
 
-void layer_orders::onOrderAnswered(
+void layer_orders::onOrderResponse(
     const registry::target_record& record, net::call_outcome outcome, const net::whole_response& response)
 {
     auto* found = findOrder(record);
--- a/src/app/registry/layer_orders.hpp
+++ b/src/app/registry/layer_orders.hpp
@@ -56,7 +56,7 @@
     void sendOrder(const registry::target_record& record, const gateway::target_report& report);
     void onReport(
         const registry::target_record& record, net::call_outcome outcome, const net::whole_response& response);
-    void onOrderAnswered(
+    void onOrderResponse(
         const registry::target_record& record, net::call_outcome outcome, const net::whole_response& response);
 
     link::event_loop& m_loop;
--- a/src/app/registry/registry.cpp
+++ b/src/app/registry/registry.cpp
@@ -55,19 +55,19 @@
     hubOptions.openTimeout = milliseconds(m_settings.linkOpenTimeoutMs);
     m_hub = std::make_unique<link::link_hub>(m_loop,
         link::hub_handlers {
-            [this](link::channel_number channel, bool inbound) {
+            [this](link::channel_number linkNumber, bool inbound) {
                 if (!inbound)
-                    m_log->onOpened(channel);
+                    m_log->onOpened(linkNumber);
             },
-            [this](link::channel_number channel) {
-                m_log->onClosed(channel);
-                m_sessions.erase(channel);
-                m_gatewaySessions.forget(channel);
-                m_memberLimitsSent.erase(channel);
+            [this](link::channel_number linkNumber) {
+                m_log->onClosed(linkNumber);
+                m_sessions.erase(linkNumber);
+                m_gatewaySessions.remove(linkNumber);
+                m_memberLimitsSent.erase(linkNumber);
             },
-            [this](link::channel_number channel, const std::string& bytes) { onMessage(channel, bytes); },
-            [this](link::channel_number channel) { m_log->onProgress(channel); },
-            [this](link::channel_number channel, const link::link_end& end) { m_log->onEnding(channel, end); },
+            [this](link::channel_number linkNumber, const std::string& bytes) { onMessage(linkNumber, bytes); },
+            [this](link::channel_number linkNumber) { m_log->onProgress(linkNumber); },
+            [this](link::channel_number linkNumber, const link::link_end& end) { m_log->onEnding(linkNumber, end); },
         },
         hubOptions);
     replicated_log_options options;
@@ -84,9 +84,9 @@
     m_log->changed = [this] { onChanged(); };
     m_log->leadershipChanged = [this](bool leads) {
         m_watch.resetLeases();
-        m_gatewaySessions.begin(leads, steadyNow());
+        m_gatewaySessions.reset(leads, steadyNow());
         m_memberLimitsSent.clear();
-        m_quarantineTimers.begin();
+        m_quarantineTimers.reset();
         if (leads)
             m_orders.startLeading(m_log->replica().term(), steadyNow());
         else
@@ -126,7 +126,7 @@
 bool registry_role::hasEnoughVoters() const
 {
     const auto& members = m_log->replica().members();
-    const auto voters = std::count_if(members.begin(), members.end(), [](const auto& one) { return one.voter; });
+    const auto voters = std::count_if(members.begin(), members.end(), [](const auto& member) { return member.voter; });
     return m_settings.controllers.size() < minVoters || voters >= static_cast<std::ptrdiff_t>(minVoters);
 }
 
@@ -225,19 +225,19 @@
         controlCallTimeout);
 }
 
-void registry_role::onMessage(link::channel_number channel, const std::string& bytes)
+void registry_role::onMessage(link::channel_number linkNumber, const std::string& bytes)
 {
     const link::timed_task task(m_loop, "message");
-    const auto message = decodeOrClose(*m_hub, channel, bytes);
-    if (!message || m_log->onMessage(channel, *message))
+    const auto message = decodeOrClose(*m_hub, linkNumber, bytes);
+    if (!message || m_log->onMessage(linkNumber, *message))
         return;
     if (const auto* heartbeat = std::get_if<link::gateway_heartbeat>(&*message)) {
-        onHeartbeat(channel, *heartbeat);
+        onHeartbeat(linkNumber, *heartbeat);
     } else if (const auto* report = std::get_if<link::member_report>(&*message)) {
-        onReport(channel, *report);
-    } else if (const auto* answer = std::get_if<registry::fleet_report>(&*message)) {
-        m_gatewaySessions.applyLeaderAnswer(*answer, m_state.targets());
-        m_limits.merge(answer->limits, registry::limit_source::Leader, m_state.targets(), steadyNow());
+        onReport(linkNumber, *report);
+    } else if (const auto* response = std::get_if<registry::fleet_report>(&*message)) {
+        m_gatewaySessions.applyLeaderResponse(*response, m_state.targets());
+        m_limits.merge(response->limits, registry::limit_source::Leader, m_state.targets(), steadyNow());
         m_totalsReceivedAt = steadyNow();
     }
 }
@@ -256,12 +256,12 @@
     std::erase_if(m_sessions, [this, now](const auto& item) {
         const bool isExpired = now >= item.second.deadline;
         if (isExpired) {
-            m_gatewaySessions.forget(item.first);
+            m_gatewaySessions.remove(item.first);
             telemetry::logEvent(event_code::SessionLost, { { "gateway", item.second.instance } });
         }
         return isExpired;
     });
-    refreshPlaces();
+    refreshLocations();
     pushAll();
     confirmSessions();
     notifyWaiting();
@@ -349,7 +349,7 @@
         + "\n";
     if (const auto age = ageOfTotals())
         text += "sums_of_others_ms " + std::to_string(age->count()) + "\n";
-    for (const auto& [channel, gatewaySession] : m_sessions)
+    for (const auto& [linkNumber, gatewaySession] : m_sessions)
         text += "gateway " + gatewaySession.instance + " document " + std::to_string(gatewaySession.documentVersion)
             + " targets " + std::to_string(gatewaySession.targetRevision)
             + (gatewaySession.isConfirmed ? " confirmed\n" : " waiting\n");
--- a/src/app/registry/registry.hpp
+++ b/src/app/registry/registry.hpp
@@ -39,7 +39,7 @@
         std::uint64_t pendingSequence = 0; ///< of the heartbeat to be answered; 0: none
         std::uint64_t quarantineRevision = 0; ///< stage revision of the quarantine table
         std::uint64_t quarantineBatch = 0; ///< number of the last batch that was accepted
-        std::uint64_t placesRevisionSent = 0; ///< of m_places
+        std::uint64_t locationsRevisionSent = 0; ///< of m_controllerLocations
         std::uint64_t limitsRevisionSent = 0; ///< of m_limits
         bool isConfirmed = false; ///< a quorum has confirmed this controller since the session began
         steady_time deadline {};
@@ -48,7 +48,7 @@
     /// Batches of several gateways, submitted to the log as one command.
     struct quarantine_submission {
         struct batch {
-            link::channel_number channel = 0;
+            link::channel_number linkNumber = 0;
             std::uint64_t number = 0;
             std::vector<registry::trial_claim> claims;
         };
@@ -80,13 +80,13 @@
     void logRefusedRecord(const std::string& what, const std::string& reason);
     /// @brief Whether the active document defines a service; true for any service while there is no document.
     [[nodiscard]] bool isKnownService(const std::string& service);
-    void onMessage(link::channel_number channel, const std::string& bytes);
-    void onHeartbeat(link::channel_number channel, const link::gateway_heartbeat& heartbeat);
-    void onReport(link::channel_number channel, const link::member_report& report);
+    void onMessage(link::channel_number linkNumber, const std::string& bytes);
+    void onHeartbeat(link::channel_number linkNumber, const link::gateway_heartbeat& heartbeat);
+    void onReport(link::channel_number linkNumber, const link::member_report& report);
 
     /// @brief Queues the quarantine changes that a gateway reports, and skips batches that were queued before.
     void queueQuarantineChanges(
-        link::channel_number channel, session& gatewaySession, const link::gateway_heartbeat& heartbeat);
+        link::channel_number linkNumber, session& gatewaySession, const link::gateway_heartbeat& heartbeat);
     /// @brief Submits the queued changes to the log, unless an earlier submission is in flight.
     void submitQuarantine();
     void onQuarantineResult(const quarantine_submission& submission, bool committed);
@@ -109,18 +109,18 @@
     /// @brief Sends each gateway what has changed. Changes of the target table in quick succession are batched.
     void pushAll();
     /// @brief Updates the addresses of the members that gateways are sent.
-    void refreshPlaces();
+    void refreshLocations();
     /// @return age of the totals of the other controllers' sessions; nothing at the leader, or when none were received
     [[nodiscard]] std::optional<milliseconds> ageOfTotals() const;
     /// @brief Sends the pending report to the leader, unless this controller leads.
     void reportToLeader();
     /// @param sequence of the heartbeat that it answers; 0: none
     /// @param receipts for batches that have been committed
-    void sendUpdate(link::channel_number channel, session& gatewaySession, std::uint64_t sequence,
+    void sendUpdate(link::channel_number linkNumber, session& gatewaySession, std::uint64_t sequence,
         std::vector<registry::quarantine_receipt> receipts = {});
     /// @brief Sends a gateway the slices that bring it to the newest document.
-    void sendSlices(link::channel_number channel, const session& gatewaySession);
-    void logDocumentSent(link::channel_number channel, const session& gatewaySession, std::size_t bytes);
+    void sendSlices(link::channel_number linkNumber, const session& gatewaySession);
+    void logDocumentSent(link::channel_number linkNumber, const session& gatewaySession, std::size_t bytes);
     void submitTargets(const std::vector<registry::target_record>& records, std::function<void(bool)> done);
     void onChanged();
     /// @brief Forms a new log if this controller is the first seed, holds no log and has heard of none.
@@ -150,8 +150,8 @@
     target_watch m_watch;
     std::uint64_t m_loggedTargetRevision = 0; ///< of the target table; its changes up to it have been logged
     std::map<link::channel_number, session> m_sessions;
-    std::vector<link::controller_location> m_places; ///< of all members, to be sent to gateways
-    std::uint64_t m_placesRevision = 0; ///< counts changes of m_places
+    std::vector<link::controller_location> m_controllerLocations; ///< of all members, to be sent to gateways
+    std::uint64_t m_locationsRevision = 0; ///< counts changes of m_controllerLocations
     registry::gateway_sessions m_gatewaySessions; ///< sessions are numbered by their channels
     registry::limit_table m_limits;
     agreement::member_id m_lastReportedLeader = 0; ///< leader that the last report went to
--- a/src/app/registry/registry_quarantine.cpp
+++ b/src/app/registry/registry_quarantine.cpp
@@ -36,7 +36,7 @@
 } // namespace
 
 void registry_role::queueQuarantineChanges(
-    link::channel_number channel, session& gatewaySession, const link::gateway_heartbeat& heartbeat)
+    link::channel_number linkNumber, session& gatewaySession, const link::gateway_heartbeat& heartbeat)
 {
     for (const auto& batch : heartbeat.quarantine) {
         if (batch.number <= gatewaySession.quarantineBatch)
@@ -47,7 +47,7 @@
         append(next.claims, batch.change.claims);
         append(next.ends, batch.change.ends);
         append(next.cleared, batch.change.cleared);
-        m_pendingQuarantine.batches.push_back({ channel, batch.number, batch.change.claims });
+        m_pendingQuarantine.batches.push_back({ linkNumber, batch.number, batch.change.claims });
     }
     submitQuarantine();
 }
@@ -73,7 +73,7 @@
 void registry_role::onQuarantineResult(const quarantine_submission& submission, bool committed)
 {
     for (const auto& batch : submission.batches) {
-        const auto found = m_sessions.find(batch.channel);
+        const auto found = m_sessions.find(batch.linkNumber);
         if (found == m_sessions.end())
             continue;
         if (!committed) {
@@ -87,13 +87,13 @@
             if (why != registry::trial_refusal::None)
                 receipt.refused.push_back({ claim.trial, why });
         }
-        sendUpdate(batch.channel, found->second, 0, { std::move(receipt) });
+        sendUpdate(batch.linkNumber, found->second, 0, { std::move(receipt) });
     }
 }
 
 void registry_role::expireQuarantineEntries()
 {
-    const auto ended = m_quarantineTimers.takeEnded(m_state.quarantine(), steadyNow());
+    const auto ended = m_quarantineTimers.takeExpired(m_state.quarantine(), steadyNow());
     for (const auto& expiry : ended) {
         const auto& entry = *m_state.quarantine().find(expiry.fingerprint);
         telemetry::logEvent(event_code::QuarantineTermEnded,
--- a/src/app/registry/registry_sessions.cpp
+++ b/src/app/registry/registry_sessions.cpp
@@ -29,9 +29,9 @@
 
 } // namespace
 
-void registry_role::onHeartbeat(link::channel_number channel, const link::gateway_heartbeat& heartbeat)
+void registry_role::onHeartbeat(link::channel_number linkNumber, const link::gateway_heartbeat& heartbeat)
 {
-    auto& gatewaySession = m_sessions[channel];
+    auto& gatewaySession = m_sessions[linkNumber];
     if (gatewaySession.instance.empty()) {
         telemetry::logEvent(event_code::SessionOpened, { { "gateway", heartbeat.instance } });
         gatewaySession.quarantineRevision = heartbeat.quarantineRevision;
@@ -45,15 +45,15 @@
     gatewaySession.targetRevision = std::max(gatewaySession.targetRevision, heartbeat.targetRevision);
     const registry::gateway_usage usage { heartbeat.instance, heartbeat.life, heartbeat.repeats,
         heartbeat.isRepeatsComplete };
-    m_gatewaySessions.recordHeartbeat(channel,
+    m_gatewaySessions.recordHeartbeat(linkNumber,
         { usage, heartbeat.openAttempts, heartbeat.targetRevision, heartbeat.loads }, m_state.targets(), steadyNow());
     m_limits.merge(heartbeat.limits, registry::limit_source::Downstream, m_state.targets(), steadyNow());
     gatewaySession.pendingSequence = heartbeat.sequence;
     gatewaySession.deadline = steadyNow() + sessionLifetime;
-    queueQuarantineChanges(channel, gatewaySession, heartbeat);
+    queueQuarantineChanges(linkNumber, gatewaySession, heartbeat);
     for (const auto& target : heartbeat.darkTargets) {
         if (m_log->isLeader())
-            m_watch.probeSuspect(target);
+            m_watch.probeUnreachable(target);
         else if (m_pendingReport.darkTargets.size() < maxPendingReports)
             m_pendingReport.darkTargets.push_back(target);
     }
@@ -69,23 +69,23 @@
     gatewaySession.isConfirmed = false;
     link::gateway_update update;
     update.sequence = heartbeat.sequence;
-    m_hub->send(channel, link::encode(link::message(update)));
+    m_hub->send(linkNumber, link::encode(link::message(update)));
 }
 
-void registry_role::onReport(link::channel_number channel, const link::member_report& report)
+void registry_role::onReport(link::channel_number linkNumber, const link::member_report& report)
 {
     if (!m_log->isLeader())
         return; // the next report goes to the new leader
     for (const auto& target : report.heard)
         m_watch.onAnnouncement(target.id, { target.startedMs, target.sequence });
     for (const auto& target : report.darkTargets)
-        m_watch.probeSuspect(target);
+        m_watch.probeUnreachable(target);
     markDraining(report.leavingTargets);
     m_limits.merge(report.limits, registry::limit_source::Downstream, m_state.targets(), steadyNow());
-    auto answer = m_gatewaySessions.answer(channel, report.sessions, m_state.targets(), steadyNow());
-    auto& sentRevision = m_memberLimitsSent[channel];
-    answer.limits = m_limits.changesSince(std::exchange(sentRevision, m_limits.revision()), steadyNow());
-    m_hub->send(channel, link::encode(link::message(answer)));
+    auto response = m_gatewaySessions.respondTo(linkNumber, report.sessions, m_state.targets(), steadyNow());
+    auto& sentRevision = m_memberLimitsSent[linkNumber];
+    response.limits = m_limits.changesSince(std::exchange(sentRevision, m_limits.revision()), steadyNow());
+    m_hub->send(linkNumber, link::encode(link::message(response)));
 }
 
 void registry_role::reportToLeader()
@@ -117,9 +117,9 @@
         return;
     m_nextConfirmAt = now + confirmPeriod;
     m_round = { m_round.number + 1, true, m_log->replica().leader(), {}, now + noticePeriod };
-    for (auto& [channel, gatewaySession] : m_sessions) {
+    for (auto& [linkNumber, gatewaySession] : m_sessions) {
         if (gatewaySession.pendingSequence != 0)
-            m_round.waiting[channel] = std::exchange(gatewaySession.pendingSequence, 0);
+            m_round.waiting[linkNumber] = std::exchange(gatewaySession.pendingSequence, 0);
     }
     m_log->confirm([this, number = m_round.number](bool isCurrent) { onConfirmed(number, isCurrent); }, confirmTimeout);
 }
@@ -133,20 +133,20 @@
         return;
     }
     m_round.isOpen = false;
-    for (const auto& [channel, sequence] : std::exchange(m_round.waiting, {})) {
-        const auto found = m_sessions.find(channel);
+    for (const auto& [linkNumber, sequence] : std::exchange(m_round.waiting, {})) {
+        const auto found = m_sessions.find(linkNumber);
         if (found == m_sessions.end())
             continue;
         found->second.isConfirmed = true;
-        sendUpdate(channel, found->second, sequence);
+        sendUpdate(linkNumber, found->second, sequence);
     }
 }
 
 void registry_role::abandonRound()
 {
     m_round.isOpen = false;
-    for (const auto& [channel, sequence] : std::exchange(m_round.waiting, {})) {
-        const auto found = m_sessions.find(channel);
+    for (const auto& [linkNumber, sequence] : std::exchange(m_round.waiting, {})) {
+        const auto found = m_sessions.find(linkNumber);
         if (found != m_sessions.end() && found->second.pendingSequence == 0)
             found->second.pendingSequence = sequence;
     }
@@ -163,17 +163,17 @@
     link::gateway_update update;
     update.waitsForQuorum = true;
     const std::string bytes = link::encode(link::message(update));
-    for (const auto& [channel, gatewaySession] : m_sessions)
-        m_hub->send(channel, bytes);
+    for (const auto& [linkNumber, gatewaySession] : m_sessions)
+        m_hub->send(linkNumber, bytes);
 }
 
-void registry_role::refreshPlaces()
+void registry_role::refreshLocations()
 {
-    auto places = m_log->places();
-    if (places == m_places)
+    auto locations = m_log->places();
+    if (locations == m_controllerLocations)
         return;
-    m_places = std::move(places);
-    ++m_placesRevision;
+    m_controllerLocations = std::move(locations);
+    ++m_locationsRevision;
 }
 
 void registry_role::pushAll()
@@ -181,40 +181,40 @@
     const steady_time now = steadyNow();
     const bool isTablePushDue = now >= m_nextTablePushAt;
     bool isTablePushed = false;
-    for (auto& [channel, gatewaySession] : m_sessions) {
+    for (auto& [linkNumber, gatewaySession] : m_sessions) {
         const bool lacksTable = isTablePushDue && gatewaySession.targetRevision < m_state.targets().revision();
         const bool lacksDocument = gatewaySession.documentVersion < m_state.document().version;
         const bool lacksQuarantine = gatewaySession.quarantineRevision != m_state.quarantine().stageRevision();
         if (!gatewaySession.isConfirmed || (!lacksTable && !lacksDocument && !lacksQuarantine))
             continue;
         isTablePushed = isTablePushed || lacksTable;
-        sendUpdate(channel, gatewaySession, 0);
+        sendUpdate(linkNumber, gatewaySession, 0);
     }
     if (isTablePushed)
         m_nextTablePushAt = now + tablePushPeriod;
 }
 
-void registry_role::sendUpdate(link::channel_number channel, session& gatewaySession, std::uint64_t sequence,
+void registry_role::sendUpdate(link::channel_number linkNumber, session& gatewaySession, std::uint64_t sequence,
     std::vector<registry::quarantine_receipt> receipts)
 {
-    const auto fleet = m_gatewaySessions.summaryFor(channel, m_state.targets(), steadyNow());
+    const auto summary = m_gatewaySessions.summaryFor(linkNumber, m_state.targets(), steadyNow());
     link::gateway_update update;
     update.sequence = sequence;
     update.isServed = true;
     if (gatewaySession.acceptsSlices)
-        sendSlices(channel, gatewaySession); // the gateway activates them with the update
+        sendSlices(linkNumber, gatewaySession); // the gateway activates them with the update
     else
         update.document = m_state.documentUpdate(gatewaySession.documentVersion);
     update.targets = m_state.targetsUpdate(gatewaySession.targetRevision);
-    if (std::exchange(gatewaySession.placesRevisionSent, m_placesRevision) != m_placesRevision)
-        update.controllers = m_places;
-    update.gateways = std::max(fleet.gateways, 1U);
-    update.budgetSharers = fleet.budgetSharers;
-    if (fleet.earlier)
-        update.earlierRepeats.push_back(*fleet.earlier);
-    update.othersOpenAttempts = fleet.othersOpenAttempts;
-    update.othersLoads = fleet.othersLoads;
-    update.ordinal = fleet.ordinal;
+    if (std::exchange(gatewaySession.locationsRevisionSent, m_locationsRevision) != m_locationsRevision)
+        update.controllers = m_controllerLocations;
+    update.gateways = std::max(summary.gateways, 1U);
+    update.budgetSharers = summary.budgetSharers;
+    if (summary.earlier)
+        update.earlierRepeats.push_back(*summary.earlier);
+    update.othersOpenAttempts = summary.othersOpenAttempts;
+    update.othersLoads = summary.othersLoads;
+    update.ordinal = summary.ordinal;
     update.limits
         = m_limits.changesSince(std::exchange(gatewaySession.limitsRevisionSent, m_limits.revision()), steadyNow());
     const auto& quarantine = m_state.quarantine();
@@ -224,31 +224,31 @@
     update.quarantineReceipts = std::move(receipts);
     const std::string bytes = link::encode(link::message(update));
     if (!update.document.empty())
-        logDocumentSent(channel, gatewaySession, bytes.size());
+        logDocumentSent(linkNumber, gatewaySession, bytes.size());
     gatewaySession.documentVersion = std::max(gatewaySession.documentVersion, m_state.document().version);
     gatewaySession.targetRevision = m_state.targets().revision();
-    m_hub->send(channel, bytes);
+    m_hub->send(linkNumber, bytes);
 }
 
-void registry_role::sendSlices(link::channel_number channel, const session& gatewaySession)
+void registry_role::sendSlices(link::channel_number linkNumber, const session& gatewaySession)
 {
     m_feed.update(m_state.document());
     const auto messages = m_feed.messagesFrom(gatewaySession.documentVersion, m_state.document());
     std::size_t bytes = 0;
     for (const auto* message : messages) {
         bytes += message->size();
-        m_hub->send(channel, *message);
+        m_hub->send(linkNumber, *message);
     }
     if (!messages.empty())
-        logDocumentSent(channel, gatewaySession, bytes);
+        logDocumentSent(linkNumber, gatewaySession, bytes);
 }
 
-void registry_role::logDocumentSent(link::channel_number channel, const session& gatewaySession, std::size_t bytes)
+void registry_role::logDocumentSent(link::channel_number linkNumber, const session& gatewaySession, std::size_t bytes)
 {
     telemetry::logEvent(event_code::DocumentSent,
         { { "gateway", gatewaySession.instance }, { "from", std::to_string(gatewaySession.documentVersion) },
             { "to", std::to_string(m_state.document().version) }, { "bytes", std::to_string(bytes) },
-            { "waiting", std::to_string(m_hub->bytesWaiting(channel)) } });
+            { "waiting", std::to_string(m_hub->bytesWaiting(linkNumber)) } });
 }
 
 } // namespace buckthornrail::app
--- a/src/app/registry/registry_state.cpp
+++ b/src/app/registry/registry_state.cpp
@@ -140,8 +140,8 @@
 {
     if (held >= m_document.version)
         return {};
-    const auto earlier = std::find_if(
-        m_earlierDocuments.begin(), m_earlierDocuments.end(), [held](const auto& one) { return one.version == held; });
+    const auto earlier = std::find_if(m_earlierDocuments.begin(), m_earlierDocuments.end(),
+        [held](const auto& document) { return document.version == held; });
     const std::uint64_t from = earlier == m_earlierDocuments.end() ? 0 : held;
     auto cached = m_patches.find(from);
     if (cached == m_patches.end()) {
--- a/src/app/registry/registry_state_test.cpp
+++ b/src/app/registry/registry_state_test.cpp
@@ -101,8 +101,8 @@
 {
     const auto text = [](std::uint64_t version, int routes) {
         std::string whole = "{\"version\":" + std::to_string(version) + ",\"routes\":[";
-        for (int at = 0; at < routes; ++at)
-            whole += "{\"name\":\"r-" + std::to_string(at * 7919 % 10007) + "\",\"timeout-ms\":2000},";
+        for (int index = 0; index < routes; ++index)
+            whole += "{\"name\":\"r-" + std::to_string(index * 7919 % 10007) + "\",\"timeout-ms\":2000},";
         return whole + "]}";
     };
     registry_state state;
@@ -206,10 +206,10 @@
         record.startedMs = 17;
         record.address = "10.0.0.1:80";
         const auto damage = [](std::string bytes) {
-            const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
-            bytes[at] = static_cast<char>(*rc::gen::inRange(0, 256));
+            const auto position = *rc::gen::inRange<std::size_t>(0, bytes.size());
+            bytes[position] = static_cast<char>(*rc::gen::inRange(0, 256));
             if (*rc::gen::arbitrary<bool>())
-                bytes.resize(at);
+                bytes.resize(position);
             return bytes;
         };
         registry_state state;
--- a/src/app/registry/registry_targets.cpp
+++ b/src/app/registry/registry_targets.cpp
@@ -10,7 +10,8 @@
 
 std::string registry_role::nextHeartbeatAddress(const registry::target_record& record) const
 {
-    const auto localAddresses = addressesIn(m_places, record.failureDomain, &link::controller_location::controlAddress);
+    const auto localAddresses
+        = addressesIn(m_controllerLocations, record.failureDomain, &link::controller_location::controlAddress);
     return localAddresses.empty() ? m_settings.httpAddress : preferredAddress(record.id, localAddresses);
 }
 
@@ -21,7 +22,7 @@
         respond(errorResponse(503, "this controller can't reach a leader"));
         return;
     }
-    const auto answer = [this, record, respond] {
+    const auto acknowledge = [this, record, respond] {
         respond(net::plainResponse(200, m_dialect.writeAnnounceResponse(nextHeartbeatAddress(record))));
     };
     const auto* known = m_state.targets().find(record.id);
@@ -30,30 +31,30 @@
     if (isNewIncarnation && record.state != registry::target_state::Gone && !isKnownService(record.service)) {
         logRefusedRecord(
             "announcement of " + text(record.incarnation()), "service: not defined in the active document");
-        answer();
+        acknowledge();
         return;
     }
     const bool isLeaving
         = record.state == registry::target_state::Draining || record.state == registry::target_state::Gone;
     if (!isLeaving) {
         processAnnouncement(record);
-        answer();
+        acknowledge();
         return;
     }
-    const bool isSameLife = known != nullptr && (record.startedMs == 0 || record.startedMs == known->startedMs);
+    const bool isSameIncarnation = known != nullptr && (record.startedMs == 0 || record.startedMs == known->startedMs);
     const bool isEarlier = known != nullptr && record.startedMs != 0 && record.startedMs < known->startedMs;
     const bool isKnownLeaving
-        = isSameLife && (known->state == registry::target_state::Gone || known->state == record.state);
+        = isSameIncarnation && (known->state == registry::target_state::Gone || known->state == record.state);
     if (isKnownLeaving || isEarlier) {
-        answer();
+        acknowledge();
         return;
     }
     // Acknowledged only once committed, so that a new leader also sends no work to the target.
-    submitTargets({ record }, [record, answer, respond](bool committed) {
+    submitTargets({ record }, [record, acknowledge, respond](bool committed) {
         logCall("announce", committed ? 200 : 503,
             text(record.incarnation()) + " " + std::string(nameIn(registry::targetStateNames, record.state)));
         if (committed)
-            answer();
+            acknowledge();
         else
             respond(errorResponse(503, "no quorum committed the announcement in time"));
     });
@@ -80,8 +81,9 @@
 bool registry_role::isKnownService(const std::string& service)
 {
     const auto& named = services();
-    return m_feed.version() == 0
-        || std::any_of(named.begin(), named.end(), [&service](const auto& one) { return one.name == service; });
+    return m_feed.version() == 0 || std::any_of(named.begin(), named.end(), [&service](const auto& candidate) {
+        return candidate.name == service;
+    });
 }
 
 void registry_role::processAnnouncement(const registry::target_record& record)
--- a/src/app/registry/target_watch.cpp
+++ b/src/app/registry/target_watch.cpp
@@ -31,7 +31,7 @@
 {
 }
 
-steady_time target_watch::nextLeaseEnd() const
+steady_time target_watch::nextLeaseDeadline() const
 {
     return steadyNow() + m_heartbeatPeriod * maxMissedHeartbeats + heartbeatTolerance;
 }
@@ -46,12 +46,12 @@
     auto& newest = m_newestAnnouncements[targetId];
     if (order >= newest) {
         newest = order;
-        m_leases.renew(targetId, nextLeaseEnd());
+        m_leases.renew(targetId, nextLeaseDeadline());
     }
     return true;
 }
 
-void target_watch::probeSuspect(const registry::target_incarnation& target)
+void target_watch::probeUnreachable(const registry::target_incarnation& target)
 {
     const auto* record = m_targets.find(target.id);
     const bool isReady
@@ -89,7 +89,7 @@
     m_leasedRevision.reset();
 }
 
-void target_watch::beginNewLeases()
+void target_watch::startNewLeases()
 {
     if (m_leasedRevision == m_targets.revision())
         return;
@@ -97,23 +97,23 @@
     for (const auto& [id, record] : m_targets.records()) {
         // A new leader has received no announcements yet, so each target gets a full lease.
         if (!registry::isGoneOrLost(record))
-            m_leases.begin(id, nextLeaseEnd());
+            m_leases.start(id, nextLeaseDeadline());
     }
     std::erase_if(m_newestAnnouncements, [this](const auto& item) { return m_targets.find(item.first) == nullptr; });
 }
 
 void target_watch::probeExpired(steady_time now)
 {
-    beginNewLeases();
+    startNewLeases();
     if (m_probes.size() >= maxConcurrentProbes)
         return;
-    for (const auto& id : m_leases.takeEnded(now, maxConcurrentProbes - m_probes.size())) {
+    for (const auto& id : m_leases.takeExpired(now, maxConcurrentProbes - m_probes.size())) {
         const auto* record = m_targets.find(id);
         if (record == nullptr || registry::isGoneOrLost(*record))
             continue;
         // The announcements may be lost rather than the target, so it is probed before it counts as lost.
         if (m_backoffs.isBackingOff(record->incarnation(), now))
-            m_leases.renew(id, nextLeaseEnd());
+            m_leases.renew(id, nextLeaseDeadline());
         else if (!m_probes.contains(record->incarnation()))
             probe(*record);
     }
@@ -142,16 +142,16 @@
     const registry::target_incarnation& probed, net::call_outcome outcome, const net::whole_response& response)
 {
     const auto ended = m_probes.extract(probed);
-    const bool asksForBackoff = m_backoffs.recordResponse(probed, outcome, response, steadyNow());
-    const bool answers = asksForBackoff || isResponseFrom(probed, outcome, response);
+    const bool requestsBackoff = m_backoffs.recordResponse(probed, outcome, response, steadyNow());
+    const bool isAlive = requestsBackoff || isResponseFrom(probed, outcome, response);
     telemetry::logEvent(event_code::ReportReceived,
-        { { "target", text(probed) }, { "outcome", answers ? "answered" : "none" },
+        { { "target", text(probed) }, { "outcome", isAlive ? "answered" : "none" },
             { "status", std::to_string(response.head.status) } });
     const auto* record = m_targets.find(probed.id);
     if (record == nullptr || record->incarnation() != probed)
         return; // the answer doesn't apply to the incarnation that is known by now
-    if (answers)
-        m_leases.renew(probed.id, nextLeaseEnd());
+    if (isAlive)
+        m_leases.renew(probed.id, nextLeaseDeadline());
     else
         markLost(probed);
 }
@@ -168,7 +168,7 @@
         lost.sequence = std::max(record->sequence, newest.sequence);
     telemetry::logEvent(event_code::InstanceLost, { { "instance", text(target) }, { "address", record->address } },
         telemetry::severity::Warning);
-    m_leases.renew(target.id, nextLeaseEnd());
+    m_leases.renew(target.id, nextLeaseDeadline());
     m_callbacks.onLost(lost);
 }
 
--- a/src/app/registry/target_watch.hpp
+++ b/src/app/registry/target_watch.hpp
@@ -32,7 +32,7 @@
     /// @return false when this controller isn't the leader and can't forward the announcement to it
     bool onAnnouncement(const std::string& targetId, const registry::announcement_order& order);
     /// @brief Probes a target at once that a gateway reports as unreachable, if the incarnation is the known one.
-    void probeSuspect(const registry::target_incarnation& target);
+    void probeUnreachable(const registry::target_incarnation& target);
     /// @brief Checks whether a target is alive that announces an earlier start than the known incarnation, which is
     /// over.
     /// @param onAlive called with the record when the target answers
@@ -45,9 +45,9 @@
     void resetLeases();
 
 private:
-    [[nodiscard]] steady_time nextLeaseEnd() const;
+    [[nodiscard]] steady_time nextLeaseDeadline() const;
     /// @brief Begins leases for targets that are new in the table.
-    void beginNewLeases();
+    void startNewLeases();
     void probe(const registry::target_record& record);
     void onProbed(
         const registry::target_incarnation& probed, net::call_outcome outcome, const net::whole_response& response);
--- a/src/buckthornrail/link/message.cpp
+++ b/src/buckthornrail/link/message.cpp
@@ -103,12 +103,12 @@
 
 static void to_json(nlohmann::json& out, const fleet_report& value)
 {
-    out = { { "answers", value.answers }, { "others", value.others }, { "budgetSharers", value.budgetSharers },
+    out = { { "answers", value.reportSequence }, { "others", value.others }, { "budgetSharers", value.budgetSharers },
         { "earlier", value.earlier }, { "ordinals", value.ordinals }, { "limits", value.limits } };
 }
 static void from_json(const nlohmann::json& in, fleet_report& value)
 {
-    in.at("answers").get_to(value.answers);
+    in.at("answers").get_to(value.reportSequence);
     in.at("others").get_to(value.others);
     in.at("budgetSharers").get_to(value.budgetSharers);
     in.at("earlier").get_to(value.earlier);
--- a/src/buckthornrail/link/message_test.cpp
+++ b/src/buckthornrail/link/message_test.cpp
@@ -105,10 +105,10 @@
     member_report report;
     report.limits = limits;
     report.leavingTargets = { { "t", 7 } };
-    registry::fleet_report answer;
-    answer.limits = limits;
-    answer.ordinals = { { "g", 3 } };
-    for (const message& whole : { message(heartbeat), message(update), message(report), message(answer) }) {
+    registry::fleet_report response;
+    response.limits = limits;
+    response.ordinals = { { "g", 3 } };
+    for (const message& whole : { message(heartbeat), message(update), message(report), message(response) }) {
         CHECK(encode(*decode(encode(whole))) == encode(whole));
         auto envelope = nlohmann::json::from_cbor(encode(whole));
         for (const std::string name : { "limits", "ordinal", "ordinals", "leavingTargets" })
--- a/src/buckthornrail/registry/gateway_sessions.cpp
+++ b/src/buckthornrail/registry/gateway_sessions.cpp
@@ -15,8 +15,8 @@
 /// @param liveIds sorted ids, including the gateway's
 std::uint32_t ordinalIn(const std::vector<std::string>& liveIds, const std::string& gateway)
 {
-    const auto at = std::lower_bound(liveIds.begin(), liveIds.end(), gateway);
-    return static_cast<std::uint32_t>(at - liveIds.begin());
+    const auto position = std::lower_bound(liveIds.begin(), liveIds.end(), gateway);
+    return static_cast<std::uint32_t>(position - liveIds.begin());
 }
 
 void add(session_totals& sum, const session_totals& more)
@@ -27,46 +27,46 @@
 
 } // namespace
 
-void gateway_sessions::begin(bool isLeader, steady_time now)
+void gateway_sessions::reset(bool isLeader, steady_time now)
 {
     m_isLeader = isLeader;
-    m_gatewayTable.begin(now);
+    m_gatewayTable.reset(now);
     for (const auto& [member, totals] : m_members)
-        m_loads.forget(member);
+        m_loads.remove(member);
     m_members.clear();
-    m_loads.forget(otherControllers);
+    m_loads.remove(otherControllers);
     m_otherControllers = {};
     m_budgetSharers = 0;
-    m_answered = m_reported; // answers to reports in flight come from an earlier leader
-    for (auto& [number, one] : m_sessions)
-        one.reportedIn = 0;
+    m_acknowledgedSequence = m_reportSequence; // answers to reports in flight come from an earlier leader
+    for (auto& [number, entry] : m_sessions)
+        entry.reportedIn = 0;
 }
 
 void gateway_sessions::recordHeartbeat(
-    session_number session, const gateway_heartbeat& heartbeat, const target_table& table, steady_time now)
+    session_number session, const gateway_activity& activity, const target_table& table, steady_time now)
 {
-    auto& one = m_sessions[session];
-    if (one.heartbeat.usage.incarnation != heartbeat.usage.incarnation
-        || one.heartbeat.usage.id != heartbeat.usage.id) {
-        one.reportedIn = 0;
-        one.earlier.reset();
-        one.ordinal.reset();
+    auto& entry = m_sessions[session];
+    if (entry.activity.usage.incarnation != activity.usage.incarnation
+        || entry.activity.usage.id != activity.usage.id) {
+        entry.reportedIn = 0;
+        entry.earlier.reset();
+        entry.ordinal.reset();
     }
-    m_openAttempts += heartbeat.openAttempts - one.heartbeat.openAttempts;
-    one.heartbeat = heartbeat;
-    one.isUnreported = true;
-    if (heartbeat.targetRevision == table.revision())
-        m_loads.update(session, table, heartbeat.loads);
+    m_openAttempts += activity.openAttempts - entry.activity.openAttempts;
+    entry.activity = activity;
+    entry.isUnreported = true;
+    if (activity.targetRevision == table.revision())
+        m_loads.update(session, table, activity.loads);
     if (m_isLeader)
-        m_gatewayTable.recordHeartbeat(heartbeat.usage, now);
+        m_gatewayTable.recordHeartbeat(activity.usage, now);
 }
 
-void gateway_sessions::forget(session_number session)
+void gateway_sessions::remove(session_number session)
 {
     if (const auto known = m_sessions.extract(session))
-        m_openAttempts -= known.mapped().heartbeat.openAttempts;
+        m_openAttempts -= known.mapped().activity.openAttempts;
     m_members.erase(session);
-    m_loads.forget(session);
+    m_loads.remove(session);
 }
 
 session_totals gateway_sessions::ownTotals() const
@@ -74,35 +74,35 @@
     return { static_cast<std::uint32_t>(m_sessions.size()), m_openAttempts, 0, {} };
 }
 
-bool gateway_sessions::isCounted(const gateway_entry& one) const
+bool gateway_sessions::isCounted(const gateway_entry& entry) const
 {
-    return one.reportedIn != 0 && one.reportedIn <= m_answered;
+    return entry.reportedIn != 0 && entry.reportedIn <= m_acknowledgedSequence;
 }
 
 member_report gateway_sessions::report(const target_table& table)
 {
-    member_report made;
-    made.sequence = ++m_reported;
-    made.sums = ownTotals();
-    made.sums.targetRevision = table.revision();
-    made.sums.loads = m_loads.othersOf(otherControllers, table);
-    for (auto& [number, one] : m_sessions) {
-        const bool wasCounted = isCounted(one);
-        if (!std::exchange(one.isUnreported, false) && wasCounted)
+    member_report report;
+    report.sequence = ++m_reportSequence;
+    report.sums = ownTotals();
+    report.sums.targetRevision = table.revision();
+    report.sums.loads = m_loads.othersOf(otherControllers, table);
+    for (auto& [number, entry] : m_sessions) {
+        const bool wasCounted = isCounted(entry);
+        if (!std::exchange(entry.isUnreported, false) && wasCounted)
             continue;
-        made.lives.push_back(one.heartbeat.usage);
+        report.lives.push_back(entry.activity.usage);
         // Reports may be lost, so each one includes the usage until the latest report that contains it is answered.
         if (!wasCounted)
-            one.reportedIn = made.sequence;
+            entry.reportedIn = report.sequence;
     }
-    return made;
+    return report;
 }
 
-fleet_report gateway_sessions::answer(
+fleet_report gateway_sessions::respondTo(
     session_number member, const member_report& report, const target_table& table, steady_time now)
 {
-    fleet_report made;
-    made.answers = report.sequence;
+    fleet_report response;
+    response.reportSequence = report.sequence;
     m_members[member] = report.sums;
     if (report.sums.targetRevision == table.revision())
         m_loads.update(member, table, report.sums.loads);
@@ -110,75 +110,75 @@
         m_gatewayTable.recordHeartbeat(usage, now);
     const auto liveIds = m_gatewayTable.liveGateways(now);
     for (const auto& usage : report.lives) {
-        made.ordinals.push_back({ usage.id, ordinalIn(liveIds, usage.id) });
+        response.ordinals.push_back({ usage.id, ordinalIn(liveIds, usage.id) });
         if (auto spent = m_gatewayTable.earlierRetries(usage.id))
-            made.earlier.push_back({ usage.id, std::move(*spent) });
+            response.earlier.push_back({ usage.id, std::move(*spent) });
     }
-    made.others = ownTotals();
+    response.others = ownTotals();
     for (const auto& [number, totals] : m_members) {
         if (number != member)
-            add(made.others, totals);
+            add(response.others, totals);
     }
-    made.others.targetRevision = table.revision();
-    made.others.loads = m_loads.othersOf(member, table);
-    made.budgetSharers = static_cast<std::uint32_t>(m_gatewayTable.count(now));
-    return made;
+    response.others.targetRevision = table.revision();
+    response.others.loads = m_loads.othersOf(member, table);
+    response.budgetSharers = static_cast<std::uint32_t>(m_gatewayTable.count(now));
+    return response;
 }
 
-void gateway_sessions::applyLeaderAnswer(const fleet_report& answer, const target_table& table)
+void gateway_sessions::applyLeaderResponse(const fleet_report& response, const target_table& table)
 {
-    if (m_isLeader || answer.answers <= m_answered || answer.answers > m_reported)
-        return; // from an earlier leader, or older than one already applied
-    m_answered = answer.answers;
-    m_otherControllers = answer.others;
-    m_budgetSharers = answer.budgetSharers;
-    if (answer.others.targetRevision == table.revision())
-        m_loads.update(otherControllers, table, answer.others.loads);
-    for (const auto& earlier : answer.earlier) {
-        for (auto& [number, one] : m_sessions) {
-            if (one.heartbeat.usage.id == earlier.gateway && isCounted(one))
-                one.earlier = earlier.spent;
+    if (m_isLeader || response.reportSequence <= m_acknowledgedSequence || response.reportSequence > m_reportSequence)
+        return; // from an earlier leader, or older than entry already applied
+    m_acknowledgedSequence = response.reportSequence;
+    m_otherControllers = response.others;
+    m_budgetSharers = response.budgetSharers;
+    if (response.others.targetRevision == table.revision())
+        m_loads.update(otherControllers, table, response.others.loads);
+    for (const auto& earlier : response.earlier) {
+        for (auto& [number, entry] : m_sessions) {
+            if (entry.activity.usage.id == earlier.gateway && isCounted(entry))
+                entry.earlier = earlier.spent;
         }
     }
     std::map<std::string, std::uint32_t> ordinals;
-    for (const auto& row : answer.ordinals)
+    for (const auto& row : response.ordinals)
         ordinals[row.gateway] = row.ordinal;
-    for (auto& [number, one] : m_sessions) {
-        const auto row = ordinals.find(one.heartbeat.usage.id);
+    for (auto& [number, entry] : m_sessions) {
+        const auto row = ordinals.find(entry.activity.usage.id);
         if (row != ordinals.end())
-            one.ordinal = row->second;
+            entry.ordinal = row->second;
     }
 }
 
 fleet_summary gateway_sessions::summaryFor(session_number session, const target_table& table, steady_time now) const
 {
-    fleet_summary made;
+    fleet_summary summary;
     const auto found = m_sessions.find(session);
     if (found == m_sessions.end())
-        return made;
-    const auto& one = found->second;
+        return summary;
+    const auto& entry = found->second;
     session_totals all = ownTotals();
     add(all, m_otherControllers);
     for (const auto& [number, totals] : m_members)
         add(all, totals);
-    made.gateways = all.gateways;
-    made.othersOpenAttempts = all.openAttempts - one.heartbeat.openAttempts;
-    made.othersLoads = m_loads.othersOf(session, table);
+    summary.gateways = all.gateways;
+    summary.othersOpenAttempts = all.openAttempts - entry.activity.openAttempts;
+    summary.othersLoads = m_loads.othersOf(session, table);
     if (m_isLeader) {
-        made.budgetSharers = static_cast<std::uint32_t>(m_gatewayTable.count(now));
-        made.ordinal = ordinalIn(m_gatewayTable.liveGateways(now), one.heartbeat.usage.id);
-        made.earlier = m_gatewayTable.earlierRetries(one.heartbeat.usage.id);
-        return made;
+        summary.budgetSharers = static_cast<std::uint32_t>(m_gatewayTable.count(now));
+        summary.ordinal = ordinalIn(m_gatewayTable.liveGateways(now), entry.activity.usage.id);
+        summary.earlier = m_gatewayTable.earlierRetries(entry.activity.usage.id);
+        return summary;
     }
     // Gateways divide the budget by this number. One that doesn't include this gateway would let the parts add up to
     // more than the whole budget.
-    if (isCounted(one)) {
-        made.budgetSharers = m_budgetSharers;
-        made.ordinal = one.ordinal;
+    if (isCounted(entry)) {
+        summary.budgetSharers = m_budgetSharers;
+        summary.ordinal = entry.ordinal;
     }
-    if (!one.heartbeat.usage.isComplete)
-        made.earlier = one.earlier;
-    return made;
+    if (!entry.activity.usage.isComplete)
+        summary.earlier = entry.earlier;
+    return summary;
 }
 
 } // namespace buckthornrail::registry
--- a/src/buckthornrail/registry/gateway_sessions_test.cpp
+++ b/src/buckthornrail/registry/gateway_sessions_test.cpp
@@ -16,13 +16,13 @@
 
 constexpr session_number memberLink = 900;
 
-gateway_heartbeat heartbeat(const std::string& gateway, std::uint64_t incarnation, std::uint32_t open,
+gateway_activity activityOf(const std::string& gateway, std::uint64_t incarnation, std::uint32_t open,
     const target_table& table, target_loads loads = {}, bool isComplete = true)
 {
     return { { gateway, incarnation, {}, isComplete }, open, table.revision(), std::move(loads) };
 }
 
-steady_time at(int ms) { return steady_time {} + milliseconds(ms); }
+steady_time timeAt(int ms) { return steady_time {} + milliseconds(ms); }
 
 /// A leader and a follower that reports to it over a link.
 struct two_controllers {
@@ -30,10 +30,10 @@
     gateway_sessions member;
     target_table table = tableOf({ "a", "b" });
 
-    two_controllers() { leader.begin(true, at(0)); }
+    two_controllers() { leader.reset(true, timeAt(0)); }
     void exchange(int ms)
     {
-        member.applyLeaderAnswer(leader.answer(memberLink, member.report(table), table, at(ms)), table);
+        member.applyLeaderResponse(leader.respondTo(memberLink, member.report(table), table, timeAt(ms)), table);
     }
 };
 
@@ -42,95 +42,95 @@
 TEST_CASE("gateway sessions: gateways at two controllers receive each other's load", "[gateway_sessions]")
 {
     two_controllers both;
-    both.leader.recordHeartbeat(1, heartbeat("g-1", 11, 5, both.table, { 10, 0 }), both.table, at(100));
-    both.member.recordHeartbeat(1, heartbeat("g-2", 12, 3, both.table, { 1, 2 }), both.table, at(100));
-    both.member.recordHeartbeat(2, heartbeat("g-3", 13, 4, both.table, { 0, 7 }), both.table, at(100));
+    both.leader.recordHeartbeat(1, activityOf("g-1", 11, 5, both.table, { 10, 0 }), both.table, timeAt(100));
+    both.member.recordHeartbeat(1, activityOf("g-2", 12, 3, both.table, { 1, 2 }), both.table, timeAt(100));
+    both.member.recordHeartbeat(2, activityOf("g-3", 13, 4, both.table, { 0, 7 }), both.table, timeAt(100));
     both.exchange(200);
 
-    const auto first = both.leader.summaryFor(1, both.table, at(3000));
+    const auto first = both.leader.summaryFor(1, both.table, timeAt(3000));
     CHECK(first.gateways == 3);
     CHECK(first.othersOpenAttempts == 7);
     CHECK(first.othersLoads == target_loads { 1, 9 });
     CHECK(first.budgetSharers == 3);
-    const auto second = both.member.summaryFor(1, both.table, at(3000));
+    const auto second = both.member.summaryFor(1, both.table, timeAt(3000));
     CHECK(second.gateways == 3);
     CHECK(second.othersOpenAttempts == 9);
     CHECK(second.othersLoads == target_loads { 10, 7 });
 
-    both.leader.forget(memberLink);
-    CHECK(both.leader.summaryFor(1, both.table, at(3000)).othersOpenAttempts == 0);
-    CHECK(both.leader.summaryFor(1, both.table, at(3000)).othersLoads == target_loads { 0, 0 });
+    both.leader.remove(memberLink);
+    CHECK(both.leader.summaryFor(1, both.table, timeAt(3000)).othersOpenAttempts == 0);
+    CHECK(both.leader.summaryFor(1, both.table, timeAt(3000)).othersLoads == target_loads { 0, 0 });
 }
 
 TEST_CASE("gateway sessions: a reported number of budget sharers includes its receiver", "[gateway_sessions]")
 {
     two_controllers both;
-    both.leader.recordHeartbeat(1, heartbeat("g-1", 11, 0, both.table), both.table, at(2000));
-    both.member.recordHeartbeat(1, heartbeat("g-2", 12, 0, both.table), both.table, at(2100));
+    both.leader.recordHeartbeat(1, activityOf("g-1", 11, 0, both.table), both.table, timeAt(2000));
+    both.member.recordHeartbeat(1, activityOf("g-2", 12, 0, both.table), both.table, timeAt(2100));
     both.exchange(2150);
-    CHECK(both.member.summaryFor(1, both.table, at(2200)).budgetSharers == 2);
+    CHECK(both.member.summaryFor(1, both.table, timeAt(2200)).budgetSharers == 2);
 
-    both.member.recordHeartbeat(2, heartbeat("g-3", 13, 0, both.table), both.table, at(2200));
-    CHECK(both.member.summaryFor(2, both.table, at(2200)).budgetSharers == 0);
+    both.member.recordHeartbeat(2, activityOf("g-3", 13, 0, both.table), both.table, timeAt(2200));
+    CHECK(both.member.summaryFor(2, both.table, timeAt(2200)).budgetSharers == 0);
     SECTION("the report with its incarnation is lost, a later one is answered")
     {
         (void)both.member.report(both.table);
-        CHECK(both.member.summaryFor(2, both.table, at(2300)).budgetSharers == 0);
+        CHECK(both.member.summaryFor(2, both.table, timeAt(2300)).budgetSharers == 0);
         both.exchange(2400);
-        CHECK(both.member.summaryFor(2, both.table, at(2450)).budgetSharers == 3);
+        CHECK(both.member.summaryFor(2, both.table, timeAt(2450)).budgetSharers == 3);
     }
     SECTION("a late answer to an earlier report")
     {
         const auto early = both.member.report(both.table);
         (void)both.member.report(both.table);
-        both.member.applyLeaderAnswer(both.leader.answer(memberLink, early, both.table, at(2400)), both.table);
-        CHECK(both.member.summaryFor(2, both.table, at(2450)).budgetSharers == 0);
+        both.member.applyLeaderResponse(both.leader.respondTo(memberLink, early, both.table, timeAt(2400)), both.table);
+        CHECK(both.member.summaryFor(2, both.table, timeAt(2450)).budgetSharers == 0);
     }
     SECTION("a new process of a gateway that was counted")
     {
         both.exchange(2300);
-        both.member.recordHeartbeat(2, heartbeat("g-3", 14, 0, both.table), both.table, at(2400));
-        CHECK(both.member.summaryFor(2, both.table, at(2400)).budgetSharers == 0);
+        both.member.recordHeartbeat(2, activityOf("g-3", 14, 0, both.table), both.table, timeAt(2400));
+        CHECK(both.member.summaryFor(2, both.table, timeAt(2400)).budgetSharers == 0);
     }
 }
 
 TEST_CASE("gateway sessions: a restarted gateway receives its earlier retries at any controller", "[gateway_sessions]")
 {
     two_controllers both;
-    auto before = heartbeat("g-1", 11, 0, both.table);
+    auto before = activityOf("g-1", 11, 0, both.table);
     before.usage.spent = { { "s", 6 } };
-    both.leader.recordHeartbeat(1, before, both.table, at(2000));
-    both.leader.forget(1);
-    both.member.recordHeartbeat(1, heartbeat("g-1", 12, 0, both.table, {}, false), both.table, at(3000));
-    CHECK_FALSE(both.member.summaryFor(1, both.table, at(3000)).earlier);
+    both.leader.recordHeartbeat(1, before, both.table, timeAt(2000));
+    both.leader.remove(1);
+    both.member.recordHeartbeat(1, activityOf("g-1", 12, 0, both.table, {}, false), both.table, timeAt(3000));
+    CHECK_FALSE(both.member.summaryFor(1, both.table, timeAt(3000)).earlier);
     both.exchange(3100);
-    REQUIRE(both.member.summaryFor(1, both.table, at(3200)).earlier);
-    CHECK(both.member.summaryFor(1, both.table, at(3200)).earlier->front().repeats == 6);
+    REQUIRE(both.member.summaryFor(1, both.table, timeAt(3200)).earlier);
+    CHECK(both.member.summaryFor(1, both.table, timeAt(3200)).earlier->front().repeats == 6);
     // Once its own count is complete, the earlier retries are no longer sent.
-    both.member.recordHeartbeat(1, heartbeat("g-1", 12, 0, both.table), both.table, at(13200));
-    CHECK_FALSE(both.member.summaryFor(1, both.table, at(13200)).earlier);
+    both.member.recordHeartbeat(1, activityOf("g-1", 12, 0, both.table), both.table, timeAt(13200));
+    CHECK_FALSE(both.member.summaryFor(1, both.table, timeAt(13200)).earlier);
 }
 
 TEST_CASE("gateway sessions: a new leader starts without other controllers' sessions", "[gateway_sessions]")
 {
     two_controllers both;
-    both.leader.recordHeartbeat(1, heartbeat("g-1", 11, 5, both.table, { 10, 0 }), both.table, at(2000));
-    both.member.recordHeartbeat(1, heartbeat("g-2", 12, 3, both.table, { 1, 2 }), both.table, at(2000));
+    both.leader.recordHeartbeat(1, activityOf("g-1", 11, 5, both.table, { 10, 0 }), both.table, timeAt(2000));
+    both.member.recordHeartbeat(1, activityOf("g-2", 12, 3, both.table, { 1, 2 }), both.table, timeAt(2000));
     both.exchange(2100);
     const auto inFlight = both.member.report(both.table);
-    const auto late = both.leader.answer(memberLink, inFlight, both.table, at(2200));
-    both.leader.begin(false, at(3000));
-    both.member.begin(true, at(3000));
-    both.member.applyLeaderAnswer(late, both.table);
-    const auto summary = both.member.summaryFor(1, both.table, at(3100));
+    const auto late = both.leader.respondTo(memberLink, inFlight, both.table, timeAt(2200));
+    both.leader.reset(false, timeAt(3000));
+    both.member.reset(true, timeAt(3000));
+    both.member.applyLeaderResponse(late, both.table);
+    const auto summary = both.member.summaryFor(1, both.table, timeAt(3100));
     CHECK(summary.budgetSharers == 0); // the settling period isn't over
     CHECK(summary.othersOpenAttempts == 0);
     CHECK(summary.othersLoads == target_loads { 0, 0 });
     // The former leader reports now.
-    both.leader.applyLeaderAnswer(
-        both.member.answer(memberLink, both.leader.report(both.table), both.table, at(3200)), both.table);
-    CHECK(both.member.summaryFor(1, both.table, at(3300)).othersOpenAttempts == 5);
-    CHECK(both.leader.summaryFor(1, both.table, at(3300)).othersOpenAttempts == 3);
+    both.leader.applyLeaderResponse(
+        both.member.respondTo(memberLink, both.leader.report(both.table), both.table, timeAt(3200)), both.table);
+    CHECK(both.member.summaryFor(1, both.table, timeAt(3300)).othersOpenAttempts == 5);
+    CHECK(both.leader.summaryFor(1, both.table, timeAt(3300)).othersOpenAttempts == 3);
 }
 
 TEST_CASE("gateway sessions: loads of another target table revision are ignored", "[gateway_sessions]")
@@ -138,12 +138,12 @@
     two_controllers both;
     const auto older = both.table;
     both.table = tableOf({ "a", "b", "c" });
-    both.member.recordHeartbeat(1, heartbeat("g-2", 12, 3, older, { 1, 2 }), older, at(2000));
-    both.leader.recordHeartbeat(1, heartbeat("g-1", 11, 5, both.table, { 1, 1, 1 }), both.table, at(2000));
+    both.member.recordHeartbeat(1, activityOf("g-2", 12, 3, older, { 1, 2 }), older, timeAt(2000));
+    both.leader.recordHeartbeat(1, activityOf("g-1", 11, 5, both.table, { 1, 1, 1 }), both.table, timeAt(2000));
     const auto report = both.member.report(older);
-    both.member.applyLeaderAnswer(both.leader.answer(memberLink, report, both.table, at(2100)), older);
-    CHECK(both.leader.summaryFor(1, both.table, at(2100)).othersLoads == target_loads { 0, 0, 0 });
-    CHECK(both.member.summaryFor(1, older, at(2100)).othersLoads == target_loads { 0, 0 });
+    both.member.applyLeaderResponse(both.leader.respondTo(memberLink, report, both.table, timeAt(2100)), older);
+    CHECK(both.leader.summaryFor(1, both.table, timeAt(2100)).othersLoads == target_loads { 0, 0, 0 });
+    CHECK(both.member.summaryFor(1, older, timeAt(2100)).othersLoads == target_loads { 0, 0 });
 }
 
 namespace {
@@ -179,14 +179,14 @@
     void check()
     {
         for (int gateway = 0; gateway < gateways; ++gateway) {
-            const auto& one = m_gateways[gateway];
-            if (!one.hasHeartbeat)
+            const auto& state = m_gateways[gateway];
+            if (!state.hasHeartbeat)
                 continue;
-            const auto summary = m_controllers[one.controller].summaryFor(one.session, m_table, at(m_ms));
+            const auto summary = m_controllers[state.controller].summaryFor(state.session, m_table, timeAt(m_ms));
             RC_ASSERT(summary.othersLoads.size() == m_table.records().size());
             // A gateway that receives a number must have been recorded by a leader, so the number includes it.
             if (summary.budgetSharers != 0)
-                RC_ASSERT(m_known.contains({ gateway, one.incarnation }));
+                RC_ASSERT(m_known.contains({ gateway, state.incarnation }));
         }
     }
 
@@ -200,29 +200,29 @@
 
     void lead(int controller)
     {
-        m_controllers[m_leader].begin(false, at(m_ms));
+        m_controllers[m_leader].reset(false, timeAt(m_ms));
         m_leader = controller;
-        m_controllers[m_leader].begin(true, at(m_ms));
+        m_controllers[m_leader].reset(true, timeAt(m_ms));
     }
 
     void sendHeartbeat(int gateway)
     {
-        auto& one = m_gateways[gateway];
-        if (one.session == 0)
-            one.session = ++m_sessions;
-        one.hasHeartbeat = true;
+        auto& state = m_gateways[gateway];
+        if (state.session == 0)
+            state.session = ++m_sessions;
+        state.hasHeartbeat = true;
         const target_loads loads { 1, static_cast<std::uint32_t>(gateway) };
-        m_controllers[one.controller].recordHeartbeat(one.session,
-            heartbeat("g" + std::to_string(gateway), one.incarnation, 1, m_table, loads), m_table, at(m_ms));
-        if (one.controller == m_leader)
-            m_known.insert({ gateway, one.incarnation });
+        m_controllers[state.controller].recordHeartbeat(state.session,
+            activityOf("g" + std::to_string(gateway), state.incarnation, 1, m_table, loads), m_table, timeAt(m_ms));
+        if (state.controller == m_leader)
+            m_known.insert({ gateway, state.incarnation });
     }
 
     void move(int gateway)
     {
-        auto& one = m_gateways[gateway];
-        m_controllers[one.controller].forget(one.session);
-        one = { *rc::gen::inRange(0, controllers), 0, one.incarnation, false };
+        auto& state = m_gateways[gateway];
+        m_controllers[state.controller].remove(state.session);
+        state = { *rc::gen::inRange(0, controllers), 0, state.incarnation, false };
     }
 
     void restart(int gateway)
@@ -240,18 +240,18 @@
             return; // lost
         for (const auto& usage : report.lives)
             m_known.insert({ usage.id[1] - '0', usage.incarnation });
-        const auto answer = m_controllers[m_leader].answer(memberLink + controller, report, m_table, at(m_ms));
-        m_answers.push_back({ controller, answer });
+        const auto response = m_controllers[m_leader].respondTo(memberLink + controller, report, m_table, timeAt(m_ms));
+        m_responses.push_back({ controller, response });
         if (*rc::gen::inRange(0, 4) == 0)
             return; // delayed
-        for (const auto& [to, one] : std::exchange(m_answers, {}))
-            m_controllers[to].applyLeaderAnswer(one, m_table);
+        for (const auto& [to, received] : std::exchange(m_responses, {}))
+            m_controllers[to].applyLeaderResponse(received, m_table);
     }
 
     target_table m_table = tableOf({ "a", "b" });
     std::array<gateway_sessions, controllers> m_controllers;
     std::array<gateway_state, gateways> m_gateways;
-    std::vector<std::pair<int, fleet_report>> m_answers;
+    std::vector<std::pair<int, fleet_report>> m_responses;
     std::set<std::pair<int, std::uint64_t>> m_known; ///< incarnations that some leader has recorded
     session_number m_sessions = 0;
     int m_leader = 0;
@@ -275,14 +275,15 @@
 TEST_CASE("gateway sessions: each counted gateway receives its own ordinal", "[gateway_sessions]")
 {
     two_controllers both;
-    both.leader.recordHeartbeat(1, heartbeat("g-1", 11, 0, both.table), both.table, at(2000));
-    both.member.recordHeartbeat(1, heartbeat("g-3", 13, 0, both.table), both.table, at(2000));
-    both.member.recordHeartbeat(2, heartbeat("g-2", 12, 0, both.table), both.table, at(2000));
-    CHECK_FALSE(both.member.summaryFor(1, both.table, at(2000)).ordinal);
+    both.leader.recordHeartbeat(1, activityOf("g-1", 11, 0, both.table), both.table, timeAt(2000));
+    both.member.recordHeartbeat(1, activityOf("g-3", 13, 0, both.table), both.table, timeAt(2000));
+    both.member.recordHeartbeat(2, activityOf("g-2", 12, 0, both.table), both.table, timeAt(2000));
+    CHECK_FALSE(both.member.summaryFor(1, both.table, timeAt(2000)).ordinal);
     both.exchange(2100);
     std::set<std::uint32_t> ordinals;
-    for (const auto& summary : { both.leader.summaryFor(1, both.table, at(2200)),
-             both.member.summaryFor(1, both.table, at(2200)), both.member.summaryFor(2, both.table, at(2200)) }) {
+    for (const auto& summary :
+        { both.leader.summaryFor(1, both.table, timeAt(2200)), both.member.summaryFor(1, both.table, timeAt(2200)),
+            both.member.summaryFor(2, both.table, timeAt(2200)) }) {
         CHECK(summary.budgetSharers == 3);
         REQUIRE(summary.ordinal);
         ordinals.insert(*summary.ordinal);
--- a/src/buckthornrail/registry/gateway_table.cpp
+++ b/src/buckthornrail/registry/gateway_table.cpp
@@ -10,8 +10,8 @@
 void add(retry_counts& sum, const retry_counts& more)
 {
     for (const auto& row : more) {
-        const auto known
-            = std::find_if(sum.begin(), sum.end(), [&row](const auto& one) { return one.service == row.service; });
+        const auto known = std::find_if(
+            sum.begin(), sum.end(), [&row](const auto& candidate) { return candidate.service == row.service; });
         if (known == sum.end())
             sum.push_back(row);
         else
@@ -35,7 +35,7 @@
 
 } // namespace
 
-void gateway_table::begin(steady_time now)
+void gateway_table::reset(steady_time now)
 {
     m_gateways.clear();
     m_settledAt = now + m_options.settlingPeriod;
@@ -65,8 +65,8 @@
 std::vector<std::string> gateway_table::liveGateways(steady_time now) const
 {
     std::vector<std::string> ids;
-    for (const auto& [id, one] : m_gateways) {
-        if (now < one.deadline)
+    for (const auto& [id, gateway] : m_gateways) {
+        if (now < gateway.deadline)
             ids.push_back(id);
     }
     return ids;
--- a/src/buckthornrail/registry/gateway_table_test.cpp
+++ b/src/buckthornrail/registry/gateway_table_test.cpp
@@ -24,7 +24,7 @@
     gateway_table gateways;
     gateways.recordHeartbeat(usageOf("a", 1, 0, true), start);
     CHECK(gateways.count(start) == 0); // not the leader yet
-    gateways.begin(start);
+    gateways.reset(start);
     gateways.recordHeartbeat(usageOf("a", 1, 0, true), start);
     CHECK(gateways.count(start) == 0);
     gateways.recordHeartbeat(usageOf("b", 1, 0, true), start + periods.settlingPeriod / 2);
@@ -35,7 +35,7 @@
 {
     const gateway_table_options periods;
     gateway_table gateways;
-    gateways.begin(start);
+    gateways.reset(start);
     const auto later = start + periods.settlingPeriod;
     gateways.recordHeartbeat(usageOf("a", 1, 0, true), later);
     gateways.recordHeartbeat(usageOf("b", 1, 0, true), later);
@@ -49,7 +49,7 @@
     const gateway_table_options periods;
     const milliseconds soon { 1500 };
     gateway_table gateways;
-    gateways.begin(start);
+    gateways.reset(start);
     const auto earlier = [&gateways] { return gateways.earlierRetries("a"); };
 
     SECTION("no earlier heartbeat")
@@ -89,7 +89,7 @@
     SECTION("a newly elected leader")
     {
         gateways.recordHeartbeat(usageOf("a", 1, 7, true), start);
-        gateways.begin(start + soon);
+        gateways.reset(start + soon);
         gateways.recordHeartbeat(usageOf("a", 2, 0, false), start + soon);
         CHECK_FALSE(earlier());
     }
--- a/src/buckthornrail/registry/layer_plan.cpp
+++ b/src/buckthornrail/registry/layer_plan.cpp
@@ -79,9 +79,9 @@
         }
         return best;
     }
-    [[nodiscard]] std::uint32_t position(std::vector<int>::const_iterator at) const
+    [[nodiscard]] std::uint32_t position(std::vector<int>::const_iterator iterator) const
     {
-        return static_cast<std::uint32_t>(at - m_holders.begin());
+        return static_cast<std::uint32_t>(iterator - m_holders.begin());
     }
 
     static constexpr double sumTolerance = 1e-6; ///< exceeds the rounding differences between summation orders
--- a/src/buckthornrail/registry/lease_table.cpp
+++ b/src/buckthornrail/registry/lease_table.cpp
@@ -12,7 +12,7 @@
     known->second = deadline;
 }
 
-void lease_table::begin(const std::string& holder, steady_time deadline)
+void lease_table::start(const std::string& holder, steady_time deadline)
 {
     if (m_deadlines.try_emplace(holder, deadline).second)
         m_checks.push({ deadline, holder });
@@ -24,10 +24,10 @@
     m_checks = {};
 }
 
-std::vector<std::string> lease_table::takeEnded(steady_time now, std::size_t maxCount)
+std::vector<std::string> lease_table::takeExpired(steady_time now, std::size_t maxCount)
 {
     std::vector<std::string> ended;
-    while (!m_checks.empty() && m_checks.top().at <= now && ended.size() < maxCount) {
+    while (!m_checks.empty() && m_checks.top().dueAt <= now && ended.size() < maxCount) {
         const std::string holder = m_checks.top().holder;
         m_checks.pop();
         const auto known = m_deadlines.find(holder);
--- a/src/buckthornrail/registry/limit_table.cpp
+++ b/src/buckthornrail/registry/limit_table.cpp
@@ -35,10 +35,11 @@
 std::vector<limit_report> limit_table::collect(steady_time now, const Predicate& isIncluded) const
 {
     std::vector<limit_report> found;
-    for (const auto& [target, one] : m_entries) {
-        if (!isIncluded(one) || now >= one.receivedAt + m_options.retention)
+    for (const auto& [target, limit] : m_entries) {
+        if (!isIncluded(limit) || now >= limit.receivedAt + m_options.retention)
             continue;
-        found.push_back({ target, one.perSecond, static_cast<std::uint32_t>(between(one.receivedAt, now).count()) });
+        found.push_back(
+            { target, limit.perSecond, static_cast<std::uint32_t>(between(limit.receivedAt, now).count()) });
     }
     return found;
 }
@@ -47,20 +48,21 @@
 {
     if (revision >= m_revision)
         return {};
-    return collect(now, [revision](const entry& one) { return one.revision > revision; });
+    return collect(now, [revision](const entry& limit) { return limit.revision > revision; });
 }
 
 std::vector<limit_report> limit_table::changesForLeader(std::uint64_t revision, steady_time now) const
 {
     if (revision >= m_revision)
         return {};
-    return collect(now,
-        [revision](const entry& one) { return one.revision > revision && one.source == limit_source::Downstream; });
+    return collect(now, [revision](const entry& limit) {
+        return limit.revision > revision && limit.source == limit_source::Downstream;
+    });
 }
 
 std::vector<limit_report> limit_table::limits(steady_time now) const
 {
-    return collect(now, [](const entry& one) { return one.perSecond.has_value(); });
+    return collect(now, [](const entry& limit) { return limit.perSecond.has_value(); });
 }
 
 } // namespace buckthornrail::registry
--- a/src/buckthornrail/registry/load_table.cpp
+++ b/src/buckthornrail/registry/load_table.cpp
@@ -9,7 +9,7 @@
     const auto& records = table.records();
     if (loads.size() != records.size() || records.size() > maxTargetsInLoadReport)
         return;
-    forget(session);
+    remove(session);
     auto& own = m_sessions[session];
     auto load = loads.begin();
     for (const auto& [id, record] : records) {
@@ -21,7 +21,7 @@
     }
 }
 
-void load_table::forget(std::uint64_t session)
+void load_table::remove(std::uint64_t session)
 {
     const auto known = m_sessions.extract(session);
     if (!known)
--- a/src/buckthornrail/registry/load_table_test.cpp
+++ b/src/buckthornrail/registry/load_table_test.cpp
@@ -11,11 +11,11 @@
 
 target_record record(const std::string& id)
 {
-    target_record one;
-    one.id = id;
-    one.service = "s";
-    one.address = id + ":1";
-    return one;
+    target_record result;
+    result.id = id;
+    result.service = "s";
+    result.address = id + ":1";
+    return result;
 }
 
 target_table tableOf(const std::vector<std::string>& ids)
@@ -39,7 +39,7 @@
     CHECK(loads.othersOf(3, table) == target_loads { 12, 3 });
     loads.update(2, table, target_loads { 1, 0 });
     CHECK(loads.othersOf(1, table) == target_loads { 1, 0 });
-    loads.forget(2);
+    loads.remove(2);
     CHECK(loads.othersOf(1, table) == target_loads { 0, 0 });
 }
 
@@ -64,7 +64,7 @@
         for (const auto step : steps) {
             const std::uint64_t session = step % 4;
             if (step % 5 == 0) {
-                loads.forget(session);
+                loads.remove(session);
                 latest.erase(session);
                 continue;
             }
@@ -75,8 +75,8 @@
         for (std::uint64_t session = 0; session < 5; ++session) {
             target_loads expected(targets, 0);
             for (const auto& [other, otherLoads] : latest) {
-                for (std::size_t at = 0; other != session && at < targets; ++at)
-                    expected[at] += otherLoads[at];
+                for (std::size_t index = 0; other != session && index < targets; ++index)
+                    expected[index] += otherLoads[index];
             }
             RC_ASSERT(loads.othersOf(session, table) == expected);
         }
--- a/src/buckthornrail/registry/quarantine.cpp
+++ b/src/buckthornrail/registry/quarantine.cpp
@@ -184,11 +184,11 @@
     if (m_entries.size() - m_provenCount < m_options.maxSuspects)
         return;
     auto oldest = m_entries.end();
-    for (auto at = m_entries.begin(); at != m_entries.end(); ++at) {
-        if (at->second.stage == quarantine_stage::Proven)
+    for (auto candidate = m_entries.begin(); candidate != m_entries.end(); ++candidate) {
+        if (candidate->second.stage == quarantine_stage::Proven)
             continue;
-        if (oldest == m_entries.end() || at->second.revision < oldest->second.revision)
-            oldest = at;
+        if (oldest == m_entries.end() || candidate->second.revision < oldest->second.revision)
+            oldest = candidate;
     }
     if (oldest != m_entries.end())
         remove(request_fingerprint(oldest->first));
@@ -236,7 +236,7 @@
     }
 }
 
-std::vector<quarantine_expiry> quarantine_timers::takeEnded(const quarantine_table& table, steady_time now)
+std::vector<quarantine_expiry> quarantine_timers::takeExpired(const quarantine_table& table, steady_time now)
 {
     if (m_seenRevision != table.revision()) {
         m_seenRevision = table.revision();
@@ -248,11 +248,11 @@
         }
     }
     std::vector<quarantine_expiry> ended;
-    for (auto& [fingerprint, one] : m_timers) {
-        if (now < one.deadline)
+    for (auto& [fingerprint, known] : m_timers) {
+        if (now < known.deadline)
             continue;
-        one.deadline = now + expiryRetryPeriod;
-        ended.push_back({ fingerprint, one.revision });
+        known.deadline = now + expiryRetryPeriod;
+        ended.push_back({ fingerprint, known.revision });
     }
     return ended;
 }
@@ -261,11 +261,11 @@
 {
     if (delta.full)
         m_stages.clear();
-    for (const auto& one : delta.standings) {
-        if (one.stage == quarantine_stage::None)
-            m_stages.erase(one.fingerprint);
+    for (const auto& status : delta.standings) {
+        if (status.stage == quarantine_stage::None)
+            m_stages.erase(status.fingerprint);
         else
-            m_stages[one.fingerprint] = one.stage;
+            m_stages[status.fingerprint] = status.stage;
     }
     m_revision = delta.to;
 }
--- a/src/buckthornrail/registry/quarantine_test.cpp
+++ b/src/buckthornrail/registry/quarantine_test.cpp
@@ -15,16 +15,16 @@
 
 request_fingerprint named(std::uint16_t name)
 {
-    request_fingerprint one;
-    one.bytes[0] = static_cast<std::uint8_t>(name);
-    one.bytes[1] = static_cast<std::uint8_t>(name >> 8U);
-    return one;
+    request_fingerprint fingerprint;
+    fingerprint.bytes[0] = static_cast<std::uint8_t>(name);
+    fingerprint.bytes[1] = static_cast<std::uint8_t>(name >> 8U);
+    return fingerprint;
 }
 
-quarantine_change crashOf(const std::string& target, std::vector<request_fingerprint> begun)
+quarantine_change crashOf(const std::string& target, std::vector<request_fingerprint> fingerprints)
 {
     quarantine_change change;
-    change.crashes.push_back({ target, std::move(begun) });
+    change.crashes.push_back({ target, std::move(fingerprints) });
     return change;
 }
 
@@ -42,12 +42,12 @@
 }
 
 /// Reports crashes until the request is proven, the last one during a trial.
-void prove(quarantine_table& table, const request_fingerprint& one, const std::string& prefix)
+void prove(quarantine_table& table, const request_fingerprint& fingerprint, const std::string& prefix)
 {
-    table.apply(crashOf(prefix + "1", { one }));
-    table.apply(crashOf(prefix + "2", { one }));
-    table.apply(claimOf(one, 9, prefix + "3"));
-    table.apply(crashOf(prefix + "3", { one }));
+    table.apply(crashOf(prefix + "1", { fingerprint }));
+    table.apply(crashOf(prefix + "2", { fingerprint }));
+    table.apply(claimOf(fingerprint, 9, prefix + "3"));
+    table.apply(crashOf(prefix + "3", { fingerprint }));
 }
 
 quarantine_change anyChange()
@@ -57,10 +57,10 @@
     quarantine_change change;
     switch (*rc::gen::inRange(0, 5)) {
     case 0: {
-        std::vector<request_fingerprint> begun;
-        for (int at = 0; at < *rc::gen::inRange(1, 4); ++at)
-            begun.push_back(fingerprint());
-        return crashOf(target(), begun);
+        std::vector<request_fingerprint> fingerprints;
+        for (int count = 0; count < *rc::gen::inRange(1, 4); ++count)
+            fingerprints.push_back(fingerprint());
+        return crashOf(target(), fingerprints);
     }
     case 1:
         return claimOf(fingerprint(), *rc::gen::inRange<std::uint64_t>(1, 9), target());
@@ -126,11 +126,11 @@
     steady_time now = zero;
     milliseconds expected { 60000 };
     for (int round = 0; round < 9; ++round) {
-        CHECK(timers.takeEnded(table, now).empty());
-        CHECK(timers.takeEnded(table, now + expected - milliseconds(1)).empty());
+        CHECK(timers.takeExpired(table, now).empty());
+        CHECK(timers.takeExpired(table, now + expected - milliseconds(1)).empty());
         now += expected;
         quarantine_change ended;
-        ended.expired = timers.takeEnded(table, now);
+        ended.expired = timers.takeExpired(table, now);
         REQUIRE(ended.expired.size() == 1);
         table.apply(ended);
         CHECK(stageOf(table, named(1)) == quarantine_stage::Held); // allows one more trial
@@ -149,9 +149,9 @@
     for (const auto* target : { "a", "b", "c" })
         table.apply(crashOf(target, { named(1) }));
     CHECK(stageOf(table, named(1)) == quarantine_stage::Proven);
-    CHECK(timers.takeEnded(table, zero).empty());
+    CHECK(timers.takeExpired(table, zero).empty());
     quarantine_change ended;
-    ended.expired = timers.takeEnded(table, zero + milliseconds(5000));
+    ended.expired = timers.takeExpired(table, zero + milliseconds(5000));
     REQUIRE(ended.expired.size() == 1);
     table.apply(ended);
     CHECK(stageOf(table, named(1)) == quarantine_stage::Held);
@@ -168,17 +168,17 @@
     quarantine_timers timers;
     table.apply(crashOf("a", { named(1) }));
     table.apply(claimOf(named(1), 11, "b"));
-    CHECK(timers.takeEnded(table, zero).empty());
+    CHECK(timers.takeExpired(table, zero).empty());
     quarantine_change ended;
-    ended.expired = timers.takeEnded(table, zero + milliseconds(5000));
+    ended.expired = timers.takeExpired(table, zero + milliseconds(5000));
     REQUIRE(ended.expired.size() == 1);
     // The expiry is returned again in case it was lost.
-    CHECK(timers.takeEnded(table, zero + milliseconds(5500)).empty());
-    CHECK(timers.takeEnded(table, zero + milliseconds(6000)).size() == 1);
+    CHECK(timers.takeExpired(table, zero + milliseconds(5500)).empty());
+    CHECK(timers.takeExpired(table, zero + milliseconds(6000)).size() == 1);
     table.apply(ended);
     CHECK(table.refusalOf({ named(1), 12, "c" }) == trial_refusal::None);
-    CHECK(timers.takeEnded(table, zero + milliseconds(7000)).empty());
-    ended.expired = timers.takeEnded(table, zero + milliseconds(700000));
+    CHECK(timers.takeExpired(table, zero + milliseconds(7000)).empty());
+    ended.expired = timers.takeExpired(table, zero + milliseconds(700000));
     table.apply(ended);
     CHECK(table.entries().empty());
 }
@@ -201,8 +201,8 @@
     options.maxSuspects = 20;
     quarantine_table table(options);
     prove(table, named(1), "first");
-    for (std::uint16_t at = 2; at < 1000; ++at)
-        prove(table, named(at), "t" + std::to_string(at) + "-");
+    for (std::uint16_t number = 2; number < 1000; ++number)
+        prove(table, named(number), "t" + std::to_string(number) + "-");
     CHECK(stageOf(table, named(1)) == quarantine_stage::Proven);
     CHECK(table.entries().size() <= 30);
     // Requests beyond the bound of proven ones stay held: each may run only on trial.
@@ -253,20 +253,20 @@
         }
     });
     rc::prop("a replica restored from a snapshot stays equal to the others", [] {
-        quarantine_table one;
+        quarantine_table original;
         for (int step = 0; step < *rc::gen::inRange(0, 30); ++step)
-            one.apply(anyChange());
-        quarantine_table other;
-        other.restore(one.entries(), one.revision());
+            original.apply(anyChange());
+        quarantine_table restored;
+        restored.restore(original.entries(), original.revision());
         for (int step = 0; step < *rc::gen::inRange(0, 30); ++step) {
             const auto change = anyChange();
-            one.apply(change);
-            other.apply(change);
+            original.apply(change);
+            restored.apply(change);
         }
-        RC_ASSERT(one.revision() == other.revision());
-        RC_ASSERT(one.entries().size() == other.entries().size());
-        for (const auto& [fingerprint, entry] : one.entries()) {
-            const auto* same = other.find(fingerprint);
+        RC_ASSERT(original.revision() == restored.revision());
+        RC_ASSERT(original.entries().size() == restored.entries().size());
+        for (const auto& [fingerprint, entry] : original.entries()) {
+            const auto* same = restored.find(fingerprint);
             RC_ASSERT(same != nullptr);
             RC_ASSERT(same->stage == entry.stage);
             RC_ASSERT(same->trial == entry.trial);
--- a/src/buckthornrail/registry/target_record.cpp
+++ b/src/buckthornrail/registry/target_record.cpp
@@ -25,9 +25,9 @@
 
 } // namespace
 
-std::string text(const target_incarnation& one)
+std::string text(const target_incarnation& incarnation)
 {
-    return one.startedMs == 0 ? one.id : one.id + "@" + std::to_string(one.startedMs);
+    return incarnation.startedMs == 0 ? incarnation.id : incarnation.id + "@" + std::to_string(incarnation.startedMs);
 }
 
 bool differsFrom(const target_record& a, const target_record& b)
--- a/src/buckthornrail/registry/target_record_test.cpp
+++ b/src/buckthornrail/registry/target_record_test.cpp
@@ -255,9 +255,10 @@
                 std::max(capacity, less + 1) - less, {}, true });
         }
         const auto preferredLayersIn = [&targets](const std::string& domain) {
-            return std::accumulate(targets.begin(), targets.end(), 0U, [&](std::uint32_t sum, const plan_target& one) {
-                return sum + (one.failureDomain == domain ? one.preferredLayers : 0);
-            });
+            return std::accumulate(
+                targets.begin(), targets.end(), 0U, [&](std::uint32_t sum, const plan_target& target) {
+                    return sum + (target.failureDomain == domain ? target.preferredLayers : 0);
+                });
         };
         runPlanner(targets, layers);
         for (const std::string domain : { "a", "b" })
@@ -321,9 +322,9 @@
         return std::vector<memory_requirements>(count, { 100, 10, 1000, minTokens });
     };
     const auto layersAt = [](const std::vector<memory_requirements>& domain, double tokens) {
-        auto one = domain.front();
-        one.tokens = tokens;
-        return layersThatFit(one) * domain.size();
+        auto needs = domain.front();
+        needs.tokens = tokens;
+        return layersThatFit(needs) * domain.size();
     };
     const auto redundant = domainOf(4, 1000); // 36 layers at the minimum: one chain of 20 and half a second one
     CHECK(layersAt(redundant, preferredTokens(redundant, 20)) >= 30);
