--- a/include/buckthornrail/registry/gateway_sessions.hpp
+++ b/include/buckthornrail/registry/gateway_sessions.hpp
@@ -1,8 +1,8 @@
 /// @file
 /// @brief Exchange of load and retry usage between gateways whose sessions are spread over all controllers.
 ///
-/// Followers report the totals of their sessions to the leader, which answers with the totals of all other controllers.
-/// A gateway's heartbeat is thus processed only by the controller that has its session.
+/// Followers report the totals of their sessions to the leader, which responds with the totals of all other
+/// controllers. A gateway's heartbeat is thus processed only by the controller that has its session.
 #pragma once
 
 #include "buckthornrail/registry/gateway_table.hpp"
@@ -14,7 +14,7 @@
 /// Identifies a gateway's session, or a link to another controller, at one controller. Never 0.
 using session_number = std::uint64_t;
 
-/// The part of a gateway's heartbeat that concerns other gateways.
+/// A gateway's load and use of the retry budget, from its heartbeat.
 struct gateway_activity {
     gateway_usage usage;
     std::uint32_t openAttempts = 0; ///< in flight at targets
@@ -49,22 +49,24 @@
     std::uint32_t ordinal = 0;
 };
 
-/// The leader's answer to a member_report.
+/// The leader's response to a member_report.
 struct fleet_report {
-    std::uint64_t reportSequence = 0; ///< sequence of the report
+    std::uint64_t reportSequence = 0; ///< of the report that this responds to
     session_totals others; ///< of all sessions except the reporting controller's
-    std::uint32_t budgetSharers = 0; ///< number of gateways that may have spent from the retry budget; 0: unknown
+    /// Number of live gateways: those that may have spent from the retry budget. 0: unknown.
+    std::uint32_t budgetSharers = 0;
     std::vector<earlier_retries> earlier; ///< for the reported gateways whose own count isn't complete, where known
-    std::vector<gateway_ordinal> ordinals; ///< of all reported gateways, among those that share the budget
+    std::vector<gateway_ordinal> ordinals; ///< of all reported gateways
     std::vector<limit_report> limits; ///< that the controller lacks
 };
 
-/// What a gateway is told about the others.
+/// What is sent to a gateway about the others.
 struct fleet_summary {
     std::uint32_t gateways = 1; ///< with an open session, including itself
-    std::uint32_t budgetSharers = 0; ///< gateways that share the retry budget; 0: unknown, or may not include it
-    std::optional<std::uint32_t> ordinal; ///< its index among those gateways; nothing: unknown
-    std::optional<retry_counts> earlier; ///< spent by its earlier processes; nothing: unknown or not needed
+    /// Number of live gateways, among which the retry budget is divided. 0: unknown, or may not include the receiver.
+    std::uint32_t budgetSharers = 0;
+    std::optional<std::uint32_t> ordinal; ///< its index among the live gateways; nothing: unknown
+    std::optional<retry_counts> earlier; ///< retries that its earlier processes spent; nothing: unknown or not needed
     std::uint32_t othersOpenAttempts = 0; ///< in flight at targets
     target_loads othersLoads; ///< empty: unknown
 };
@@ -91,14 +93,14 @@
 
     /// @brief At a follower: makes the next report to the leader.
     [[nodiscard]] member_report report(const target_table& table);
-    /// @brief At the leader: records a member's report and makes the answer, without limits.
+    /// @brief At the leader: records a member's report. @return the response, without limits
     /// @param member number of the link that the report came over
     [[nodiscard]] fleet_report respondTo(
         session_number member, const member_report& report, const target_table& table, steady_time now);
-    /// @brief At a follower: applies the leader's answer. Outdated answers are ignored.
+    /// @brief At a follower: applies the leader's response. Outdated responses are ignored.
     void applyLeaderResponse(const fleet_report& response, const target_table& table);
 
-    /// @brief What the gateway of a session is told about the others.
+    /// @brief Makes the summary for the gateway of a session.
     /// @param session one with a recorded heartbeat; a default summary is returned otherwise
     [[nodiscard]] fleet_summary summaryFor(session_number session, const target_table& table, steady_time now) const;
 
@@ -106,24 +108,25 @@
     struct gateway_entry {
         gateway_activity activity;
         bool isUnreported = false; ///< has a heartbeat since the last report
-        std::uint64_t reportedIn = 0; ///< report whose answer confirms that the leader counts this incarnation; 0: none
-        std::optional<retry_counts> earlier; ///< from the leader's answer for this incarnation
-        std::optional<std::uint32_t> ordinal; ///< from the leader's answer for this incarnation
+        /// Sequence of the report whose response confirms that the leader counts this incarnation. 0: none.
+        std::uint64_t reportedIn = 0;
+        std::optional<retry_counts> earlier; ///< from the leader's response for this incarnation
+        std::optional<std::uint32_t> ordinal; ///< from the leader's response for this incarnation
     };
 
     /// @return totals of this controller's sessions, without loads
     [[nodiscard]] session_totals ownTotals() const;
-    /// @brief Whether the leader has answered a report with this gateway's incarnation, and so counts it.
+    /// @brief Whether the leader has responded to a report with this gateway's incarnation, and so counts it.
     [[nodiscard]] bool isCounted(const gateway_entry& entry) const;
 
     bool m_isLeader = false;
     std::map<session_number, gateway_entry> m_sessions;
     std::uint32_t m_openAttempts = 0; ///< total of m_sessions
     std::map<session_number, session_totals> m_members; ///< at the leader, by link; their loads are in m_loads
-    session_totals m_otherControllers; ///< at a follower: all other controllers' sessions, from the last answer
-    std::uint32_t m_budgetSharers = 0; ///< at a follower, from the last answer
+    session_totals m_otherControllers; ///< at a follower: all other controllers' sessions, from the last response
+    std::uint32_t m_budgetSharers = 0; ///< at a follower, from the last response
     std::uint64_t m_reportSequence = 0; ///< sequence of the last report
-    std::uint64_t m_acknowledgedSequence = 0; ///< highest sequence that was answered
+    std::uint64_t m_acknowledgedSequence = 0; ///< highest sequence that the leader responded to
     load_table m_loads; ///< by session, by member link, and at a follower under `otherControllers`
     gateway_table m_gatewayTable; ///< used at the leader
 };
--- a/include/buckthornrail/registry/gateway_table.hpp
+++ b/include/buckthornrail/registry/gateway_table.hpp
@@ -57,7 +57,7 @@
     void reset(steady_time now);
     /// @brief Records a heartbeat, and drops gateways whose window has passed.
     void recordHeartbeat(const gateway_usage& usage, steady_time now);
-    /// @brief Number of gateways with a heartbeat within the window. @return 0 during the settling period
+    /// @brief Number of live gateways, those with a heartbeat within the window. @return 0 during the settling period
     [[nodiscard]] std::size_t count(steady_time now) const;
     /// @brief Ids of the live gateways in ascending order. A gateway's index is its ordinal.
     [[nodiscard]] std::vector<std::string> liveGateways(steady_time now) const;
--- a/include/buckthornrail/registry/layer_plan.hpp
+++ b/include/buckthornrail/registry/layer_plan.hpp
@@ -50,7 +50,7 @@
 ///
 /// A target without layers gets its preferred number of layers, where coverage is lowest: a domain thus forms one
 /// complete chain and part of a second one. A gap is filled by a redundant target, one whose layers others hold too;
-/// without one, by the targets adjacent to the gap, up to their capacity.
+/// without such a target, by the targets adjacent to the gap, up to their capacity.
 /// @param layerCount layers of the model
 /// @return at most one assignment per target; empty when nothing can be improved
 std::vector<layer_assignment> planLayers(std::span<const plan_target> targets, std::uint32_t layerCount);
--- a/include/buckthornrail/registry/limit_table.hpp
+++ b/include/buckthornrail/registry/limit_table.hpp
@@ -32,8 +32,8 @@
     milliseconds refreshInterval { 1000 };
 };
 
-/// @brief The newest known rate limit of each target; every controller has one. Soft state: a new leader learns missing
-/// limits as targets report them again. Callers pass the current time.
+/// @brief The newest known rate limit of each target; every controller has one. Soft state: a new leader receives
+/// missing limits as targets report them again. Callers pass the current time.
 /// @ingroup registry
 class limit_table {
 public:
--- a/include/buckthornrail/registry/quarantine.hpp
+++ b/include/buckthornrail/registry/quarantine.hpp
@@ -4,7 +4,7 @@
 /// Requests are identified by fingerprint, since a retry arrives under another id and at any gateway. Each target that
 /// ends shortly after starting a request counts as a crash of that request. After the first crash the request is a
 /// suspect and runs at one target at a time. After the second it is held: its target runs no other held request, so
-/// that one more crash proves it and costs a single target. A complete answer clears a fingerprint at once, as a
+/// that one more crash proves it and costs a single target. A complete response clears a fingerprint at once, as a
 /// request that crashes every target never gets one.
 #pragma once
 
@@ -64,7 +64,7 @@
     std::vector<crash_report> crashes;
     std::vector<trial_claim> claims;
     std::vector<trial_end> ends;
-    std::vector<request_fingerprint> cleared; ///< answered completely, or cleared by an operator
+    std::vector<request_fingerprint> cleared; ///< got a complete response, or cleared by an operator
     std::vector<quarantine_expiry> expired;
     [[nodiscard]] bool isEmpty() const
     {
--- a/src/app/registry/document_feed.hpp
+++ b/src/app/registry/document_feed.hpp
@@ -21,7 +21,7 @@
     {
     }
 
-    /// @brief Takes over the committed document; does nothing when that version is already held.
+    /// @brief Computes the change to the committed document; does nothing when that is the newest version already.
     void update(const versioned_text& committed);
     /// @brief Encoded messages that bring a gateway to the newest version, in order.
     /// @param held version that the gateway has
--- a/src/app/registry/layer_orders.cpp
+++ b/src/app/registry/layer_orders.cpp
@@ -13,11 +13,11 @@
 /// Each call uses a connection. Calling the 3,000 targets of a new system all at once took three quarters of the
 /// connections that a process may open; a batch of this size completes in a tenth of a second.
 constexpr std::ptrdiff_t maxConcurrentCalls = 256;
-/// Timeout of a call to a target; a live target answers within a few milliseconds.
+/// Timeout of a call to a target; a live target responds within a few milliseconds.
 constexpr milliseconds callTimeout { 800 };
 /// Delay before the next attempt to send an order.
 constexpr milliseconds retryDelay { 700 };
-/// An order that isn't carried out in this time is given up and planned anew. Ten layers load in 2 s and a whole
+/// An order that isn't completed in this time is given up and planned anew. Ten layers load in 2 s and a whole
 /// accelerator in 7 s, but concurrent loads share the bandwidth of the weight store.
 constexpr milliseconds orderTimeout { 20000 };
 /// Concurrent requests of usual size that a target should have memory for beside its layers. A failure domain runs
@@ -204,7 +204,7 @@
     if (report->startedMs != 0 && report->startedMs != record.startedMs)
         return; // from another incarnation, which hasn't announced itself here yet
     if (report->isBusy)
-        return; // wait until the current order, perhaps one of an earlier leader, is carried out
+        return; // wait until the current order, perhaps one of an earlier leader, is completed
     if (report->layers == order->layers) {
         order->isAccepted = true;
         return;
@@ -238,7 +238,7 @@
     order.nextAttemptAt = steadyNow() + retryDelay;
     (void)m_backoffs.recordResponse(order.target, outcome, response, steadyNow());
     const bool wasAccepted = outcome == net::call_outcome::Answered && response.head.status < 300;
-    // Without an answer the order may still have been accepted. The next report shows that, and the expected revision
+    // Without a response the order may still have been accepted. The next report shows that, and the expected revision
     // keeps the target from accepting it twice.
     order.isAccepted = wasAccepted;
     if (wasAccepted)
--- a/src/app/registry/layer_orders.hpp
+++ b/src/app/registry/layer_orders.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Carries out the layer plan: sends fenced orders to targets, one at a time each, after reading the target's
+/// @brief Executes the layer plan: sends fenced orders to targets, one at a time each, after reading the target's
 /// state.
 #pragma once
 
@@ -46,7 +46,7 @@
         bool operator==(const plan_inputs&) const = default;
     };
 
-    /// @brief Closes orders that are carried out, whose target is gone, or whose deadline has passed.
+    /// @brief Closes orders that are completed, whose target is gone, or whose deadline has passed.
     void closeFinishedOrders(const registry::target_table& targets, steady_time now);
     /// @return true when it opened orders: planning again may open more
     bool planService(const registry::target_table& targets, const gateway::service& service, steady_time now);
--- a/src/app/registry/registry.cpp
+++ b/src/app/registry/registry.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr milliseconds tickPeriod { 50 };
-/// Time that the first member waits to hear of an existing log before it forms one.
+/// Time that the first member waits to learn of an existing log before it forms one.
 constexpr milliseconds bootstrapDelay { 300 };
 /// Target changes of one commit that are logged one by one; more get one summary line. The log takes this many lines in
 /// half a second.
--- a/src/app/registry/registry.hpp
+++ b/src/app/registry/registry.hpp
@@ -36,7 +36,7 @@
         std::uint64_t documentVersion = 0;
         bool acceptsSlices = false; ///< false: an earlier version of the program, which needs the whole text
         std::uint64_t targetRevision = 0;
-        std::uint64_t pendingSequence = 0; ///< of the heartbeat to be answered; 0: none
+        std::uint64_t pendingSequence = 0; ///< of the heartbeat without a response so far; 0: none
         std::uint64_t quarantineRevision = 0; ///< stage revision of the quarantine table
         std::uint64_t quarantineBatch = 0; ///< number of the last batch that was accepted
         std::uint64_t locationsRevisionSent = 0; ///< of m_controllerLocations
@@ -60,9 +60,9 @@
     struct confirmation_round {
         std::uint64_t number = 0; ///< a confirmation with an earlier number is ignored
         bool isOpen = false;
-        agreement::member_id leader = 0; ///< that was asked; a new leader doesn't know of the round
-        std::map<link::channel_number, std::uint64_t> waiting; ///< sequence of the heartbeat to answer, by session
-        steady_time nextNoticeAt {}; ///< when gateways are next told that their answers wait for the quorum
+        agreement::member_id leader = 0; ///< that the round was requested from; a new leader doesn't know of it
+        std::map<link::channel_number, std::uint64_t> waiting; ///< sequence of the heartbeat to respond to, by session
+        steady_time nextNoticeAt {}; ///< when gateways are next notified that their responses wait for the quorum
     };
 
     void onRequest(const net::whole_request& request, const net::responder& respond);
@@ -71,12 +71,12 @@
     void onAnnounce(const registry::target_record& record, const net::responder& respond);
     /// @brief Submits the announcement of a ready target to the log if it changes the target's record.
     void processAnnouncement(const registry::target_record& record);
-    /// @brief Marks targets as draining that told gateways, in their responses, that they are leaving.
+    /// @brief Marks targets as draining that announced in responses to gateways that they are leaving.
     void markDraining(const std::vector<registry::target_incarnation>& targets);
     /// @brief Submits a record unless one of the same incarnation is in flight.
     void submitOnce(const registry::target_record& record);
-    /// @brief Counts a rejected record, and logs it at a limited rate.
-    /// @param reason starts with the name of the invalid field and a colon, if one field is to blame
+    /// @brief Counts a refused record, and logs it at a limited rate.
+    /// @param reason starts with the name of the invalid field and a colon, if a single field is invalid
     void logRefusedRecord(const std::string& what, const std::string& reason);
     /// @brief Whether the active document defines a service; true for any service while there is no document.
     [[nodiscard]] bool isKnownService(const std::string& service);
@@ -99,12 +99,12 @@
     [[nodiscard]] std::string quarantinePage() const;
 
     void tick();
-    /// @brief Starts a quorum round for the heartbeats to be answered, unless one is open.
+    /// @brief Starts a quorum round for the heartbeats without a response, unless a round is open.
     void confirmSessions();
     void onConfirmed(std::uint64_t round, bool isCurrent);
-    /// @brief Ends a round that failed; its heartbeats are answered after the next one.
+    /// @brief Ends a round that failed; its heartbeats get a response after the next one.
     void abandonRound();
-    /// @brief Tells gateways that this controller still reaches a leader while their answers wait for the quorum.
+    /// @brief Notifies gateways that this controller still reaches a leader while their responses wait for the quorum.
     void notifyWaiting();
     /// @brief Sends each gateway what has changed. Changes of the target table in quick succession are batched.
     void pushAll();
@@ -114,7 +114,7 @@
     [[nodiscard]] std::optional<milliseconds> ageOfTotals() const;
     /// @brief Sends the pending report to the leader, unless this controller leads.
     void reportToLeader();
-    /// @param sequence of the heartbeat that it answers; 0: none
+    /// @param sequence of the heartbeat that it responds to; 0: none
     /// @param receipts for batches that have been committed
     void sendUpdate(link::channel_number linkNumber, session& gatewaySession, std::uint64_t sequence,
         std::vector<registry::quarantine_receipt> receipts = {});
@@ -123,7 +123,7 @@
     void logDocumentSent(link::channel_number linkNumber, const session& gatewaySession, std::size_t bytes);
     void submitTargets(const std::vector<registry::target_record>& records, std::function<void(bool)> done);
     void onChanged();
-    /// @brief Forms a new log if this controller is the first seed, holds no log and has heard of none.
+    /// @brief Forms a new log if this controller is the first seed, holds no log and knows of none.
     void bootstrapIfFirst();
     /// @brief Services of the active document.
     [[nodiscard]] const std::vector<gateway::service>& services();
@@ -152,7 +152,7 @@
     std::map<link::channel_number, session> m_sessions;
     std::vector<link::controller_location> m_controllerLocations; ///< of all members, to be sent to gateways
     std::uint64_t m_locationsRevision = 0; ///< counts changes of m_controllerLocations
-    registry::gateway_sessions m_gatewaySessions; ///< sessions are numbered by their channels
+    registry::gateway_sessions m_gatewaySessions; ///< sessions are numbered by their links
     registry::limit_table m_limits;
     agreement::member_id m_lastReportedLeader = 0; ///< leader that the last report went to
     std::uint64_t m_limitsRevisionReported = 0; ///< of m_limits, in the last report
@@ -162,12 +162,12 @@
     steady_time m_totalsReceivedAt {}; ///< when the leader last sent the totals of all other sessions
     steady_time m_nextTablePushAt {};
     quarantine_submission m_pendingQuarantine;
-    bool m_isQuarantineInFlight = false; ///< a submission hasn't been answered by the log yet
+    bool m_isQuarantineInFlight = false; ///< the log hasn't reported the outcome of a submission yet
     registry::quarantine_timers m_quarantineTimers;
     std::uint64_t m_loggedStageRevision = 0; ///< stage changes up to it have been logged
     std::set<request_fingerprint> m_loggedFingerprints; ///< fingerprints that were last logged as quarantined
     std::set<registry::target_incarnation> m_announcementsInFlight; ///< submitted to the log and not committed yet
-    steady_time m_nextRefusalLogAt {}; ///< rejected records aren't logged before
+    steady_time m_nextRefusalLogAt {}; ///< refused records aren't logged before
     std::size_t m_unloggedRefusals = 0;
     steady_time m_bootstrapAt {};
     steady_time m_nextConfirmAt {}; ///< no quorum round starts before
--- a/src/app/registry/registry_sessions.cpp
+++ b/src/app/registry/registry_sessions.cpp
@@ -8,7 +8,7 @@
 namespace buckthornrail::app {
 namespace {
 
-/// Period of quorum rounds. One round confirms the answers to all heartbeats that arrived since the last.
+/// Period of quorum rounds. One round confirms the responses to all heartbeats that arrived since the last.
 constexpr milliseconds confirmPeriod { 100 };
 constexpr milliseconds confirmTimeout { 800 };
 /// A session without heartbeats for this long is closed.
@@ -20,8 +20,8 @@
 /// Period of reports to the leader. It delays the loads that gateways report to those with sessions at other
 /// controllers by half a period on average, in addition to the 300 ms between heartbeats.
 constexpr milliseconds reportPeriod { 100 };
-/// Unreachable and leaving targets, of each kind, that are kept while no leader is reachable: as many as a lost failure
-/// domain has targets. Expired leases reveal the others.
+/// Unreachable and leaving targets, of each kind, that are stored while no leader is reachable: as many as a lost
+/// failure domain has targets. Expired leases reveal the others.
 constexpr std::size_t maxPendingReports = 1000;
 /// Least time between pushes of the target table: 3,000 targets that announce themselves within a second would
 /// otherwise cause as many updates for each gateway. A single change is pushed at once.
@@ -38,7 +38,7 @@
     }
     gatewaySession.instance = heartbeat.instance;
     gatewaySession.acceptsSlices = heartbeat.sliceVersion.has_value();
-    // Updates arrive in order over this channel, so a heartbeat that crossed one on the way names an older version than
+    // Updates arrive in order over this link, so a heartbeat that crossed one on the way names an older version than
     // the gateway will hold.
     gatewaySession.documentVersion
         = std::max(gatewaySession.documentVersion, heartbeat.sliceVersion.value_or(heartbeat.documentVersion));
@@ -60,12 +60,12 @@
     auto& leaving = m_pendingReport.leavingTargets;
     if (m_log->isLeader())
         markDraining(heartbeat.leavingTargets);
-    else if (leaving.size() < maxPendingReports) // the gateway repeats those left out in its next heartbeat
+    else if (leaving.size() < maxPendingReports) // the gateway reports those left out again in its next heartbeat
         leaving.insert(leaving.end(), heartbeat.leavingTargets.begin(), heartbeat.leavingTargets.end());
     if (!m_pendingReport.darkTargets.empty() || !m_pendingReport.leavingTargets.empty())
         m_nextReportAt = {}; // so a lost target is known everywhere 0.3 s after the first gateway detects it
     if (m_log->reachesLeader())
-        return; // answered after the next confirmation
+        return; // the response follows the next confirmation
     gatewaySession.isConfirmed = false;
     link::gateway_update update;
     update.sequence = heartbeat.sequence;
--- a/src/app/registry/registry_state.cpp
+++ b/src/app/registry/registry_state.cpp
@@ -12,8 +12,8 @@
 
 using nlohmann::json;
 
-/// Gateways usually lag by one version, and by a few when changes come in quick succession. Each kept document takes a
-/// tenth of its size in memory.
+/// Gateways usually lag by one version, and by a few when changes come in quick succession. Each stored document takes
+/// a tenth of its size in memory.
 constexpr std::size_t maxEarlierDocuments = 6;
 /// Largest document: the size limit of a message between processes.
 constexpr std::size_t maxDocumentBytes = 32U << 20U;
--- a/src/app/registry/registry_state_test.cpp
+++ b/src/app/registry/registry_state_test.cpp
@@ -224,8 +224,8 @@
     });
 }
 
-TEST_CASE("registry state: a snapshot keeps the quarantine; one of an earlier version without it leaves it empty",
-    "[registry]")
+TEST_CASE(
+    "registry state: a snapshot contains the quarantine; after one of an earlier version it is empty", "[registry]")
 {
     request_fingerprint fingerprint;
     fingerprint.bytes.fill(0xC3);
--- a/src/app/registry/registry_targets.cpp
+++ b/src/app/registry/registry_targets.cpp
@@ -102,7 +102,7 @@
     }
     auto announced = record;
     if (known->state == registry::target_state::Draining)
-        announced.state = known->state; // it said that it is leaving, whatever it announces now
+        announced.state = known->state; // it has announced that it leaves, whatever it announces now
     if (registry::differsFrom(*known, announced) && registry::orderOf(record) >= registry::orderOf(*known))
         submitOnce(record);
 }
--- a/src/app/registry/target_watch.cpp
+++ b/src/app/registry/target_watch.cpp
@@ -10,7 +10,7 @@
 /// Missed heartbeats after which a target is probed; heartbeats may arrive seconds late.
 constexpr int maxMissedHeartbeats = 3;
 constexpr milliseconds heartbeatTolerance { 400 };
-/// A target that doesn't answer a probe within this time counts as lost. Probing as soon as a gateway reports the
+/// A target that doesn't respond to a probe within this time counts as lost. Probing as soon as a gateway reports the
 /// target as unreachable saves up to four seconds compared with waiting for missed heartbeats.
 constexpr milliseconds probeTimeout { 300 };
 /// Each probe uses a connection; this is a quarter of the connections that a process may open. The loss of a failure
@@ -149,7 +149,7 @@
             { "status", std::to_string(response.head.status) } });
     const auto* record = m_targets.find(probed.id);
     if (record == nullptr || record->incarnation() != probed)
-        return; // the answer doesn't apply to the incarnation that is known by now
+        return; // the response doesn't apply to the incarnation that is known by now
     if (isAlive)
         m_leases.renew(probed.id, nextLeaseDeadline());
     else
--- a/src/app/registry/target_watch.hpp
+++ b/src/app/registry/target_watch.hpp
@@ -33,15 +33,15 @@
     bool onAnnouncement(const std::string& targetId, const registry::announcement_order& order);
     /// @brief Probes a target at once that a gateway reports as unreachable, if the incarnation is the known one.
     void probeUnreachable(const registry::target_incarnation& target);
-    /// @brief Checks whether a target is alive that announces an earlier start than the known incarnation, which is
-    /// over.
-    /// @param onAlive called with the record when the target answers
+    /// @brief Probes a target that announces an earlier start than that of the known incarnation, which is gone or
+    /// lost.
+    /// @param onAlive called with the record when the target responds
     void verifyEarlierStart(
         const registry::target_record& record, std::function<void(const registry::target_record&)> onAlive);
     /// @brief Probes targets whose leases have expired.
     void probeExpired(steady_time now);
     /// @brief Drops all leases, so that every target gets a full new one. For a change of leader, or after this process
-    /// stood still.
+    /// was stalled.
     void resetLeases();
 
 private:
--- a/src/buckthornrail/registry/gateway_sessions.cpp
+++ b/src/buckthornrail/registry/gateway_sessions.cpp
@@ -37,7 +37,7 @@
     m_loads.remove(otherControllers);
     m_otherControllers = {};
     m_budgetSharers = 0;
-    m_acknowledgedSequence = m_reportSequence; // answers to reports in flight come from an earlier leader
+    m_acknowledgedSequence = m_reportSequence; // responses to reports in flight come from an earlier leader
     for (auto& [number, entry] : m_sessions)
         entry.reportedIn = 0;
 }
@@ -91,7 +91,7 @@
         if (!std::exchange(entry.isUnreported, false) && wasCounted)
             continue;
         report.lives.push_back(entry.activity.usage);
-        // Reports may be lost, so each one includes the usage until the latest report that contains it is answered.
+        // Reports may be lost, so each one includes the usage until the leader responds to the latest one.
         if (!wasCounted)
             entry.reportedIn = report.sequence;
     }
--- a/src/buckthornrail/registry/gateway_sessions_test.cpp
+++ b/src/buckthornrail/registry/gateway_sessions_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Tests of what gateways are told about each other with sessions at several controllers.
+/// @brief Tests of what gateways receive about each other with sessions at several controllers.
 #include "buckthornrail/registry/gateway_sessions.hpp"
 
 #include "support/target_tables.hpp"
@@ -72,14 +72,14 @@
 
     both.member.recordHeartbeat(2, activityOf("g-3", 13, 0, both.table), both.table, timeAt(2200));
     CHECK(both.member.summaryFor(2, both.table, timeAt(2200)).budgetSharers == 0);
-    SECTION("the report with its incarnation is lost, a later one is answered")
+    SECTION("the report with its incarnation is lost, the response to a later one arrives")
     {
         (void)both.member.report(both.table);
         CHECK(both.member.summaryFor(2, both.table, timeAt(2300)).budgetSharers == 0);
         both.exchange(2400);
         CHECK(both.member.summaryFor(2, both.table, timeAt(2450)).budgetSharers == 3);
     }
-    SECTION("a late answer to an earlier report")
+    SECTION("a late response to an earlier report")
     {
         const auto early = both.member.report(both.table);
         (void)both.member.report(both.table);
@@ -148,8 +148,8 @@
 
 namespace {
 
-/// Simulates controllers that take turns as the leader, gateways that move between them, and reports and answers that
-/// are lost or delayed.
+/// Simulates controllers that take turns as the leader, gateways that move between them, and reports and responses
+/// that are lost or delayed.
 class controller_simulation {
 public:
     static constexpr int controllers = 3;
@@ -263,10 +263,10 @@
 TEST_CASE("gateway sessions: any interleaving of leaders, members and gateways", "[gateway_sessions][property]")
 {
     rc::prop("a gateway receives no number of budget sharers before a leader has recorded it", [] {
-        controller_simulation world;
+        controller_simulation simulation;
         for (int count = *rc::gen::inRange(10, 200); count > 0; --count) {
-            world.step();
-            world.check();
+            simulation.step();
+            simulation.check();
         }
     });
 }
--- a/src/buckthornrail/registry/layer_plan.cpp
+++ b/src/buckthornrail/registry/layer_plan.cpp
@@ -172,7 +172,7 @@
     }
 
     /// @brief Finds a target whose layers are all held by others too: the smallest that fills the gap, since it loads
-    /// fastest and matters least where it is, or else the largest.
+    /// fastest and contributes least to its present layers, or else the largest.
     /// @param gap number of layers to fill
     /// @return null when no target is redundant
     plan_target* findRedundant(std::uint32_t gap)
--- a/src/buckthornrail/registry/quarantine_test.cpp
+++ b/src/buckthornrail/registry/quarantine_test.cpp
@@ -155,10 +155,10 @@
     REQUIRE(ended.expired.size() == 1);
     table.apply(ended);
     CHECK(stageOf(table, named(1)) == quarantine_stage::Held);
-    // A harmless request is answered completely in that trial and cleared.
-    quarantine_change answered;
-    answered.cleared.push_back(named(1));
-    table.apply(answered);
+    // A harmless request gets a complete response in that trial and is cleared.
+    quarantine_change completed;
+    completed.cleared.push_back(named(1));
+    table.apply(completed);
     CHECK(stageOf(table, named(1)) == quarantine_stage::None);
 }
 
--- a/src/buckthornrail/registry/target_record.cpp
+++ b/src/buckthornrail/registry/target_record.cpp
@@ -9,7 +9,7 @@
 namespace buckthornrail::registry {
 namespace {
 
-/// Records of gone and lost targets are kept so that a stale announcement doesn't restore them. At most dozens of
+/// Records of gone and lost targets are stored so that a stale announcement doesn't restore them. At most dozens of
 /// targets are replaced at once, so this covers several replacements.
 constexpr std::size_t maxGoneRecords = 128;
 
@@ -44,7 +44,7 @@
     if (found == m_records.end())
         return applyNew(announced);
     const auto& known = found->second;
-    // The platform may announce that a target leaves without a start time; that refers to the known incarnation.
+    // The platform's announcement that a target leaves may lack a start time; it refers to the known incarnation.
     const bool hasNoIncarnation = announced.state == target_state::Gone && announced.startedMs == 0;
     if (hasNoIncarnation || announced.startedMs == known.startedMs)
         return applyToSameIncarnation(known, announced);
@@ -133,8 +133,8 @@
 void target_table::endPreviousIncarnations(const target_record& record)
 {
     for (auto& [id, known] : m_records) {
-        const bool isElsewhere = known.address != record.address || record.address.empty();
-        if (id == record.id || isElsewhere || known.state == target_state::Gone)
+        const bool hasOtherAddress = known.address != record.address || record.address.empty();
+        if (id == record.id || hasOtherAddress || known.state == target_state::Gone)
             continue;
         known.state = target_state::Gone;
         known.layers = {};
--- a/src/buckthornrail/registry/target_record_test.cpp
+++ b/src/buckthornrail/registry/target_record_test.cpp
@@ -22,7 +22,7 @@
     return record;
 }
 
-/// Carries out the planned assignments until there are no more. @return number of rounds
+/// Applies the planned assignments until there are no more. @return number of rounds
 int runPlanner(std::vector<plan_target>& targets, std::uint32_t layers)
 {
     for (int round = 0; round < 200; ++round) {
