--- a/src/app/registry/target_watch.hpp
+++ b/src/app/registry/target_watch.hpp
@@ -64,7 +64,7 @@
     target_watch_callbacks m_callbacks;
     /// By target id: only one incarnation is known at a time, and a later one begins with a full lease.
     registry::lease_table m_leases;
-    std::optional<std::uint64_t> m_leasedRevision; ///< table revision up to which leases have begun
+    std::optional<std::uint64_t> m_leasedRevision; ///< table revision up to which leases have been started
     std::map<std::string, registry::announcement_order> m_newestAnnouncements; ///< by target id
     std::map<registry::target_incarnation, std::shared_ptr<net::http_call>> m_probes; ///< in flight
     std::map<registry::target_incarnation, std::shared_ptr<net::http_call>> m_verifications; ///< in flight
