--- a/src/app/registry/target_watch.hpp
+++ b/src/app/registry/target_watch.hpp
@@ -32,22 +32,22 @@
     /// @return false when this controller isn't the leader and can't forward the announcement to it
     bool onAnnouncement(const std::string& targetId, const registry::announcement_order& order);
     /// @brief Probes a target at once that a gateway reports as unreachable, if the incarnation is the known one.
-    void probeSuspect(const registry::target_incarnation& target);
-    /// @brief Checks whether a target is alive that announces an earlier start than the known incarnation, which is
-    /// over.
-    /// @param onAlive called with the record when the target answers
+    void probeUnreachable(const registry::target_incarnation& target);
+    /// @brief Probes a target that announces an earlier start than that of the known incarnation, which is gone or
+    /// lost.
+    /// @param onAlive called with the record when the target responds
     void verifyEarlierStart(
         const registry::target_record& record, std::function<void(const registry::target_record&)> onAlive);
     /// @brief Probes targets whose leases have expired.
     void probeExpired(steady_time now);
     /// @brief Drops all leases, so that every target gets a full new one. For a change of leader, or after this process
-    /// stood still.
+    /// was stalled.
     void resetLeases();
 
 private:
-    [[nodiscard]] steady_time nextLeaseEnd() const;
+    [[nodiscard]] steady_time nextLeaseDeadline() const;
     /// @brief Begins leases for targets that are new in the table.
-    void beginNewLeases();
+    void startNewLeases();
     void probe(const registry::target_record& record);
     void onProbed(
         const registry::target_incarnation& probed, net::call_outcome outcome, const net::whole_response& response);
@@ -64,7 +64,7 @@
     target_watch_callbacks m_callbacks;
     /// By target id: only one incarnation is known at a time, and a later one begins with a full lease.
     registry::lease_table m_leases;
-    std::optional<std::uint64_t> m_leasedRevision; ///< table revision up to which leases have begun
+    std::optional<std::uint64_t> m_leasedRevision; ///< table revision up to which leases have been started
     std::map<std::string, registry::announcement_order> m_newestAnnouncements; ///< by target id
     std::map<registry::target_incarnation, std::shared_ptr<net::http_call>> m_probes; ///< in flight
     std::map<registry::target_incarnation, std::shared_ptr<net::http_call>> m_verifications; ///< in flight
--- a/src/buckthornrail/registry/layer_plan.cpp
+++ b/src/buckthornrail/registry/layer_plan.cpp
@@ -79,9 +79,9 @@
         }
         return best;
     }
-    [[nodiscard]] std::uint32_t position(std::vector<int>::const_iterator at) const
+    [[nodiscard]] std::uint32_t position(std::vector<int>::const_iterator iterator) const
     {
-        return static_cast<std::uint32_t>(at - m_holders.begin());
+        return static_cast<std::uint32_t>(iterator - m_holders.begin());
     }
 
     static constexpr double sumTolerance = 1e-6; ///< exceeds the rounding differences between summation orders
@@ -172,7 +172,7 @@
     }
 
     /// @brief Finds a target whose layers are all held by others too: the smallest that fills the gap, since it loads
-    /// fastest and matters least where it is, or else the largest.
+    /// fastest and contributes least to its present layers, or else the largest.
     /// @param gap number of layers to fill
     /// @return null when no target is redundant
     plan_target* findRedundant(std::uint32_t gap)
