--- a/tests/gateway_process_test.cpp
+++ b/tests/gateway_process_test.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// @brief Gateways and registries as real processes: requests are served, and the guarantees hold under single faults.
-#include "support/gateway_world.hpp"
+#include "support/gateway_cluster.hpp"
 
 #include <catch2/catch.hpp>
 #include <csignal>
@@ -15,103 +15,103 @@
 constexpr seconds waitTimeout { 15 };
 
 /// How often targets have executed a request.
-std::size_t executionCount(gateway_world& world, const std::string& requestId)
+std::size_t executionCount(gateway_cluster& cluster, const std::string& requestId)
 {
     std::size_t count = 0;
-    for (const auto& run : world.fleet().runs())
+    for (const auto& run : cluster.fleet().runs())
         count += run.requestId == requestId ? 1 : 0;
     return count;
 }
 
-bool answersWith(gateway_world& world, const std::string& gateway, const std::string& route, int status)
+bool answersWith(gateway_cluster& cluster, const std::string& gateway, const std::string& route, int status)
 {
     static std::size_t number = 0;
     const std::string id = "probe-" + std::to_string(++number);
-    return world.call(gateway, "GET", "/" + route + "/x", id).status == status;
+    return cluster.call(gateway, "GET", "/" + route + "/x", id).status == status;
 }
 
 } // namespace
 
 TEST_CASE("gateway: streams and plain requests are served, and new documents take effect", "[gateway_process]")
 {
-    gateway_world world;
-    REQUIRE(world.start());
-    for (const auto& gateway : world.gateways()) {
+    gateway_cluster cluster;
+    REQUIRE(cluster.start());
+    for (const auto& gateway : cluster.gateways()) {
         INFO(gateway);
-        const auto stream = world.call(gateway, "POST", "/stream/n20", "s-" + gateway);
+        const auto stream = cluster.call(gateway, "POST", "/stream/n20", "s-" + gateway);
         CHECK(stream.status == 200);
         CHECK(stream.isComplete);
-        CHECK(stream.body == gateway_world::streamBody("/stream/n20", 20));
+        CHECK(stream.body == gateway_cluster::streamBody("/stream/n20", 20));
         CHECK(stream.serverStamp.starts_with("stamp.i-"));
-        const auto plain = world.call(gateway, "POST", "/unsafe/a?b=c", "u-" + gateway);
+        const auto plain = cluster.call(gateway, "POST", "/unsafe/a?b=c", "u-" + gateway);
         CHECK(plain.status == 200);
         CHECK(plain.body == stand_in_fleet::plainBody("/unsafe/a?b=c"));
-        CHECK(executionCount(world, "u-" + gateway) == 1);
-        CHECK(world.call(gateway, "GET", "/nowhere/x", "n-" + gateway).status == 404);
-        CHECK(world.call(gateway, "GET", "/safe/x", "k-" + gateway, seconds(5), "wrong").status == 401);
-        CHECK(executionCount(world, "k-" + gateway) == 0);
-        CHECK(world.readyStatus(gateway) == 200);
+        CHECK(executionCount(cluster, "u-" + gateway) == 1);
+        CHECK(cluster.call(gateway, "GET", "/nowhere/x", "n-" + gateway).status == 404);
+        CHECK(cluster.call(gateway, "GET", "/safe/x", "k-" + gateway, seconds(5), "wrong").status == 401);
+        CHECK(executionCount(cluster, "k-" + gateway) == 0);
+        CHECK(cluster.readyStatus(gateway) == 200);
     }
-    for (const auto& run : world.fleet().runs())
+    for (const auto& run : cluster.fleet().runs())
         CHECK(run.workspace == "w1");
 
     // A newer document takes effect on every gateway, an older one has no effect, and a conflicting one is refused.
-    REQUIRE(world.publish(5, world.registries()[1], "added") == 200);
-    for (const auto& gateway : world.gateways())
-        CHECK(waitUntil([&] { return answersWith(world, gateway, "added", 200); }, seconds(2)));
-    CHECK(world.publish(4, world.registries()[2]) == 200);
-    CHECK(world.publish(5, world.registries()[0], "other") == 409);
-    CHECK(world.publish(5, world.registries()[0], "added") == 200);
-    for (const auto& registry : world.registries())
-        CHECK(world.readVersion(registry) == 5U);
-    CHECK(answersWith(world, world.gateways()[0], "added", 200));
+    REQUIRE(cluster.publish(5, cluster.registries()[1], "added") == 200);
+    for (const auto& gateway : cluster.gateways())
+        CHECK(waitUntil([&] { return answersWith(cluster, gateway, "added", 200); }, seconds(2)));
+    CHECK(cluster.publish(4, cluster.registries()[2]) == 200);
+    CHECK(cluster.publish(5, cluster.registries()[0], "other") == 409);
+    CHECK(cluster.publish(5, cluster.registries()[0], "added") == 200);
+    for (const auto& registry : cluster.registries())
+        CHECK(cluster.readVersion(registry) == 5U);
+    CHECK(answersWith(cluster, cluster.gateways()[0], "added", 200));
 }
 
 TEST_CASE("gateway: streams continue when a target crashes or stops responding", "[gateway_process]")
 {
-    gateway_world world;
-    REQUIRE(world.start());
+    gateway_cluster cluster;
+    REQUIRE(cluster.start());
     for (const bool silent : { false, true }) {
         std::vector<caller_response> results(8);
         std::vector<std::thread> callers;
         for (std::size_t at = 0; at < results.size(); ++at) {
             callers.emplace_back([&, at] {
                 const std::string id = "long-" + std::to_string(silent) + std::to_string(at);
-                results[at] = world.call(world.gateways()[at % 2], "POST", "/stream/n150", id, seconds(8));
+                results[at] = cluster.call(cluster.gateways()[at % 2], "POST", "/stream/n150", id, seconds(8));
             });
         }
         std::this_thread::sleep_for(milliseconds(400));
         // A member of a chain in the failure domain of the first gateway.
-        const std::size_t victim = world.engines()[silent ? 5 : 1];
+        const std::size_t victim = cluster.engines()[silent ? 5 : 1];
         if (silent)
-            world.fleet().setUnresponsive(victim, true);
+            cluster.fleet().setUnresponsive(victim, true);
         else
-            world.fleet().kill(victim);
+            cluster.fleet().kill(victim);
         for (auto& caller : callers)
             caller.join();
         for (const auto& result : results) {
             INFO((silent ? "silent" : "crashed"));
             CHECK(result.status == 200);
             CHECK(result.isComplete);
-            CHECK(result.body == gateway_world::streamBody("/stream/n150", 150));
+            CHECK(result.body == gateway_cluster::streamBody("/stream/n150", 150));
         }
-        world.fleet().restart(victim);
-        CHECK(waitUntil([&] { return world.fleet().hasChain("d1") && world.fleet().hasChain("d2"); }, waitTimeout));
+        cluster.fleet().restart(victim);
+        CHECK(waitUntil([&] { return cluster.fleet().hasChain("d1") && cluster.fleet().hasChain("d2"); }, waitTimeout));
     }
 }
 
 TEST_CASE("gateway: with a faulty service callers get only their own, whole answers, unsafe ones run once at most",
     "[gateway_process]")
 {
-    gateway_world world;
-    REQUIRE(world.start());
-    for (const auto target : world.plainTargets())
-        world.fleet().setFaults(target, { 0.1, 0.1, 0.1, 0.1, 1 });
+    gateway_cluster cluster;
+    REQUIRE(cluster.start());
+    for (const auto target : cluster.plainTargets())
+        cluster.fleet().setFaults(target, { 0.1, 0.1, 0.1, 0.1, 1 });
     for (int at = 0; at < 150; ++at) {
         const std::string path = (at % 2 == 0 ? "/unsafe/" : "/safe/") + std::to_string(at);
         const std::string id = "f-" + std::to_string(at);
-        const auto answer = world.call(world.gateways()[at % 2], "POST", path, id);
-        const std::size_t runs = executionCount(world, id);
+        const auto answer = cluster.call(cluster.gateways()[at % 2], "POST", path, id);
+        const std::size_t runs = executionCount(cluster, id);
         INFO(path << " status " << answer.status << " runs " << runs);
         CHECK(answer.status != 0);
         if (answer.status == 200)
@@ -125,91 +125,91 @@
 
 TEST_CASE("gateway: SIGTERM aborts no request, and readiness fails at once", "[gateway_process]")
 {
-    gateway_world world;
-    REQUIRE(world.start());
-    const std::string gateway = world.gateways()[0];
+    gateway_cluster cluster;
+    REQUIRE(cluster.start());
+    const std::string gateway = cluster.gateways()[0];
     std::vector<caller_response> results(6);
     std::vector<std::thread> callers;
     for (std::size_t at = 0; at < results.size(); ++at) {
         callers.emplace_back([&, at] {
-            results[at] = world.call(gateway, "POST", "/stream/n200", "t-" + std::to_string(at), seconds(8));
+            results[at] = cluster.call(gateway, "POST", "/stream/n200", "t-" + std::to_string(at), seconds(8));
         });
     }
     std::this_thread::sleep_for(milliseconds(300));
-    world.signal(gateway, SIGTERM);
-    CHECK(waitUntil([&] { return world.readyStatus(gateway) == 503; }, milliseconds(500)));
+    cluster.signal(gateway, SIGTERM);
+    CHECK(waitUntil([&] { return cluster.readyStatus(gateway) == 503; }, milliseconds(500)));
     for (auto& caller : callers)
         caller.join();
     for (const auto& result : results) {
         CHECK(result.status == 200);
-        CHECK(result.body == gateway_world::streamBody("/stream/n200", 200));
+        CHECK(result.body == gateway_cluster::streamBody("/stream/n200", 200));
     }
-    CHECK(world.waitForExit(gateway, seconds(9)) == 0);
+    CHECK(cluster.waitForExit(gateway, seconds(9)) == 0);
 }
 
 TEST_CASE("gateway: the only gateway, when it is shutting down, refuses callers with a time to retry after its restart",
     "[gateway_process]")
 {
     constexpr double minRetryAfter = 0.5; // s; less would suit only while another gateway can serve at once
-    gateway_world world(1);
-    REQUIRE(world.start());
-    const std::string gateway = world.gateways()[0];
-    std::thread longCall([&] { world.call(gateway, "POST", "/stream/n900", "long", seconds(9)); });
+    gateway_cluster cluster(1);
+    REQUIRE(cluster.start());
+    const std::string gateway = cluster.gateways()[0];
+    std::thread longCall([&] { cluster.call(gateway, "POST", "/stream/n900", "long", seconds(9)); });
     std::this_thread::sleep_for(milliseconds(300));
-    world.signal(gateway, SIGTERM);
+    cluster.signal(gateway, SIGTERM);
     caller_response refused;
     int number = 0;
     CHECK(waitUntil(
         [&] {
-            refused = world.call(gateway, "POST", "/stream/n2", "late-" + std::to_string(++number), seconds(2));
+            refused = cluster.call(gateway, "POST", "/stream/n2", "late-" + std::to_string(++number), seconds(2));
             return refused.status == 503;
         },
         seconds(6)));
     REQUIRE_FALSE(refused.retryAfter.empty());
     CHECK(std::stod(refused.retryAfter) >= minRetryAfter);
     longCall.join();
-    CHECK(world.waitForExit(gateway, seconds(9)) == 0);
+    CHECK(cluster.waitForExit(gateway, seconds(9)) == 0);
 }
 
 TEST_CASE("registry: acknowledged changes survive the loss of the leader, of a disk, and of all processes",
     "[gateway_process]")
 {
-    gateway_world world;
-    REQUIRE(world.start());
+    gateway_cluster cluster;
+    REQUIRE(cluster.start());
     std::uint64_t version = 10;
-    const auto publishes = [&] { return world.publishToAny(version, "v" + std::to_string(version)) == 200; };
+    const auto publishes = [&] { return cluster.publishToAny(version, "v" + std::to_string(version)) == 200; };
     const auto isInForceEverywhere = [&] {
-        for (const auto& gateway : world.gateways()) {
-            if (!answersWith(world, gateway, "v" + std::to_string(version), 200))
+        for (const auto& gateway : cluster.gateways()) {
+            if (!answersWith(cluster, gateway, "v" + std::to_string(version), 200))
                 return false;
         }
         return true;
     };
-    const std::string first = world.leader();
+    const std::string first = cluster.leader();
     REQUIRE_FALSE(first.empty());
     REQUIRE(publishes());
-    world.killHard(first);
+    cluster.killHard(first);
     ++version;
     CHECK(waitUntil(publishes, waitTimeout));
     CHECK(waitUntil(isInForceEverywhere, waitTimeout));
-    world.startProcess(first);
-    CHECK(waitUntil([&] { return world.readVersion(first) == version; }, waitTimeout));
+    cluster.startProcess(first);
+    CHECK(waitUntil([&] { return cluster.readVersion(first) == version; }, waitTimeout));
 
-    const std::string second = world.leader();
+    const std::string second = cluster.leader();
     REQUIRE_FALSE(second.empty());
-    world.killHard(second);
-    world.loseDisk(second);
-    world.startProcess(second);
-    CHECK(waitUntil([&] { return world.readVersion(second) == version; }, waitTimeout));
+    cluster.killHard(second);
+    cluster.loseDisk(second);
+    cluster.startProcess(second);
+    CHECK(waitUntil([&] { return cluster.readVersion(second) == version; }, waitTimeout));
 
-    for (const auto& name : world.registries())
-        world.killHard(name);
+    for (const auto& name : cluster.registries())
+        cluster.killHard(name);
     // Gateways keep serving without registries.
-    CHECK(answersWith(world, world.gateways()[0], "v" + std::to_string(version), 200));
-    for (const auto& name : world.registries())
-        world.startProcess(name);
-    for (const auto& name : world.registries())
-        CHECK(waitUntil([&] { return world.readVersion(name) == version; }, waitTimeout));
+    CHECK(answersWith(cluster, cluster.gateways()[0], "v" + std::to_string(version), 200));
+    for (const auto& name : cluster.registries())
+        cluster.startProcess(name);
+    for (const auto& name : cluster.registries())
+        CHECK(waitUntil([&] { return cluster.readVersion(name) == version; }, waitTimeout));
     ++version;
     CHECK(waitUntil(publishes, waitTimeout));
     CHECK(waitUntil(isInForceEverywhere, waitTimeout));
@@ -217,18 +217,18 @@
 
 TEST_CASE("registry: a draining target gets no new requests once the drain is acknowledged", "[gateway_process]")
 {
-    gateway_world world;
-    REQUIRE(world.start());
-    const std::size_t leaving = world.plainTargets()[0];
-    world.fleet().drain(leaving);
-    REQUIRE(waitUntil([&] { return world.fleet().isDrainAcknowledged(leaving); }, waitTimeout));
+    gateway_cluster cluster;
+    REQUIRE(cluster.start());
+    const std::size_t leaving = cluster.plainTargets()[0];
+    cluster.fleet().drain(leaving);
+    REQUIRE(waitUntil([&] { return cluster.fleet().isDrainAcknowledged(leaving); }, waitTimeout));
     std::this_thread::sleep_for(milliseconds(500));
     for (int at = 0; at < 60; ++at) {
-        const auto answer = world.call(world.gateways()[at % 2], "POST", "/unsafe/d", "d-" + std::to_string(at));
+        const auto answer = cluster.call(cluster.gateways()[at % 2], "POST", "/unsafe/d", "d-" + std::to_string(at));
         CHECK(answer.status == 200);
     }
     const std::string id = "i-" + std::to_string(leaving) + "-";
-    for (const auto& run : world.fleet().runs()) {
+    for (const auto& run : cluster.fleet().runs()) {
         if (run.requestId.starts_with("d-"))
             CHECK_FALSE(run.target.starts_with(id));
     }
@@ -236,83 +236,84 @@
 
 TEST_CASE("registry: a member with an empty disk joins although the leader isn't in its settings", "[gateway_process]")
 {
-    gateway_world world(1, 4, 5);
-    REQUIRE(world.start());
+    gateway_cluster cluster(1, 4, 5);
+    REQUIRE(cluster.start());
     const auto isConfigured
-        = [&](const std::string& name) { return name != world.registries()[3] && name != world.registries()[4]; };
-    std::string leader = world.leader();
+        = [&](const std::string& name) { return name != cluster.registries()[3] && name != cluster.registries()[4]; };
+    std::string leader = cluster.leader();
     for (int round = 0; round < 30 && (leader.empty() || isConfigured(leader)); ++round) {
         if (!leader.empty()) {
-            world.killHard(leader);
-            REQUIRE(waitUntil([&] { return !world.leader().empty(); }, waitTimeout));
-            world.startProcess(leader);
-            REQUIRE(waitUntil([&] { return world.readVersion(leader) == 1U; }, waitTimeout));
+            cluster.killHard(leader);
+            REQUIRE(waitUntil([&] { return !cluster.leader().empty(); }, waitTimeout));
+            cluster.startProcess(leader);
+            REQUIRE(waitUntil([&] { return cluster.readVersion(leader) == 1U; }, waitTimeout));
         }
-        leader = world.leader();
+        leader = cluster.leader();
     }
     REQUIRE_FALSE(isConfigured(leader));
-    const std::string blank = world.registries()[1];
-    world.killHard(blank);
-    world.loseDisk(blank);
-    world.startProcess(blank);
-    CHECK(waitUntil([&] { return world.readVersion(blank) == 1U; }, waitTimeout));
+    const std::string blank = cluster.registries()[1];
+    cluster.killHard(blank);
+    cluster.loseDisk(blank);
+    cluster.startProcess(blank);
+    CHECK(waitUntil([&] { return cluster.readVersion(blank) == 1U; }, waitTimeout));
 }
 
 TEST_CASE("registry: without a known leader it refuses announcements", "[gateway_process]")
 {
-    gateway_world world;
-    world.loseDisk(world.registries()[1]); // so that it doesn't bootstrap a log of its own
-    world.startProcess(world.registries()[1]);
-    REQUIRE(waitUntil([&] { return world.announceUnreachableTarget(world.registries()[1]) != 0; }, waitTimeout));
-    CHECK(world.announceUnreachableTarget(world.registries()[1]) == 503);
+    gateway_cluster cluster;
+    cluster.loseDisk(cluster.registries()[1]); // so that it doesn't bootstrap a log of its own
+    cluster.startProcess(cluster.registries()[1]);
+    REQUIRE(waitUntil([&] { return cluster.announceUnreachableTarget(cluster.registries()[1]) != 0; }, waitTimeout));
+    CHECK(cluster.announceUnreachableTarget(cluster.registries()[1]) == 503);
 }
 
 TEST_CASE("registry: a target that stops announcing itself but answers probes is not lost", "[gateway_process]")
 {
-    gateway_world world;
-    REQUIRE(world.start());
-    const std::size_t unannounced = world.plainTargets()[0];
-    const std::size_t dead = world.plainTargets()[1];
-    const std::string leader = world.leader();
-    world.fleet().setAnnouncing(unannounced, false);
-    world.fleet().setUnresponsive(dead, true);
-    CHECK(waitUntil([&] { return world.targetState(leader, world.fleet().idOf(dead)) == "lost"; }, waitTimeout));
+    gateway_cluster cluster;
+    REQUIRE(cluster.start());
+    const std::size_t unannounced = cluster.plainTargets()[0];
+    const std::size_t dead = cluster.plainTargets()[1];
+    const std::string leader = cluster.leader();
+    cluster.fleet().setAnnouncing(unannounced, false);
+    cluster.fleet().setUnresponsive(dead, true);
+    CHECK(waitUntil([&] { return cluster.targetState(leader, cluster.fleet().idOf(dead)) == "lost"; }, waitTimeout));
     std::this_thread::sleep_for(seconds(2));
-    CHECK(world.targetState(leader, world.fleet().idOf(unannounced)) == "ready");
+    CHECK(cluster.targetState(leader, cluster.fleet().idOf(unannounced)) == "ready");
 }
 
 TEST_CASE("gateway: SIGHUP reloads the settings and aborts no request", "[gateway_process]")
 {
-    gateway_world world(1);
-    REQUIRE(world.start());
-    const std::string gateway = world.gateways()[0];
+    gateway_cluster cluster(1);
+    REQUIRE(cluster.start());
+    const std::string gateway = cluster.gateways()[0];
     caller_response result;
-    std::thread caller([&] { result = world.call(gateway, "POST", "/stream/n100", "h-1"); });
+    std::thread caller([&] { result = cluster.call(gateway, "POST", "/stream/n100", "h-1"); });
     std::this_thread::sleep_for(milliseconds(200));
-    world.signal(gateway, SIGHUP);
-    world.signal(world.registries()[0], SIGHUP);
+    cluster.signal(gateway, SIGHUP);
+    cluster.signal(cluster.registries()[0], SIGHUP);
     caller.join();
-    CHECK(result.body == gateway_world::streamBody("/stream/n100", 100));
-    CHECK(waitUntil([&] { return world.logOf(gateway).find("settings_reloaded") != std::string::npos; }, waitTimeout));
+    CHECK(result.body == gateway_cluster::streamBody("/stream/n100", 100));
+    CHECK(
+        waitUntil([&] { return cluster.logOf(gateway).find("settings_reloaded") != std::string::npos; }, waitTimeout));
 }
 
 TEST_CASE("gateway: changes in quick succession reach gateways without ending their sessions", "[gateway_process]")
 {
     constexpr std::uint64_t changes = 120;
-    gateway_world world(4);
-    REQUIRE(world.start());
-    const std::string leader = world.leader();
+    gateway_cluster cluster(4);
+    REQUIRE(cluster.start());
+    const std::string leader = cluster.leader();
     REQUIRE_FALSE(leader.empty());
-    world.linkRelay(leader).setMode(relay_mode::Slow); // so that heartbeats and changes cross in flight
+    cluster.linkRelay(leader).setMode(relay_mode::Slow); // so that heartbeats and changes cross in flight
     std::uint64_t last = 100;
     for (std::uint64_t at = 1; at <= changes; ++at) {
-        if (world.publish(last + 1, leader, "storm" + std::to_string(at)) == 200)
+        if (cluster.publish(last + 1, leader, "storm" + std::to_string(at)) == 200)
             ++last;
     }
     const std::string newest = "storm" + std::to_string(last - 100);
-    for (const auto& gateway : world.gateways()) {
-        CHECK(waitUntil([&] { return answersWith(world, gateway, newest, 200); }, waitTimeout));
+    for (const auto& gateway : cluster.gateways()) {
+        CHECK(waitUntil([&] { return answersWith(cluster, gateway, newest, 200); }, waitTimeout));
         // A change whose base is not the version that the gateway holds would end its session.
-        CHECK(world.logOf(gateway).find("E608 session_lost") == std::string::npos);
+        CHECK(cluster.logOf(gateway).find("E608 session_lost") == std::string::npos);
     }
 }
--- a/tests/incident_crashing_request_test.cpp
+++ b/tests/incident_crashing_request_test.cpp
@@ -5,7 +5,7 @@
 /// almost no stream was served. The gateway retried the request at once, up to six times. Then its caller resent it
 /// under a new id through any gateway, and it reached targets that had just replaced crashed ones. Crashes were always
 /// attributed to the target, and were not counted by request across gateways and request ids.
-#include "support/gateway_world.hpp"
+#include "support/gateway_cluster.hpp"
 
 #include <algorithm>
 #include <atomic>
@@ -24,27 +24,27 @@
 constexpr std::size_t maxCrashes = 3;
 constexpr milliseconds retryInterval { 40 };
 
-std::size_t crashCount(gateway_world& world, const std::string& path)
+std::size_t crashCount(gateway_cluster& cluster, const std::string& path)
 {
-    const auto crashes = world.fleet().crashes();
+    const auto crashes = cluster.fleet().crashes();
     return static_cast<std::size_t>(
         std::count_if(crashes.begin(), crashes.end(), [&path](const auto& one) { return one.path == path; }));
 }
 
 /// Checks the number of crashes; keeps the logs when it is too high.
-void checkCrashes(gateway_world& world, const std::string& path)
+void checkCrashes(gateway_cluster& cluster, const std::string& path)
 {
-    const std::size_t crashes = crashCount(world, path);
+    const std::size_t crashes = crashCount(cluster, path);
     CHECK(crashes <= maxCrashes);
     if (crashes > maxCrashes)
-        WARN("logs: " << world.keepFolder());
+        WARN("logs: " << cluster.keepFolder());
 }
 
 /// Resends one request under new ids until it is stopped, from a thread of its own.
 class retrying_caller {
 public:
-    retrying_caller(gateway_world& world, std::string gateway, std::string method, std::string path)
-        : m_world(world)
+    retrying_caller(gateway_cluster& cluster, std::string gateway, std::string method, std::string path)
+        : m_cluster(cluster)
         , m_gateway(std::move(gateway))
         , m_method(std::move(method))
         , m_path(std::move(path))
@@ -70,12 +70,12 @@
         static std::atomic<int> number { 0 };
         while (!m_isStopping) {
             m_answers.push_back(
-                m_world.call(m_gateway, m_method, m_path, "again-" + std::to_string(++number), seconds(3)));
+                m_cluster.call(m_gateway, m_method, m_path, "again-" + std::to_string(++number), seconds(3)));
             std::this_thread::sleep_for(retryInterval);
         }
     }
 
-    gateway_world& m_world;
+    gateway_cluster& m_cluster;
     std::string m_gateway;
     std::string m_method;
     std::string m_path;
@@ -85,21 +85,21 @@
 };
 
 /// Sends a request to each gateway the given number of times.
-void sendToAllGateways(gateway_world& world, const std::string& method, const std::string& path, int times)
+void sendToAllGateways(gateway_cluster& cluster, const std::string& method, const std::string& path, int times)
 {
     static int number = 0;
     for (int at = 0; at < times; ++at) {
-        for (const auto& gateway : world.gateways())
-            (void)world.call(gateway, method, path, "later-" + std::to_string(++number), seconds(3));
+        for (const auto& gateway : cluster.gateways())
+            (void)cluster.call(gateway, method, path, "later-" + std::to_string(++number), seconds(3));
     }
 }
 
-bool allGatewaysServe(gateway_world& world)
+bool allGatewaysServe(gateway_cluster& cluster)
 {
     static int number = 0;
-    return std::all_of(world.gateways().begin(), world.gateways().end(), [&world](const auto& gateway) {
-        const auto answer = world.call(gateway, "POST", "/stream/n5", "well-" + std::to_string(++number));
-        return answer.isComplete && answer.body == gateway_world::streamBody("/stream/n5", 5);
+    return std::all_of(cluster.gateways().begin(), cluster.gateways().end(), [&cluster](const auto& gateway) {
+        const auto answer = cluster.call(gateway, "POST", "/stream/n5", "well-" + std::to_string(++number));
+        return answer.isComplete && answer.body == gateway_cluster::streamBody("/stream/n5", 5);
     });
 }
 
@@ -110,11 +110,11 @@
     const auto [method, path] = GENERATE(
         std::pair("POST", "/stream/crash/n20"), std::pair("GET", "/safe/crash"), std::pair("POST", "/unsafe/crash"));
     CAPTURE(path);
-    gateway_world world(3);
-    REQUIRE(world.start());
+    gateway_cluster cluster(3);
+    REQUIRE(cluster.start());
     std::vector<std::unique_ptr<retrying_caller>> callers;
-    for (const auto& gateway : world.gateways())
-        callers.push_back(std::make_unique<retrying_caller>(world, gateway, method, path));
+    for (const auto& gateway : cluster.gateways())
+        callers.push_back(std::make_unique<retrying_caller>(cluster, gateway, method, path));
     std::this_thread::sleep_for(seconds(4));
     for (auto& caller : callers) {
         const auto& answers = caller->stop();
@@ -123,61 +123,61 @@
         CHECK(answers.back().status == 400);
         CHECK(answers.back().retryAfter.empty());
     }
-    checkCrashes(world, path);
-    CHECK(waitUntil([&] { return allGatewaysServe(world); }, waitTimeout));
+    checkCrashes(cluster, path);
+    CHECK(waitUntil([&] { return allGatewaysServe(cluster); }, waitTimeout));
 }
 
 TEST_CASE("crashing request: its crash count survives the loss of leaders, gateways and power", "[incident]")
 {
     const std::string path = "/stream/crash/n20";
-    gateway_world world(3);
-    REQUIRE(world.start());
-    sendToAllGateways(world, "POST", path, 3);
-    checkCrashes(world, path);
+    gateway_cluster cluster(3);
+    REQUIRE(cluster.start());
+    sendToAllGateways(cluster, "POST", path, 3);
+    checkCrashes(cluster, path);
     SECTION("the leader is killed")
     {
-        const std::string leader = world.leader();
-        world.killHard(leader);
-        REQUIRE(waitUntil([&] { return !world.leader().empty(); }, waitTimeout));
+        const std::string leader = cluster.leader();
+        cluster.killHard(leader);
+        REQUIRE(waitUntil([&] { return !cluster.leader().empty(); }, waitTimeout));
     }
     SECTION("a gateway restarts")
     {
-        world.killHard(world.gateways().front());
-        world.startProcess(world.gateways().front());
+        cluster.killHard(cluster.gateways().front());
+        cluster.startProcess(cluster.gateways().front());
     }
     SECTION("all registries and gateways are killed at once")
     {
-        for (const auto& processes : { world.registries(), world.gateways() }) {
+        for (const auto& processes : { cluster.registries(), cluster.gateways() }) {
             for (const auto& name : processes)
-                world.signal(name, SIGKILL);
+                cluster.signal(name, SIGKILL);
         }
-        for (const auto& processes : { world.registries(), world.gateways() }) {
+        for (const auto& processes : { cluster.registries(), cluster.gateways() }) {
             for (const auto& name : processes) {
-                (void)world.waitForExit(name, seconds(5));
-                world.startProcess(name);
+                (void)cluster.waitForExit(name, seconds(5));
+                cluster.startProcess(name);
             }
         }
     }
     SECTION("a registry loses its disk, and then all are killed")
     {
-        const std::string lost = world.registries().back();
-        for (const auto& processes : { world.registries(), world.gateways() }) {
+        const std::string lost = cluster.registries().back();
+        for (const auto& processes : { cluster.registries(), cluster.gateways() }) {
             for (const auto& name : processes)
-                world.signal(name, SIGKILL);
+                cluster.signal(name, SIGKILL);
         }
-        for (const auto& processes : { world.registries(), world.gateways() }) {
+        for (const auto& processes : { cluster.registries(), cluster.gateways() }) {
             for (const auto& name : processes)
-                (void)world.waitForExit(name, seconds(5));
+                (void)cluster.waitForExit(name, seconds(5));
         }
-        world.loseDisk(lost);
-        for (const auto& processes : { world.registries(), world.gateways() }) {
+        cluster.loseDisk(lost);
+        for (const auto& processes : { cluster.registries(), cluster.gateways() }) {
             for (const auto& name : processes)
-                world.startProcess(name);
+                cluster.startProcess(name);
         }
     }
-    REQUIRE(waitUntil([&] { return allGatewaysServe(world); }, waitTimeout));
-    sendToAllGateways(world, "POST", path, 3);
-    checkCrashes(world, path);
+    REQUIRE(waitUntil([&] { return allGatewaysServe(cluster); }, waitTimeout));
+    sendToAllGateways(cluster, "POST", path, 3);
+    checkCrashes(cluster, path);
 }
 
 TEST_CASE("crashing request: a harmless one that many callers send is served while targets crash", "[incident]")
@@ -185,22 +185,22 @@
     constexpr std::size_t enginesPerDomain = 4;
     constexpr milliseconds maxRefusalTime { 3000 };
     const std::string path = "/stream/hot/n20";
-    const auto body = gateway_world::streamBody(path, 20);
-    gateway_world world(3, enginesPerDomain);
-    REQUIRE(world.start());
+    const auto body = gateway_cluster::streamBody(path, 20);
+    gateway_cluster cluster(3, enginesPerDomain);
+    REQUIRE(cluster.start());
     std::vector<std::unique_ptr<retrying_caller>> callers;
     for (int at = 0; at < 4; ++at) {
-        for (const auto& gateway : world.gateways())
-            callers.push_back(std::make_unique<retrying_caller>(world, gateway, "POST", path));
+        for (const auto& gateway : cluster.gateways())
+            callers.push_back(std::make_unique<retrying_caller>(cluster, gateway, "POST", path));
     }
     std::this_thread::sleep_for(milliseconds(500));
     // Kills a sixth of the engines at once, twice, each time including engines that are the first of a path.
     for (int time = 0; time < 2; ++time) {
-        for (std::size_t at = 0; at < world.engines().size(); at += 6)
-            world.fleet().kill(world.engines()[at]);
+        for (std::size_t at = 0; at < cluster.engines().size(); at += 6)
+            cluster.fleet().kill(cluster.engines()[at]);
         std::this_thread::sleep_for(milliseconds(600));
-        for (std::size_t at = 0; at < world.engines().size(); at += 6)
-            world.fleet().restart(world.engines()[at]);
+        for (std::size_t at = 0; at < cluster.engines().size(); at += 6)
+            cluster.fleet().restart(cluster.engines()[at]);
         std::this_thread::sleep_for(milliseconds(600));
     }
     std::this_thread::sleep_for(seconds(1));
@@ -222,34 +222,34 @@
 TEST_CASE("crashing request: other requests go on, and an operator can list and clear it", "[incident]")
 {
     const std::string path = "/stream/crash/n20";
-    gateway_world world(3);
-    REQUIRE(world.start());
+    gateway_cluster cluster(3);
+    REQUIRE(cluster.start());
     std::vector<std::unique_ptr<retrying_caller>> callers;
     for (int at = 0; at < 3; ++at) {
-        for (const auto& gateway : world.gateways())
+        for (const auto& gateway : cluster.gateways())
             callers.push_back(std::make_unique<retrying_caller>(
-                world, gateway, "POST", "/stream/other/" + std::to_string(at) + "/n60"));
+                cluster, gateway, "POST", "/stream/other/" + std::to_string(at) + "/n60"));
     }
     std::this_thread::sleep_for(milliseconds(300));
-    sendToAllGateways(world, "POST", path, 3);
+    sendToAllGateways(cluster, "POST", path, 3);
     for (auto& caller : callers) {
         const auto& answers = caller->stop();
         // Streams that lost their target have continued on other targets.
         CHECK(std::all_of(answers.begin(), answers.end(), [](const auto& one) { return one.status != 400; }));
         CHECK((answers.back().isComplete && answers.back().status == 200));
     }
-    checkCrashes(world, path);
-    const std::string registry = world.registries().front();
-    const auto list = world.callRegistry(registry, "GET", "/quarantine");
+    checkCrashes(cluster, path);
+    const std::string registry = cluster.registries().front();
+    const auto list = cluster.callRegistry(registry, "GET", "/quarantine");
     CHECK(list.body.find("\"stage\":\"proven\"") != std::string::npos);
     const auto at = list.body.find("\"fingerprint\":\"");
     REQUIRE(at != std::string::npos);
-    CHECK(world.callRegistry(registry, "DELETE", "/quarantine/nonsense").status == 400);
-    CHECK(world.callRegistry(registry, "DELETE", "/quarantine/" + std::string(32, '0')).status == 404);
-    CHECK(world.callRegistry(registry, "DELETE", "/quarantine/all").status == 200);
-    CHECK(world.callRegistry(registry, "GET", "/quarantine").body == R"({"requests":[]})");
-    const std::size_t before = crashCount(world, path);
-    REQUIRE(waitUntil([&] { return allGatewaysServe(world); }, waitTimeout));
-    sendToAllGateways(world, "POST", path, 1);
-    CHECK(crashCount(world, path) > before); // it may run again
+    CHECK(cluster.callRegistry(registry, "DELETE", "/quarantine/nonsense").status == 400);
+    CHECK(cluster.callRegistry(registry, "DELETE", "/quarantine/" + std::string(32, '0')).status == 404);
+    CHECK(cluster.callRegistry(registry, "DELETE", "/quarantine/all").status == 200);
+    CHECK(cluster.callRegistry(registry, "GET", "/quarantine").body == R"({"requests":[]})");
+    const std::size_t before = crashCount(cluster, path);
+    REQUIRE(waitUntil([&] { return allGatewaysServe(cluster); }, waitTimeout));
+    sendToAllGateways(cluster, "POST", path, 1);
+    CHECK(crashCount(cluster, path) > before); // it may run again
 }
--- a/tests/incident_large_change_test.cpp
+++ b/tests/incident_large_change_test.cpp
@@ -5,7 +5,7 @@
 /// 0.9 s and reconnected, and controllers elected another leader after half a second, while bytes arrived at full rate.
 /// Also, a change was sent as everything from the first differing byte, which is in the version near the beginning of
 /// the text, so that a change of a few bytes was sent as the whole text to every receiver: 27 times its size in all.
-#include "support/gateway_world.hpp"
+#include "support/gateway_cluster.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -17,10 +17,10 @@
 
 constexpr seconds waitTimeout { 15 };
 
-bool servesRoute(gateway_world& world, const std::string& gateway, const std::string& route)
+bool servesRoute(gateway_cluster& cluster, const std::string& gateway, const std::string& route)
 {
     static std::size_t number = 0;
-    return world.call(gateway, "GET", "/" + route + "/x", "probe-" + std::to_string(++number)).status == 200;
+    return cluster.call(gateway, "GET", "/" + route + "/x", "probe-" + std::to_string(++number)).status == 200;
 }
 
 document_options manyRoutesDocument(const std::string& extraRoute)
@@ -41,9 +41,9 @@
     return options;
 }
 
-bool logContains(gateway_world& world, const std::string& process, const std::string& event)
+bool logContains(gateway_cluster& cluster, const std::string& process, const std::string& event)
 {
-    return world.logOf(process).find(event) != std::string::npos;
+    return cluster.logOf(process).find(event) != std::string::npos;
 }
 
 } // namespace
@@ -53,19 +53,19 @@
     // At this rate the whole text takes four seconds to reach four gateways, one route takes milliseconds.
     constexpr std::uint64_t linkRate = 300'000;
     constexpr seconds maxDelay { 2 };
-    gateway_world world(4);
-    REQUIRE(world.start());
-    const std::string leader = world.leader();
-    REQUIRE(world.publish(10, leader, manyRoutesDocument("before")) == 200);
-    for (const auto& gateway : world.gateways())
-        REQUIRE(waitUntil([&] { return servesRoute(world, gateway, "before"); }, waitTimeout));
-    world.linkRelay(leader).setRate(linkRate);
-    REQUIRE(world.publish(11, leader, manyRoutesDocument("after")) == 200);
+    gateway_cluster cluster(4);
+    REQUIRE(cluster.start());
+    const std::string leader = cluster.leader();
+    REQUIRE(cluster.publish(10, leader, manyRoutesDocument("before")) == 200);
+    for (const auto& gateway : cluster.gateways())
+        REQUIRE(waitUntil([&] { return servesRoute(cluster, gateway, "before"); }, waitTimeout));
+    cluster.linkRelay(leader).setRate(linkRate);
+    REQUIRE(cluster.publish(11, leader, manyRoutesDocument("after")) == 200);
     const auto deadline = buckthornrail::boot_clock::now() + maxDelay;
-    for (const auto& gateway : world.gateways()) {
+    for (const auto& gateway : cluster.gateways()) {
         const auto remaining = std::chrono::duration_cast<milliseconds>(deadline - buckthornrail::boot_clock::now());
-        CHECK(waitUntil([&] { return servesRoute(world, gateway, "after"); }, remaining));
-        CHECK_FALSE(logContains(world, gateway, "E608 session_lost"));
+        CHECK(waitUntil([&] { return servesRoute(cluster, gateway, "after"); }, remaining));
+        CHECK_FALSE(logContains(cluster, gateway, "E608 session_lost"));
     }
 }
 
@@ -73,49 +73,49 @@
     "large change: a document that takes longer than a gateway's timeout arrives within one session", "[incident]")
 {
     constexpr std::uint64_t linkRate = 80'000; // about two seconds for the document, twice the timeout
-    gateway_world world(2);
-    REQUIRE(world.start());
-    const std::string leader = world.leader();
-    const std::string restarted = world.gateways()[1];
-    world.killHard(restarted);
-    REQUIRE(waitUntil([&] { return world.publish(10, leader, incompressibleDocument("long")) == 200; }, waitTimeout));
-    REQUIRE(waitUntil([&] { return servesRoute(world, world.gateways()[0], "long"); }, waitTimeout));
-    for (const auto& registry : world.registries())
-        world.linkRelay(registry).setRate(linkRate);
-    world.startProcess(restarted);
-    CHECK(waitUntil([&] { return world.readyStatus(restarted) == 200; }, seconds(8)));
-    CHECK_FALSE(logContains(world, restarted, "E608 session_lost"));
-    CHECK(world.leader() == leader);
+    gateway_cluster cluster(2);
+    REQUIRE(cluster.start());
+    const std::string leader = cluster.leader();
+    const std::string restarted = cluster.gateways()[1];
+    cluster.killHard(restarted);
+    REQUIRE(waitUntil([&] { return cluster.publish(10, leader, incompressibleDocument("long")) == 200; }, waitTimeout));
+    REQUIRE(waitUntil([&] { return servesRoute(cluster, cluster.gateways()[0], "long"); }, waitTimeout));
+    for (const auto& registry : cluster.registries())
+        cluster.linkRelay(registry).setRate(linkRate);
+    cluster.startProcess(restarted);
+    CHECK(waitUntil([&] { return cluster.readyStatus(restarted) == 200; }, seconds(8)));
+    CHECK_FALSE(logContains(cluster, restarted, "E608 session_lost"));
+    CHECK(cluster.leader() == leader);
 }
 
 TEST_CASE("large change: a change that takes longer than the election timeout causes no election", "[incident]")
 {
     constexpr std::uint64_t linkRate = 80'000; // elections begin after 0.3 to 0.6 s of silence
-    gateway_world world(1);
-    REQUIRE(world.start());
-    const std::string leader = world.leader();
-    for (const auto& registry : world.registries()) {
+    gateway_cluster cluster(1);
+    REQUIRE(cluster.start());
+    const std::string leader = cluster.leader();
+    for (const auto& registry : cluster.registries()) {
         if (registry != leader)
-            world.linkRelay(registry).setRate(linkRate);
+            cluster.linkRelay(registry).setRate(linkRate);
     }
     // The call may time out before the change is committed.
-    (void)world.publish(10, leader, incompressibleDocument("long"));
-    CHECK(waitUntil([&] { return world.readVersion(leader) == 10U; }, seconds(8)));
-    CHECK(world.leader() == leader);
-    CHECK_FALSE(logContains(world, leader, "E401 leader_lost"));
-    CHECK(waitUntil([&] { return servesRoute(world, world.gateways()[0], "long"); }, waitTimeout));
+    (void)cluster.publish(10, leader, incompressibleDocument("long"));
+    CHECK(waitUntil([&] { return cluster.readVersion(leader) == 10U; }, seconds(8)));
+    CHECK(cluster.leader() == leader);
+    CHECK_FALSE(logContains(cluster, leader, "E401 leader_lost"));
+    CHECK(waitUntil([&] { return servesRoute(cluster, cluster.gateways()[0], "long"); }, waitTimeout));
 }
 
 TEST_CASE("large change: a command in flight to the leader is not forwarded again", "[incident]")
 {
     constexpr std::uint64_t linkRate = 80'000;
-    gateway_world world(1);
-    REQUIRE(world.start());
-    const std::string leader = world.leader();
-    const std::string other = world.registries()[leader == world.registries()[0] ? 1 : 0];
-    world.linkRelay(leader).setRate(linkRate);
-    (void)world.publish(10, other, incompressibleDocument("long"));
-    CHECK(waitUntil([&] { return world.readVersion(leader) == 10U; }, seconds(8)));
-    CHECK_FALSE(logContains(world, other, "E406 command_forwarded_again"));
-    CHECK(world.leader() == leader);
+    gateway_cluster cluster(1);
+    REQUIRE(cluster.start());
+    const std::string leader = cluster.leader();
+    const std::string other = cluster.registries()[leader == cluster.registries()[0] ? 1 : 0];
+    cluster.linkRelay(leader).setRate(linkRate);
+    (void)cluster.publish(10, other, incompressibleDocument("long"));
+    CHECK(waitUntil([&] { return cluster.readVersion(leader) == 10U; }, seconds(8)));
+    CHECK_FALSE(logContains(cluster, other, "E406 command_forwarded_again"));
+    CHECK(cluster.leader() == leader);
 }
--- a/tests/incident_named_limit_test.cpp
+++ b/tests/incident_named_limit_test.cpp
@@ -20,20 +20,20 @@
 
 constexpr std::size_t gatewayCount = 5;
 
-std::size_t arrivalsSince(gateway_world& world, std::size_t target, clock_type::time_point from)
+std::size_t arrivalsSince(gateway_cluster& cluster, std::size_t target, clock_type::time_point from)
 {
-    const auto arrivals = world.fleet().arrivalsAt(target);
+    const auto arrivals = cluster.fleet().arrivalsAt(target);
     return static_cast<std::size_t>(
         std::count_if(arrivals.begin(), arrivals.end(), [from](const auto& one) { return one.at >= from; }));
 }
 
 /// Checks that a target got no more requests than its limit allows; keeps the logs otherwise.
-void checkLimitKept(gateway_world& world, std::size_t target, double perSecond, clock_type::time_point from)
+void checkLimitKept(gateway_cluster& cluster, std::size_t target, double perSecond, clock_type::time_point from)
 {
-    const auto maxArrivals = peakRequestsPerWindow(world.fleet().arrivalsAt(target), from);
+    const auto maxArrivals = peakRequestsPerWindow(cluster.fleet().arrivalsAt(target), from);
     CHECK(static_cast<double>(maxArrivals) <= maxRequestsPerWindow(perSecond));
     if (static_cast<double>(maxArrivals) > maxRequestsPerWindow(perSecond))
-        WARN("logs: " << world.keepFolder());
+        WARN("logs: " << cluster.keepFolder());
 }
 
 } // namespace
@@ -44,16 +44,16 @@
 {
     const double limit = GENERATE(2.0, 0.3);
     CAPTURE(limit);
-    gateway_world world(gatewayCount);
-    REQUIRE(world.start());
-    const auto target = world.plainTargets().front();
-    continuous_callers callers(world, "GET", "/safe/x");
+    gateway_cluster cluster(gatewayCount);
+    REQUIRE(cluster.start());
+    const auto target = cluster.plainTargets().front();
+    continuous_callers callers(cluster, "GET", "/safe/x");
     std::this_thread::sleep_for(seconds(1));
-    world.fleet().setLimit(target, limit);
+    cluster.fleet().setLimit(target, limit);
     const auto limitSetAt = clock_type::now();
     std::this_thread::sleep_for(limitGracePeriod + seconds(7));
     callers.stop();
-    checkLimitKept(world, target, limit, limitSetAt + limitGracePeriod);
+    checkLimitKept(cluster, target, limit, limitSetAt + limitGracePeriod);
     CHECK(callers.served() > 200);
     CHECK(callers.notServed() == 0);
 }
@@ -61,16 +61,16 @@
 // Guards against limits that apply only to plain services, and not to streams over paths and their retries.
 TEST_CASE("target limit: streams stay within it at the first target of their paths", "[incident]")
 {
-    gateway_world world(gatewayCount);
-    REQUIRE(world.start());
-    continuous_callers callers(world, "POST", "/stream/n3");
+    gateway_cluster cluster(gatewayCount);
+    REQUIRE(cluster.start());
+    continuous_callers callers(cluster, "POST", "/stream/n3");
     std::this_thread::sleep_for(seconds(1));
-    const auto target = busiestEngine(world);
-    world.fleet().setLimit(target, 1.5);
+    const auto target = busiestEngine(cluster);
+    cluster.fleet().setLimit(target, 1.5);
     const auto limitSetAt = clock_type::now();
     std::this_thread::sleep_for(limitGracePeriod + seconds(6));
     callers.stop();
-    checkLimitKept(world, target, 1.5, limitSetAt + limitGracePeriod);
+    checkLimitKept(cluster, target, 1.5, limitSetAt + limitGracePeriod);
     CHECK(callers.served() > 100);
     CHECK(callers.notServed() == 0);
 }
@@ -78,46 +78,46 @@
 // Guards against a limit that is lost, or divided among too few gateways, when gateways restart and the leader changes.
 TEST_CASE("target limit: it is kept while gateways restart and a leader is killed", "[incident]")
 {
-    gateway_world world(gatewayCount);
-    REQUIRE(world.start());
-    const auto target = world.plainTargets().front();
-    continuous_callers callers(world, "GET", "/safe/x");
+    gateway_cluster cluster(gatewayCount);
+    REQUIRE(cluster.start());
+    const auto target = cluster.plainTargets().front();
+    continuous_callers callers(cluster, "GET", "/safe/x");
     std::this_thread::sleep_for(seconds(1));
-    world.fleet().setLimit(target, 2);
+    cluster.fleet().setLimit(target, 2);
     const auto limitSetAt = clock_type::now();
     std::this_thread::sleep_for(limitGracePeriod);
     for (const std::size_t at : { 0U, 1U }) {
-        world.killHard(world.gateways().at(at));
-        world.startProcess(world.gateways().at(at));
+        cluster.killHard(cluster.gateways().at(at));
+        cluster.startProcess(cluster.gateways().at(at));
         std::this_thread::sleep_for(seconds(1));
     }
-    const auto leader = world.leader();
+    const auto leader = cluster.leader();
     REQUIRE_FALSE(leader.empty());
-    world.killHard(leader);
+    cluster.killHard(leader);
     std::this_thread::sleep_for(seconds(2));
-    world.startProcess(leader);
+    cluster.startProcess(leader);
     std::this_thread::sleep_for(seconds(3));
     callers.stop();
-    checkLimitKept(world, target, 2, limitSetAt + limitGracePeriod);
+    checkLimitKept(cluster, target, 2, limitSetAt + limitGracePeriod);
 }
 
 // Guards against callers that wait, or retry at the same time, when every target is limited.
 TEST_CASE("target limit: with all limits used up, requests are refused at once with a time to retry", "[incident]")
 {
-    gateway_world world(gatewayCount);
-    REQUIRE(world.start());
-    continuous_callers callers(world, "GET", "/safe/x");
+    gateway_cluster cluster(gatewayCount);
+    REQUIRE(cluster.start());
+    continuous_callers callers(cluster, "GET", "/safe/x");
     std::this_thread::sleep_for(seconds(1));
-    for (const auto target : world.plainTargets())
-        world.fleet().setLimit(target, 2);
+    for (const auto target : cluster.plainTargets())
+        cluster.fleet().setLimit(target, 2);
     const auto limitSetAt = clock_type::now();
     std::this_thread::sleep_for(limitGracePeriod + seconds(6));
     callers.stop();
     // Any registry lists the limited targets.
-    const auto listed = world.callRegistry(world.registries().back(), "GET", "/pushback").body;
-    for (const auto target : world.plainTargets()) {
-        checkLimitKept(world, target, 2, limitSetAt + limitGracePeriod);
-        CHECK(listed.find("\"" + world.fleet().idOf(target) + "\"") != std::string::npos);
+    const auto listed = cluster.callRegistry(cluster.registries().back(), "GET", "/pushback").body;
+    for (const auto target : cluster.plainTargets()) {
+        checkLimitKept(cluster, target, 2, limitSetAt + limitGracePeriod);
+        CHECK(listed.find("\"" + cluster.fleet().idOf(target) + "\"") != std::string::npos);
     }
     CHECK(callers.notServed() > 0);
     CHECK(callers.refusedWithoutRetryAfter() == 0);
@@ -126,17 +126,17 @@
 // Guards against limits that still apply after they were withdrawn.
 TEST_CASE("target limit: a target that withdraws its limit gets its share of requests again", "[incident]")
 {
-    gateway_world world(gatewayCount);
-    REQUIRE(world.start());
-    const auto target = world.plainTargets().front();
-    continuous_callers callers(world, "GET", "/safe/x");
+    gateway_cluster cluster(gatewayCount);
+    REQUIRE(cluster.start());
+    const auto target = cluster.plainTargets().front();
+    continuous_callers callers(cluster, "GET", "/safe/x");
     std::this_thread::sleep_for(seconds(1));
-    world.fleet().setLimit(target, 2);
+    cluster.fleet().setLimit(target, 2);
     std::this_thread::sleep_for(limitGracePeriod);
-    world.fleet().setLimit(target, std::nullopt);
+    cluster.fleet().setLimit(target, std::nullopt);
     std::this_thread::sleep_for(limitGracePeriod);
     const auto from = clock_type::now();
     std::this_thread::sleep_for(seconds(2));
     callers.stop();
-    CHECK(arrivalsSince(world, target, from) > 20);
+    CHECK(arrivalsSince(cluster, target, from) > 20);
 }
--- a/tests/incident_repeats_test.cpp
+++ b/tests/incident_repeats_test.cpp
@@ -7,7 +7,7 @@
 /// the budget. That these two caused the incident is inferred from its times, not traced. In the half second in which
 /// gateways found the new leader, one request was sent six times to the same full target.
 #include "buckthornrail/gateway/shared_retry_budget.hpp"
-#include "support/gateway_world.hpp"
+#include "support/gateway_cluster.hpp"
 
 #include <catch2/catch.hpp>
 #include <csignal>
@@ -23,9 +23,9 @@
 constexpr seconds waitTimeout { 15 };
 
 /// Requests that arrived at targets, without the first arrival of each request id.
-std::size_t retryCount(gateway_world& world)
+std::size_t retryCount(gateway_cluster& cluster)
 {
-    const auto arrivals = world.fleet().arrivals();
+    const auto arrivals = cluster.fleet().arrivals();
     const std::set<std::string> requests(arrivals.begin(), arrivals.end());
     return arrivals.size() - requests.size();
 }
@@ -59,55 +59,55 @@
     constexpr std::size_t slack = 30;
     constexpr int restarts = 4;
     constexpr int callsPerRound = 12;
-    gateway_world world(2, 4, 3, "repeat_slack = 30\nrepeat_ratio = 0\nrepeat_window_s = 60\n");
-    REQUIRE(world.start());
-    for (const auto target : world.plainTargets())
-        world.fleet().setFaults(target, { 0, 0, 0, 1, 1 });
+    gateway_cluster cluster(2, 4, 3, "repeat_slack = 30\nrepeat_ratio = 0\nrepeat_window_s = 60\n");
+    REQUIRE(cluster.start());
+    for (const auto target : cluster.plainTargets())
+        cluster.fleet().setFaults(target, { 0, 0, 0, 1, 1 });
     int number = 0;
     for (int round = 0; round <= restarts; ++round) {
-        for (const auto& gateway : world.gateways()) {
+        for (const auto& gateway : cluster.gateways()) {
             for (int at = 0; at < callsPerRound; ++at)
-                (void)world.call(gateway, "GET", "/safe/x", "r-" + std::to_string(++number), seconds(2));
+                (void)cluster.call(gateway, "GET", "/safe/x", "r-" + std::to_string(++number), seconds(2));
         }
         if (round == restarts)
             break;
-        for (const auto& gateway : world.gateways())
-            world.killHard(gateway);
-        for (const auto& gateway : world.gateways())
-            world.startProcess(gateway);
-        for (const auto& gateway : world.gateways())
-            REQUIRE(waitUntil([&] { return world.readyStatus(gateway) == 200; }, waitTimeout));
+        for (const auto& gateway : cluster.gateways())
+            cluster.killHard(gateway);
+        for (const auto& gateway : cluster.gateways())
+            cluster.startProcess(gateway);
+        for (const auto& gateway : cluster.gateways())
+            REQUIRE(waitUntil([&] { return cluster.readyStatus(gateway) == 200; }, waitTimeout));
     }
-    CHECK(retryCount(world) <= slack);
+    CHECK(retryCount(cluster) <= slack);
 }
 
 TEST_CASE("retries: the first gateway that connects to a new leader uses no more than its share", "[incident]")
 {
     constexpr std::size_t slack = 30;
     constexpr int callsPerGateway = 12;
-    gateway_world world(4, 4, 3, "repeat_slack = 30\nrepeat_ratio = 0\nrepeat_window_s = 60\n");
-    REQUIRE(world.start());
-    for (const auto target : world.plainTargets())
-        world.fleet().setFaults(target, { 0, 0, 0, 1, 1 });
+    gateway_cluster cluster(4, 4, 3, "repeat_slack = 30\nrepeat_ratio = 0\nrepeat_window_s = 60\n");
+    REQUIRE(cluster.start());
+    for (const auto target : cluster.plainTargets())
+        cluster.fleet().setFaults(target, { 0, 0, 0, 1, 1 });
     int number = 0;
     const auto sendCalls = [&](const std::string& gateway) {
         for (int at = 0; at < callsPerGateway; ++at)
-            (void)world.call(gateway, "GET", "/safe/x", "r-" + std::to_string(++number), seconds(2));
+            (void)cluster.call(gateway, "GET", "/safe/x", "r-" + std::to_string(++number), seconds(2));
     };
-    for (const auto& gateway : world.gateways())
+    for (const auto& gateway : cluster.gateways())
         sendCalls(gateway);
-    const std::string first = world.gateways().front();
-    for (const auto& gateway : world.gateways()) {
+    const std::string first = cluster.gateways().front();
+    for (const auto& gateway : cluster.gateways()) {
         if (gateway != first)
-            world.signal(gateway, SIGSTOP);
+            cluster.signal(gateway, SIGSTOP);
     }
-    world.killHard(world.leader());
-    REQUIRE(waitUntil([&] { return !world.leader().empty(); }, waitTimeout));
+    cluster.killHard(cluster.leader());
+    REQUIRE(waitUntil([&] { return !cluster.leader().empty(); }, waitTimeout));
     std::this_thread::sleep_for(seconds(1)); // for the session and a heartbeat in it
     sendCalls(first);
-    CHECK(retryCount(world) <= slack);
+    CHECK(retryCount(cluster) <= slack);
     // All four are alive: the leader must not tell any that fewer share the budget.
-    CHECK(world.logOf(first).find("before=4") == std::string::npos);
-    for (const auto& gateway : world.gateways())
-        world.signal(gateway, SIGCONT);
+    CHECK(cluster.logOf(first).find("before=4") == std::string::npos);
+    for (const auto& gateway : cluster.gateways())
+        cluster.signal(gateway, SIGCONT);
 }
--- a/tests/incident_rest_test.cpp
+++ b/tests/incident_rest_test.cpp
@@ -31,26 +31,26 @@
 }
 
 std::ptrdiff_t requestsBetween(
-    gateway_world& world, std::size_t target, clock_type::time_point from, clock_type::time_point to)
+    gateway_cluster& cluster, std::size_t target, clock_type::time_point from, clock_type::time_point to)
 {
     return countBetween(
-        world.fleet().arrivalsAt(target), [](const auto& one) { return one.at; }, from, to);
+        cluster.fleet().arrivalsAt(target), [](const auto& one) { return one.at; }, from, to);
 }
 
 /// @return requests that arrived at a target during the backoff that it asked for, from its first refusal on
-std::ptrdiff_t requestsDuringBackoff(gateway_world& world, std::size_t target)
+std::ptrdiff_t requestsDuringBackoff(gateway_cluster& cluster, std::size_t target)
 {
-    const auto refusedAt = world.fleet().firstRefusalAt(target);
+    const auto refusedAt = cluster.fleet().firstRefusalAt(target);
     REQUIRE(refusedAt);
-    return requestsBetween(world, target, *refusedAt + inFlightTime, *refusedAt + retryAfter);
+    return requestsBetween(cluster, target, *refusedAt + inFlightTime, *refusedAt + retryAfter);
 }
 
 /// Checks a number of requests; keeps the logs when it is too high.
-void checkAtMost(gateway_world& world, std::ptrdiff_t requests, std::ptrdiff_t maxRequests)
+void checkAtMost(gateway_cluster& cluster, std::ptrdiff_t requests, std::ptrdiff_t maxRequests)
 {
     CHECK(requests <= maxRequests);
     if (requests > maxRequests)
-        WARN("logs: " << world.keepFolder());
+        WARN("logs: " << cluster.keepFolder());
 }
 
 } // namespace
@@ -61,66 +61,66 @@
 {
     const auto [method, path] = GENERATE(std::pair("GET", "/safe/x"), std::pair("POST", "/stream/n3"));
     CAPTURE(path);
-    gateway_world world(1);
-    REQUIRE(world.start());
-    continuous_callers callers(world, method, path);
+    gateway_cluster cluster(1);
+    REQUIRE(cluster.start());
+    continuous_callers callers(cluster, method, path);
     std::this_thread::sleep_for(seconds(1));
-    const auto target = std::string(path) == "/safe/x" ? world.plainTargets().front() : busiestEngine(world);
-    world.fleet().setRetryAfter(target, retryAfter);
-    REQUIRE(waitUntil([&] { return world.fleet().firstRefusalAt(target).has_value(); }, waitTimeout));
+    const auto target = std::string(path) == "/safe/x" ? cluster.plainTargets().front() : busiestEngine(cluster);
+    cluster.fleet().setRetryAfter(target, retryAfter);
+    REQUIRE(waitUntil([&] { return cluster.fleet().firstRefusalAt(target).has_value(); }, waitTimeout));
     std::this_thread::sleep_for(retryAfter - milliseconds(100));
-    world.fleet().setRetryAfter(target, std::nullopt);
+    cluster.fleet().setRetryAfter(target, std::nullopt);
     const auto backoffEnd = clock_type::now() + milliseconds(200);
     std::this_thread::sleep_for(seconds(2));
     callers.stop();
     const auto refusedAt = backoffEnd - retryAfter - milliseconds(100);
-    checkAtMost(world, requestsBetween(world, target, refusedAt + inFlightTime, backoffEnd - milliseconds(300)),
+    checkAtMost(cluster, requestsBetween(cluster, target, refusedAt + inFlightTime, backoffEnd - milliseconds(300)),
         maxDuringBackoff);
-    CHECK(requestsBetween(world, target, backoffEnd, backoffEnd + seconds(2)) > 5);
+    CHECK(requestsBetween(cluster, target, backoffEnd, backoffEnd + seconds(2)) > 5);
     CHECK(callers.notServed() == 0);
 }
 
 // Guards against a backoff that is reset when an earlier stream succeeds.
 TEST_CASE("target backoff: streams that continue at the target don't end it", "[incident]")
 {
-    gateway_world world(1);
-    REQUIRE(world.start());
-    continuous_callers callers(world, "POST", "/stream/n3");
+    gateway_cluster cluster(1);
+    REQUIRE(cluster.start());
+    continuous_callers callers(cluster, "POST", "/stream/n3");
     std::this_thread::sleep_for(seconds(1));
-    const auto target = busiestEngine(world);
+    const auto target = busiestEngine(cluster);
     std::vector<std::thread> streams;
     for (int events = 40; events <= 360; events += 40) {
-        streams.emplace_back([&world, events] {
+        streams.emplace_back([&cluster, events] {
             const std::string path = "/stream/n" + std::to_string(events);
-            (void)world.call(world.gateways().front(), "POST", path, "long-" + std::to_string(events), seconds(8));
+            (void)cluster.call(cluster.gateways().front(), "POST", path, "long-" + std::to_string(events), seconds(8));
         });
     }
     std::this_thread::sleep_for(milliseconds(200));
-    world.fleet().setRetryAfter(target, retryAfter);
-    REQUIRE(waitUntil([&] { return world.fleet().firstRefusalAt(target).has_value(); }, waitTimeout));
+    cluster.fleet().setRetryAfter(target, retryAfter);
+    REQUIRE(waitUntil([&] { return cluster.fleet().firstRefusalAt(target).has_value(); }, waitTimeout));
     std::this_thread::sleep_for(retryAfter);
     callers.stop();
     for (auto& stream : streams)
         stream.join();
-    checkAtMost(world, requestsDuringBackoff(world, target), maxDuringBackoff);
+    checkAtMost(cluster, requestsDuringBackoff(cluster, target), maxDuringBackoff);
 }
 
 // Guards against callers that wait, or retry too soon, when every target is in backoff.
 TEST_CASE("target backoff: with all targets in backoff, callers are refused at once with a time to retry", "[incident]")
 {
-    gateway_world world(1);
-    REQUIRE(world.start());
-    for (const auto target : world.plainTargets())
-        world.fleet().setRetryAfter(target, retryAfter);
+    gateway_cluster cluster(1);
+    REQUIRE(cluster.start());
+    for (const auto target : cluster.plainTargets())
+        cluster.fleet().setRetryAfter(target, retryAfter);
     const auto startedAt = clock_type::now();
-    continuous_callers callers(world, "GET", "/safe/x");
+    continuous_callers callers(cluster, "GET", "/safe/x");
     std::this_thread::sleep_for(retryAfter);
     callers.stop();
     std::ptrdiff_t requests = 0;
-    for (const auto target : world.plainTargets())
+    for (const auto target : cluster.plainTargets())
         requests
-            += requestsBetween(world, target, startedAt + inFlightTime, startedAt + retryAfter - milliseconds(100));
-    checkAtMost(world, requests, maxDuringBackoff * static_cast<std::ptrdiff_t>(world.plainTargets().size()));
+            += requestsBetween(cluster, target, startedAt + inFlightTime, startedAt + retryAfter - milliseconds(100));
+    checkAtMost(cluster, requests, maxDuringBackoff * static_cast<std::ptrdiff_t>(cluster.plainTargets().size()));
     CHECK(callers.served() == 0);
     CHECK(callers.notServed() > 20);
     CHECK(callers.refusedWithoutRetryAfter() == 0);
@@ -129,21 +129,21 @@
 // Guards against registries that keep sending orders and probes to a target in backoff, or consider it lost.
 TEST_CASE("target backoff: a registry sends its orders and probes after the Retry-After has passed", "[incident]")
 {
-    gateway_world world(1);
-    REQUIRE(world.start());
-    const auto target = world.engines().front();
-    world.fleet().restart(target);
-    world.fleet().setRetryAfter(target, retryAfter);
-    REQUIRE(waitUntil([&] { return world.fleet().firstRefusalAt(target).has_value(); }, waitTimeout));
-    const auto refusedAt = *world.fleet().firstRefusalAt(target);
+    gateway_cluster cluster(1);
+    REQUIRE(cluster.start());
+    const auto target = cluster.engines().front();
+    cluster.fleet().restart(target);
+    cluster.fleet().setRetryAfter(target, retryAfter);
+    REQUIRE(waitUntil([&] { return cluster.fleet().firstRefusalAt(target).has_value(); }, waitTimeout));
+    const auto refusedAt = *cluster.fleet().firstRefusalAt(target);
     std::this_thread::sleep_until(refusedAt + retryAfter);
     const auto calls = countBetween(
-        world.fleet().controlCallsAt(target), [](const auto at) { return at; }, refusedAt + inFlightTime,
+        cluster.fleet().controlCallsAt(target), [](const auto at) { return at; }, refusedAt + inFlightTime,
         refusedAt + retryAfter);
-    checkAtMost(world, calls, maxDuringBackoff);
-    world.fleet().setRetryAfter(target, std::nullopt);
-    CHECK(waitUntil([&] { return world.fleet().hasChain("d1"); }, waitTimeout));
-    CHECK(world.targetState(world.leader(), world.fleet().idOf(target)) == "ready");
+    checkAtMost(cluster, calls, maxDuringBackoff);
+    cluster.fleet().setRetryAfter(target, std::nullopt);
+    CHECK(waitUntil([&] { return cluster.fleet().hasChain("d1"); }, waitTimeout));
+    CHECK(cluster.targetState(cluster.leader(), cluster.fleet().idOf(target)) == "ready");
 }
 
 // Guards against requests to a target that says only in its answers, and not in its announcements, that it drains.
@@ -151,16 +151,16 @@
 {
     const auto [method, path] = GENERATE(std::pair("GET", "/safe/x"), std::pair("POST", "/stream/n3"));
     CAPTURE(path);
-    gateway_world world(3);
-    REQUIRE(world.start());
-    continuous_callers callers(world, method, path);
+    gateway_cluster cluster(3);
+    REQUIRE(cluster.start());
+    continuous_callers callers(cluster, method, path);
     std::this_thread::sleep_for(seconds(1));
-    const auto target = std::string(path) == "/safe/x" ? world.plainTargets().front() : busiestEngine(world);
-    world.fleet().setReportsLeaving(target, true);
+    const auto target = std::string(path) == "/safe/x" ? cluster.plainTargets().front() : busiestEngine(cluster);
+    cluster.fleet().setReportsLeaving(target, true);
     const auto announcedAt = clock_type::now();
     std::this_thread::sleep_for(drainTime + seconds(3));
     callers.stop();
-    checkAtMost(world, requestsBetween(world, target, announcedAt + drainTime, clock_type::now()), 0);
+    checkAtMost(cluster, requestsBetween(cluster, target, announcedAt + drainTime, clock_type::now()), 0);
     CHECK(callers.notServed() == 0);
-    CHECK(world.targetState(world.leader(), world.fleet().idOf(target)) == "draining");
+    CHECK(cluster.targetState(cluster.leader(), cluster.fleet().idOf(target)) == "draining");
 }
--- a/tests/large_table_test.cpp
+++ b/tests/large_table_test.cpp
@@ -7,7 +7,7 @@
 #include "buckthornrail/link/link_hub.hpp"
 #include "buckthornrail/link/message.hpp"
 #include "buckthornrail/net/http_service.hpp"
-#include "support/gateway_world.hpp"
+#include "support/gateway_cluster.hpp"
 
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
@@ -43,12 +43,12 @@
     }
 
     /// @brief Announces one of the targets. @return the HTTP status
-    int announce(gateway_world& world, const std::string& registry, int number) const
+    int announce(gateway_cluster& cluster, const std::string& registry, int number) const
     {
         const std::string address = "127.1." + std::to_string(number / 250) + "." + std::to_string(number % 250 + 1);
         const nlohmann::json record { { "service", "app" }, { "address", address + ":" + std::to_string(m_port) },
             { "zone", "d1" }, { "version", "v1" }, { "slots", 4 }, { "state", "ready" }, { "seq", 1 } };
-        return world.sendRecord(registry, "PUT", "i-quiet-" + std::to_string(number), record.dump());
+        return cluster.sendRecord(registry, "PUT", "i-quiet-" + std::to_string(number), record.dump());
     }
 
 private:
@@ -92,15 +92,15 @@
 {
     constexpr int count = 1000;
     constexpr std::size_t uncompressedBytes = count * 150; // an uncompressed record takes 150 bytes of a message
-    gateway_world world(1);
-    REQUIRE(world.start());
+    gateway_cluster cluster(1);
+    REQUIRE(cluster.start());
     const health_check_targets targets;
-    const std::string leader = world.leader();
+    const std::string leader = cluster.leader();
     for (int number = 0; number < count; ++number)
-        REQUIRE(targets.announce(world, leader, number) == 200);
+        REQUIRE(targets.announce(cluster, leader, number) == 200);
     REQUIRE(waitUntil(
-        [&] { return !world.targetState(leader, "i-quiet-" + std::to_string(count - 1)).empty(); }, waitTimeout));
-    const std::size_t bytes = firstUpdateSize(world.linkRelay(leader).address());
+        [&] { return !cluster.targetState(leader, "i-quiet-" + std::to_string(count - 1)).empty(); }, waitTimeout));
+    const std::size_t bytes = firstUpdateSize(cluster.linkRelay(leader).address());
     CHECK(bytes > 0);
     CHECK(bytes < uncompressedBytes / 4);
 }
--- a/tests/session_spread_test.cpp
+++ b/tests/session_spread_test.cpp
@@ -5,7 +5,7 @@
 /// and heartbeats were redirected to the leader's address. With 2,997 targets on 293 machines the leader of five
 /// registries had 4,865 connections, more than the 4,096 that a machine allows, moved 1,500 KB/s and used 64% of its
 /// processor; the median registry used 9%.
-#include "support/gateway_world.hpp"
+#include "support/gateway_cluster.hpp"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -22,23 +22,24 @@
 /// An acknowledged change takes effect on all gateways within this time.
 constexpr milliseconds inForceTimeout { 2000 };
 
-bool servesRoute(gateway_world& world, const std::string& gateway, const std::string& route)
+bool servesRoute(gateway_cluster& cluster, const std::string& gateway, const std::string& route)
 {
     static int calls = 0;
-    return world.call(gateway, "GET", "/" + route + "/x", "spread-" + std::to_string(++calls)).status == 200;
+    return cluster.call(gateway, "GET", "/" + route + "/x", "spread-" + std::to_string(++calls)).status == 200;
 }
 
-bool eachRegistryHasOneSession(gateway_world& world)
+bool eachRegistryHasOneSession(gateway_cluster& cluster)
 {
-    const auto& all = world.registries();
-    return std::all_of(all.begin(), all.end(), [&world](const auto& name) { return world.sessionCount(name) == 1; });
+    const auto& all = cluster.registries();
+    return std::all_of(
+        all.begin(), all.end(), [&cluster](const auto& name) { return cluster.sessionCount(name) == 1; });
 }
 
 /// @return a registry that is not the leader
-std::string follower(gateway_world& world)
+std::string follower(gateway_cluster& cluster)
 {
-    const std::string leader = world.leader();
-    for (const auto& name : world.registries()) {
+    const std::string leader = cluster.leader();
+    for (const auto& name : cluster.registries()) {
         if (name != leader)
             return name;
     }
@@ -46,10 +47,10 @@
 }
 
 /// @return the gateway in a registry's failure domain
-std::string gatewayInDomainOf(gateway_world& world, const std::string& registry)
+std::string gatewayInDomainOf(gateway_cluster& cluster, const std::string& registry)
 {
-    const auto& all = world.registries();
-    return world
+    const auto& all = cluster.registries();
+    return cluster
         .gateways()[static_cast<std::size_t>(std::distance(all.begin(), std::find(all.begin(), all.end(), registry)))];
 }
 
@@ -57,86 +58,86 @@
 
 TEST_CASE("session spread: each registry has the sessions of its own failure domain", "[session_spread]")
 {
-    gateway_world world(3);
-    REQUIRE(world.start());
-    CHECK(waitUntil([&] { return eachRegistryHasOneSession(world); }, waitTimeout));
+    gateway_cluster cluster(3);
+    REQUIRE(cluster.start());
+    CHECK(waitUntil([&] { return eachRegistryHasOneSession(cluster); }, waitTimeout));
 }
 
 TEST_CASE("session spread: targets are directed to the registry of their own failure domain", "[session_spread]")
 {
-    gateway_world world(1);
-    REQUIRE(world.start());
+    gateway_cluster cluster(1);
+    REQUIRE(cluster.start());
     for (std::size_t domain = 0; domain < 3; ++domain) {
         const std::string record = R"({"service":"app","address":"127.0.0.1:9","zone":"d)" + std::to_string(domain + 1)
             + R"(","state":"ready","seq":1})";
-        const std::string nearest = world.addressOf(world.registries()[domain]);
-        for (const auto& registry : world.registries())
+        const std::string nearest = cluster.addressOf(cluster.registries()[domain]);
+        for (const auto& registry : cluster.registries())
             CHECK(waitUntil(
-                [&] { return world.responseToRecord(registry, "i-far", record).find(nearest) != std::string::npos; },
+                [&] { return cluster.responseToRecord(registry, "i-far", record).find(nearest) != std::string::npos; },
                 waitTimeout));
     }
 }
 
 TEST_CASE("session spread: a gateway disconnects from a silent registry and misses no change", "[session_spread]")
 {
-    gateway_world world(3);
-    REQUIRE(world.start());
-    REQUIRE(waitUntil([&] { return eachRegistryHasOneSession(world); }, waitTimeout));
-    const std::string silent = follower(world);
-    const std::string gateway = gatewayInDomainOf(world, silent);
-    const std::string leader = world.leader();
-    SECTION("frozen") { world.signal(silent, SIGSTOP); }
-    SECTION("its links are cut, and it considers its state current") { world.linkRelay(silent).setSilent(true); }
+    gateway_cluster cluster(3);
+    REQUIRE(cluster.start());
+    REQUIRE(waitUntil([&] { return eachRegistryHasOneSession(cluster); }, waitTimeout));
+    const std::string silent = follower(cluster);
+    const std::string gateway = gatewayInDomainOf(cluster, silent);
+    const std::string leader = cluster.leader();
+    SECTION("frozen") { cluster.signal(silent, SIGSTOP); }
+    SECTION("its links are cut, and it considers its state current") { cluster.linkRelay(silent).setSilent(true); }
     SECTION("it receives nothing, but its messages arrive")
     {
-        world.linkRelay(silent).setMode(relay_mode::DownstreamOnly);
+        cluster.linkRelay(silent).setMode(relay_mode::DownstreamOnly);
     }
-    REQUIRE(world.publish(2, leader, "two") == 200);
-    CHECK(waitUntil([&] { return servesRoute(world, gateway, "two"); }, inForceTimeout));
-    world.signal(silent, SIGCONT);
-    world.linkRelay(silent).setMode(relay_mode::Pass);
-    REQUIRE(waitUntil([&] { return world.readVersion(silent) == 2U; }, waitTimeout));
-    REQUIRE(world.publish(3, silent, "three") == 200);
-    for (const auto& name : world.gateways())
-        CHECK(waitUntil([&] { return servesRoute(world, name, "three"); }, inForceTimeout));
+    REQUIRE(cluster.publish(2, leader, "two") == 200);
+    CHECK(waitUntil([&] { return servesRoute(cluster, gateway, "two"); }, inForceTimeout));
+    cluster.signal(silent, SIGCONT);
+    cluster.linkRelay(silent).setMode(relay_mode::Pass);
+    REQUIRE(waitUntil([&] { return cluster.readVersion(silent) == 2U; }, waitTimeout));
+    REQUIRE(cluster.publish(3, silent, "three") == 200);
+    for (const auto& name : cluster.gateways())
+        CHECK(waitUntil([&] { return servesRoute(cluster, name, "three"); }, inForceTimeout));
 }
 
 TEST_CASE("session spread: an acknowledged change takes effect in time although the leader crashes", "[session_spread]")
 {
-    gateway_world world(3);
-    REQUIRE(world.start());
-    REQUIRE(waitUntil([&] { return eachRegistryHasOneSession(world); }, waitTimeout));
+    gateway_cluster cluster(3);
+    REQUIRE(cluster.start());
+    REQUIRE(waitUntil([&] { return eachRegistryHasOneSession(cluster); }, waitTimeout));
     for (std::uint64_t version = 2; version < 5; ++version) {
-        const std::string leader = world.leader();
+        const std::string leader = cluster.leader();
         REQUIRE_FALSE(leader.empty());
         const std::string route = "v" + std::to_string(version);
-        REQUIRE(waitUntil([&] { return world.publish(version, leader, route) == 200; }, waitTimeout));
+        REQUIRE(waitUntil([&] { return cluster.publish(version, leader, route) == 200; }, waitTimeout));
         const auto acknowledged = buckthornrail::boot_clock::now();
-        world.killHard(leader);
-        for (const auto& gateway : world.gateways())
-            CHECK(waitUntil([&] { return servesRoute(world, gateway, route); }, inForceTimeout));
+        cluster.killHard(leader);
+        for (const auto& gateway : cluster.gateways())
+            CHECK(waitUntil([&] { return servesRoute(cluster, gateway, route); }, inForceTimeout));
         INFO("took effect after "
             << std::chrono::duration_cast<milliseconds>(buckthornrail::boot_clock::now() - acknowledged).count()
             << " ms");
-        world.startProcess(leader);
-        REQUIRE(waitUntil([&] { return world.readVersion(leader) == version; }, waitTimeout));
-        REQUIRE(waitUntil([&] { return !world.leader().empty(); }, waitTimeout));
+        cluster.startProcess(leader);
+        REQUIRE(waitUntil([&] { return cluster.readVersion(leader) == version; }, waitTimeout));
+        REQUIRE(waitUntil([&] { return !cluster.leader().empty(); }, waitTimeout));
     }
 }
 
 TEST_CASE("session spread: a registry that restarts without its data serves what a quorum confirms", "[session_spread]")
 {
-    gateway_world world(3);
-    REQUIRE(world.start());
-    REQUIRE(waitUntil([&] { return eachRegistryHasOneSession(world); }, waitTimeout));
-    const std::string blank = follower(world);
-    const std::string gateway = gatewayInDomainOf(world, blank);
-    world.killHard(blank);
-    world.loseDisk(blank);
-    REQUIRE(world.publish(2, world.leader(), "two") == 200);
-    world.startProcess(blank);
-    CHECK(waitUntil([&] { return servesRoute(world, gateway, "two"); }, inForceTimeout));
+    gateway_cluster cluster(3);
+    REQUIRE(cluster.start());
+    REQUIRE(waitUntil([&] { return eachRegistryHasOneSession(cluster); }, waitTimeout));
+    const std::string blank = follower(cluster);
+    const std::string gateway = gatewayInDomainOf(cluster, blank);
+    cluster.killHard(blank);
+    cluster.loseDisk(blank);
+    REQUIRE(cluster.publish(2, cluster.leader(), "two") == 200);
+    cluster.startProcess(blank);
+    CHECK(waitUntil([&] { return servesRoute(cluster, gateway, "two"); }, inForceTimeout));
     // The gateway returns to the nearest registry.
-    CHECK(waitUntil([&] { return world.sessionCount(blank) == 1; }, waitTimeout));
-    CHECK(servesRoute(world, gateway, "two"));
+    CHECK(waitUntil([&] { return cluster.sessionCount(blank) == 1; }, waitTimeout));
+    CHECK(servesRoute(cluster, gateway, "two"));
 }
--- a/tests/soak/caller_pool.hpp
+++ b/tests/soak/caller_pool.hpp
@@ -2,7 +2,7 @@
 /// @brief Callers of the soak test: some open a connection for each request, others reuse theirs until it closes.
 #pragma once
 
-#include "support/gateway_world.hpp"
+#include "support/gateway_cluster.hpp"
 #include "support/keep_alive_caller.hpp"
 
 #include <atomic>
@@ -25,8 +25,8 @@
 /// @brief Threads that send requests without pause until stopped.
 class caller_pool {
 public:
-    caller_pool(gateway_world& world, std::uint64_t seed)
-        : m_world(world)
+    caller_pool(gateway_cluster& cluster, std::uint64_t seed)
+        : m_cluster(cluster)
     {
         for (std::size_t at = 0; at < callerThreads; ++at)
             m_threads.emplace_back([this, at, seed] { run(at, seed); });
@@ -49,7 +49,7 @@
     void run(std::size_t number, std::uint64_t seed)
     {
         std::mt19937_64 random(seed * 100 + number);
-        keep_alive_caller kept(m_world);
+        keep_alive_caller kept(m_cluster);
         const bool keepsConnections = number % 2 == 0;
         for (std::size_t at = 0; !m_stopping; ++at) {
             const std::string id = "c" + std::to_string(number) + "-" + std::to_string(at);
@@ -57,9 +57,9 @@
             const std::string path = kind == 0 ? "/stream/" + id + "/n" + std::to_string(1 + random() % 120)
                 : kind == 1                    ? "/unsafe/" + id
                                                : "/safe/" + id;
-            const auto& gateway = m_world.gateways()[random() % m_world.gateways().size()];
+            const auto& gateway = m_cluster.gateways()[random() % m_cluster.gateways().size()];
             auto response = keepsConnections ? kept.call(gateway, "POST", path, id, callerTimeout)
-                                             : m_world.call(gateway, "POST", path, id, callerTimeout);
+                                             : m_cluster.call(gateway, "POST", path, id, callerTimeout);
             if (response.status == 0)
                 std::this_thread::sleep_for(std::chrono::milliseconds(20)); // no process is listening
             const std::scoped_lock lock(m_mutex);
@@ -67,7 +67,7 @@
         }
     }
 
-    gateway_world& m_world;
+    gateway_cluster& m_cluster;
     std::atomic<bool> m_stopping { false };
     std::mutex m_mutex;
     std::vector<call_record> m_records;
--- a/tests/soak/check_call.hpp
+++ b/tests/soak/check_call.hpp
@@ -28,7 +28,7 @@
     if (response.serverStamp.empty())
         violations.report(what + " has no server stamp");
     const std::string expected = record.path.starts_with("/stream/")
-        ? gateway_world::streamBody(record.path, eventCountOf(record.path))
+        ? gateway_cluster::streamBody(record.path, eventCountOf(record.path))
         : stand_in_fleet::plainBody(record.path);
     const bool isRight = response.isComplete ? response.body == expected : expected.starts_with(response.body);
     if (!isRight)
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -47,19 +47,19 @@
         , m_withPushback(withPushback)
         , m_seed(seed)
         , m_duration(duration)
-        , m_world(gateways, enginesPerDomain)
+        , m_cluster(gateways, enginesPerDomain)
     {
     }
 
     bool run()
     {
-        if (!m_world.start()) {
+        if (!m_cluster.start()) {
             m_violations.report("the system didn't start");
             return false;
         }
         if (m_seed % 2 == 0)
-            m_world.fleet().keepIds();
-        caller_pool callers(m_world, m_seed);
+            m_cluster.fleet().keepIds();
+        caller_pool callers(m_cluster, m_seed);
         const auto end = clock_type::now() + m_duration;
         while (clock_type::now() < end) {
             injectFault();
@@ -74,7 +74,7 @@
         checkRecovery();
         checkCalls(callers.stop());
         if (m_violations.count() > 0)
-            std::cout << "logs: " << m_world.keepFolder() << std::endl;
+            std::cout << "logs: " << m_cluster.keepFolder() << std::endl;
         return m_violations.count() == 0;
     }
 
@@ -84,7 +84,7 @@
     /// @brief Records periods in which too few registries run for a quorum.
     void recordQuorumOutage()
     {
-        const auto& all = m_world.registries();
+        const auto& all = m_cluster.registries();
         const auto left = std::count_if(
             all.begin(), all.end(), [this](const std::string& name) { return !m_reserved.contains(name); });
         const auto now = clock_type::now();
@@ -132,15 +132,15 @@
 
     std::string randomProcess()
     {
-        const auto& registries = m_world.registries();
-        const auto& gateways = m_world.gateways();
+        const auto& registries = m_cluster.registries();
+        const auto& gateways = m_cluster.gateways();
         const std::size_t at = m_random() % (registries.size() + gateways.size());
         return at < registries.size() ? registries[at] : gateways[at - registries.size()];
     }
     std::size_t randomTarget()
     {
-        const auto& engines = m_world.engines();
-        const auto& plain = m_world.plainTargets();
+        const auto& engines = m_cluster.engines();
+        const auto& plain = m_cluster.plainTargets();
         const std::size_t at = m_random() % (engines.size() + plain.size());
         return at < engines.size() ? engines[at] : plain[at - engines.size()];
     }
@@ -152,9 +152,9 @@
         const std::string name = randomProcess();
         if (!reserve(name))
             return;
-        m_world.killHard(name);
+        m_cluster.killHard(name);
         beginFault("killed " + name, randomDuration(), [this, name] {
-            m_world.startProcess(name);
+            m_cluster.startProcess(name);
             m_reserved.erase(name);
         });
     }
@@ -164,9 +164,9 @@
         const std::string name = randomProcess();
         if (!reserve(name))
             return;
-        m_world.signal(name, SIGSTOP);
+        m_cluster.signal(name, SIGSTOP);
         beginFault("paused " + name, randomDuration(), [this, name] {
-            m_world.signal(name, SIGCONT);
+            m_cluster.signal(name, SIGCONT);
             m_reserved.erase(name);
         });
     }
@@ -176,18 +176,18 @@
         const std::string name = randomProcess();
         if (!reserve(name))
             return;
-        m_world.signal(name, SIGTERM);
+        m_cluster.signal(name, SIGTERM);
         const auto deadline = clock_type::now() + shutdownTimeout;
         beginFault("stopping " + name, shutdownTimeout, [this, name, deadline] {
             // The end of the soak test also ends this fault, possibly before the shutdown timeout.
             const auto left = std::max<clock_type::duration>(deadline - clock_type::now(), milliseconds(0));
             const int status
-                = m_world.waitForExit(name, std::chrono::duration_cast<milliseconds>(left) + milliseconds(500));
+                = m_cluster.waitForExit(name, std::chrono::duration_cast<milliseconds>(left) + milliseconds(500));
             if (status != 0)
                 m_violations.report(name + " didn't exit cleanly after SIGTERM: status " + std::to_string(status));
             if (status == -1)
-                m_world.killHard(name);
-            m_world.startProcess(name);
+                m_cluster.killHard(name);
+            m_cluster.startProcess(name);
             m_reserved.erase(name);
         });
     }
@@ -197,9 +197,9 @@
         const std::size_t target = randomTarget();
         if (!reserve("target" + std::to_string(target)))
             return;
-        m_world.fleet().kill(target);
+        m_cluster.fleet().kill(target);
         beginFault("killed target " + std::to_string(target), randomDuration(), [this, target] {
-            m_world.fleet().restart(target);
+            m_cluster.fleet().restart(target);
             m_reserved.erase("target" + std::to_string(target));
         });
     }
@@ -213,9 +213,9 @@
         const bool changesAddress = m_random() % 4 == 0;
         for (auto restarts = 1 + m_random() % 3; restarts > 0; --restarts) {
             if (changesAddress)
-                m_world.fleet().restartElsewhere(target);
+                m_cluster.fleet().restartElsewhere(target);
             else
-                m_world.fleet().restart(target);
+                m_cluster.fleet().restart(target);
         }
         std::cout << "! restarted target " << target << (changesAddress ? " at another address" : "") << std::endl;
     }
@@ -223,19 +223,19 @@
     /// Sends malformed records, as another writer may, under the id of a target or a new one.
     void sendMalformedRecords()
     {
-        const std::string registry = m_world.registries()[m_random() % m_world.registries().size()];
+        const std::string registry = m_cluster.registries()[m_random() % m_cluster.registries().size()];
         const std::size_t target = randomTarget();
-        const std::string valid = m_world.fleet().announcementOf(target);
-        const std::string id = m_random() % 2 == 0 ? m_world.fleet().idOf(target) : "i-broken";
+        const std::string valid = m_cluster.fleet().announcementOf(target);
+        const std::string id = m_random() % 2 == 0 ? m_cluster.fleet().idOf(target) : "i-broken";
         for (int at = 0; at < 20; ++at) {
             std::string body = valid.substr(0, m_random() % valid.size());
             if (at % 2 == 0)
                 body = "{\"service\":7,\"state\":[],\"address\":null}";
-            const int status = m_world.sendRecord(registry, "PUT", id, body);
+            const int status = m_cluster.sendRecord(registry, "PUT", id, body);
             if (status == 200)
                 m_violations.report(registry + " accepted the malformed record " + body);
         }
-        if (!m_world.targetState(registry, "i-broken").empty())
+        if (!m_cluster.targetState(registry, "i-broken").empty())
             m_violations.report(registry + " created a target from a malformed record");
         std::cout << "! sent malformed records to " << registry << std::endl;
     }
@@ -245,9 +245,9 @@
         const std::size_t target = randomTarget();
         if (!reserve("target" + std::to_string(target)))
             return;
-        m_world.fleet().setUnresponsive(target, true);
+        m_cluster.fleet().setUnresponsive(target, true);
         beginFault("paused target " + std::to_string(target), randomDuration(), [this, target] {
-            m_world.fleet().setUnresponsive(target, false);
+            m_cluster.fleet().setUnresponsive(target, false);
             m_reserved.erase("target" + std::to_string(target));
         });
     }
@@ -257,9 +257,9 @@
         const std::size_t target = randomTarget();
         if (!reserve("target" + std::to_string(target)))
             return;
-        m_world.fleet().setFaults(target, { 0.1, 0.1, 0.1, 0.1, 3 });
+        m_cluster.fleet().setFaults(target, { 0.1, 0.1, 0.1, 0.1, 3 });
         beginFault("faulty responses from target " + std::to_string(target), randomDuration(), [this, target] {
-            m_world.fleet().setFaults(target, {});
+            m_cluster.fleet().setFaults(target, {});
             m_reserved.erase("target" + std::to_string(target));
         });
     }
@@ -270,8 +270,8 @@
     {
         if (m_pushbackRandom() % 4 != 0)
             return;
-        const auto& engines = m_world.engines();
-        const auto& plain = m_world.plainTargets();
+        const auto& engines = m_cluster.engines();
+        const auto& plain = m_cluster.plainTargets();
         const std::size_t target = m_pushbackRandom() % 2 == 0 ? plain[m_pushbackRandom() % plain.size()]
                                                                : engines[m_pushbackRandom() % engines.size()];
         if (!reserve("pushback" + std::to_string(target)))
@@ -284,9 +284,9 @@
 
     void requestBackoff(std::size_t target)
     {
-        m_world.fleet().setRetryAfter(target, milliseconds(500 + m_pushbackRandom() % 1500));
+        m_cluster.fleet().setRetryAfter(target, milliseconds(500 + m_pushbackRandom() % 1500));
         beginFault("target " + std::to_string(target) + " requests a backoff", milliseconds(2000), [this, target] {
-            m_world.fleet().setRetryAfter(target, std::nullopt);
+            m_cluster.fleet().setRetryAfter(target, std::nullopt);
             m_reserved.erase("pushback" + std::to_string(target));
         });
     }
@@ -294,20 +294,20 @@
     void limitRate(std::size_t target)
     {
         const double perSecond = static_cast<double>(1 + m_pushbackRandom() % 50) / 10;
-        m_world.fleet().setLimit(target, perSecond);
+        m_cluster.fleet().setLimit(target, perSecond);
         beginFault("target " + std::to_string(target) + " names a limit of " + std::to_string(perSecond)
                 + " requests per second",
             limitGracePeriod + milliseconds(2000 + m_pushbackRandom() % 6000),
             [this, target, perSecond, from = clock_type::now() + limitGracePeriod] {
                 checkLimit(target, perSecond, from);
-                m_world.fleet().setLimit(target, std::nullopt);
+                m_cluster.fleet().setLimit(target, std::nullopt);
                 m_reserved.erase("pushback" + std::to_string(target));
             });
     }
 
     void checkLimit(std::size_t target, double perSecond, clock_type::time_point from)
     {
-        const auto most = peakRequestsPerWindow(m_world.fleet().arrivalsAt(target), from);
+        const auto most = peakRequestsPerWindow(m_cluster.fleet().arrivalsAt(target), from);
         if (static_cast<double>(most) > maxRequestsPerWindow(perSecond))
             m_violations.report("target " + std::to_string(target) + " named a limit of " + std::to_string(perSecond)
                 + " requests per second and got " + std::to_string(most) + " in 4 s");
@@ -317,33 +317,33 @@
     {
         static constexpr std::array modes { relay_mode::Silent, relay_mode::UpstreamOnly, relay_mode::DownstreamOnly,
             relay_mode::Slow };
-        const std::string name = m_world.registries()[m_random() % m_world.registries().size()];
+        const std::string name = m_cluster.registries()[m_random() % m_cluster.registries().size()];
         if (!reserve("link" + name))
             return;
         const std::size_t mode = m_random() % modes.size();
-        m_world.linkRelay(name).setMode(modes[mode]);
+        m_cluster.linkRelay(name).setMode(modes[mode]);
         beginFault("impaired the links of " + name + ", mode " + std::to_string(mode), randomDuration(), [this, name] {
-            m_world.linkRelay(name).setMode(relay_mode::Pass);
+            m_cluster.linkRelay(name).setMode(relay_mode::Pass);
             m_reserved.erase("link" + name);
         });
     }
 
     void throttleLinks()
     {
-        const std::string name = m_world.registries()[m_random() % m_world.registries().size()];
+        const std::string name = m_cluster.registries()[m_random() % m_cluster.registries().size()];
         if (!reserve("link" + name))
             return;
-        m_world.linkRelay(name).setRate(throttledLinkRate);
+        m_cluster.linkRelay(name).setRate(throttledLinkRate);
         beginFault("throttled the links of " + name, randomDuration(), [this, name] {
-            m_world.linkRelay(name).setRate(0);
+            m_cluster.linkRelay(name).setRate(0);
             m_reserved.erase("link" + name);
         });
     }
 
     void resetLinks()
     {
-        const std::string name = m_world.registries()[m_random() % m_world.registries().size()];
-        m_world.linkRelay(name).resetConnections();
+        const std::string name = m_cluster.registries()[m_random() % m_cluster.registries().size()];
+        m_cluster.linkRelay(name).resetConnections();
         std::cout << "! reset the links of " << name << std::endl;
     }
 
@@ -351,16 +351,16 @@
     /// data is guaranteed to survive the loss of one disk only.
     void loseDisk()
     {
-        const std::string name = m_world.registries()[m_random() % m_world.registries().size()];
+        const std::string name = m_cluster.registries()[m_random() % m_cluster.registries().size()];
         const bool noRegistryFault = std::none_of(m_activeFaults.begin(), m_activeFaults.end(),
             [](const active_fault& fault) { return fault.description.find("registry") != std::string::npos; });
         if (!noRegistryFault || clock_type::now() < m_nextDiskLoss || !allRegistriesReadable() || !reserve(name))
             return;
         m_nextDiskLoss = clock_type::now() + seconds(8);
-        m_world.killHard(name);
-        m_world.loseDisk(name);
+        m_cluster.killHard(name);
+        m_cluster.loseDisk(name);
         beginFault("lost the disk of " + name, milliseconds(500), [this, name] {
-            m_world.startProcess(name);
+            m_cluster.startProcess(name);
             m_reserved.erase(name);
         });
     }
@@ -368,21 +368,21 @@
     void reloadSettings()
     {
         const std::string name = randomProcess();
-        if (m_world.isRunning(name) && !m_reserved.contains(name))
-            m_world.signal(name, SIGHUP);
+        if (m_cluster.isRunning(name) && !m_reserved.contains(name))
+            m_cluster.signal(name, SIGHUP);
     }
 
     bool allRegistriesReadable()
     {
-        return std::all_of(m_world.registries().begin(), m_world.registries().end(),
-            [this](const std::string& name) { return m_world.readVersion(name).has_value(); });
+        return std::all_of(m_cluster.registries().begin(), m_cluster.registries().end(),
+            [this](const std::string& name) { return m_cluster.readVersion(name).has_value(); });
     }
 
     /// Publishes a document or reads the version. No read may return an older version than was acknowledged before the
     /// propagation timeout.
     void publishOrRead()
     {
-        const std::string registry = m_world.registries()[m_random() % m_world.registries().size()];
+        const std::string registry = m_cluster.registries()[m_random() % m_cluster.registries().size()];
         if (m_random() % 3 == 0) {
             const std::uint64_t version = ++m_version;
             document_options options;
@@ -391,7 +391,7 @@
                 options.fillerRoutes = 500;
                 options.fillerPathLength = 300; // 100 KB even when compressed
             }
-            if (m_world.publish(version, registry, options) == 200)
+            if (m_cluster.publish(version, registry, options) == 200)
                 m_acknowledged.emplace_back(clock_type::now(), version);
             return;
         }
@@ -401,7 +401,7 @@
             if (when <= before)
                 least = std::max(least, version);
         }
-        const auto read = m_world.readVersion(registry);
+        const auto read = m_cluster.readVersion(registry);
         if (read && *read < least)
             m_violations.report(registry + " returned version " + std::to_string(*read) + " after "
                 + std::to_string(least) + " was acknowledged");
@@ -412,8 +412,8 @@
         std::uint64_t newest = 0;
         for (const auto& [when, version] : m_acknowledged)
             newest = std::max(newest, version);
-        const auto reads = [&](const std::string& name) { return m_world.readVersion(name).value_or(0) >= newest; };
-        for (const auto& name : m_world.registries()) {
+        const auto reads = [&](const std::string& name) { return m_cluster.readVersion(name).value_or(0) >= newest; };
+        for (const auto& name : m_cluster.registries()) {
             if (!waitUntil([&] { return reads(name); }, recoveryTimeout))
                 m_violations.report(
                     name + " doesn't return version " + std::to_string(newest) + " after all faults have ended");
@@ -421,10 +421,10 @@
         std::size_t number = 0;
         const auto serves = [&](const std::string& gateway) {
             const std::string id = "end-" + gateway + std::to_string(++number);
-            return m_world.call(gateway, "POST", "/stream/" + id + "/n5", id).isComplete
-                && m_world.call(gateway, "POST", "/safe/" + id, id + "s").status == 200;
+            return m_cluster.call(gateway, "POST", "/stream/" + id + "/n5", id).isComplete
+                && m_cluster.call(gateway, "POST", "/safe/" + id, id + "s").status == 200;
         };
-        for (const auto& name : m_world.gateways()) {
+        for (const auto& name : m_cluster.gateways()) {
             if (!waitUntil([&] { return serves(name); }, recoveryTimeout))
                 m_violations.report(name + " doesn't serve requests after all faults have ended");
         }
@@ -433,7 +433,7 @@
     void checkCalls(const std::vector<call_record>& records)
     {
         std::map<std::string, std::size_t> runs;
-        for (const auto& run : m_world.fleet().runs()) {
+        for (const auto& run : m_cluster.fleet().runs()) {
             ++runs[run.requestId];
             if (run.workspace != "w1")
                 m_violations.report(run.requestId + " ran for workspace '" + run.workspace + "'");
@@ -463,7 +463,7 @@
     bool m_withPushback;
     std::uint64_t m_seed;
     seconds m_duration;
-    gateway_world m_world;
+    gateway_cluster m_cluster;
     violation_log m_violations;
     std::vector<active_fault> m_activeFaults;
     std::set<std::string> m_reserved; ///< processes, targets and links with an active fault
--- a/tests/support/continuous_callers.hpp
+++ b/tests/support/continuous_callers.hpp
@@ -2,7 +2,7 @@
 /// @brief Callers that send requests to all gateways without interruption.
 #pragma once
 
-#include "support/gateway_world.hpp"
+#include "support/gateway_cluster.hpp"
 
 #include <atomic>
 #include <thread>
@@ -12,10 +12,10 @@
 /// @brief One caller per gateway, each on its own thread, with a short pause after each response.
 class continuous_callers {
 public:
-    continuous_callers(gateway_world& world, const std::string& method, const std::string& path)
+    continuous_callers(gateway_cluster& cluster, const std::string& method, const std::string& path)
     {
-        for (const auto& gateway : world.gateways())
-            m_threads.emplace_back([this, &world, gateway, method, path] { run(world, gateway, method, path); });
+        for (const auto& gateway : cluster.gateways())
+            m_threads.emplace_back([this, &cluster, gateway, method, path] { run(cluster, gateway, method, path); });
     }
     continuous_callers(const continuous_callers&) = delete;
     continuous_callers& operator=(const continuous_callers&) = delete;
@@ -38,11 +38,11 @@
     static constexpr std::chrono::milliseconds pauseBetweenCalls { 15 };
     static constexpr std::chrono::milliseconds callTimeout { 3000 };
 
-    void run(gateway_world& world, const std::string& gateway, const std::string& method, const std::string& path)
+    void run(gateway_cluster& cluster, const std::string& gateway, const std::string& method, const std::string& path)
     {
         static std::atomic<int> number { 0 };
         while (!m_stopRequested) {
-            const auto response = world.call(gateway, method, path, "busy-" + std::to_string(++number), callTimeout);
+            const auto response = cluster.call(gateway, method, path, "busy-" + std::to_string(++number), callTimeout);
             ++(response.status == 200 && response.isComplete ? m_served : m_notServed);
             m_refusedWithoutRetryAfter += response.status == 503 && response.retryAfter.empty() ? 1 : 0;
             std::this_thread::sleep_for(pauseBetweenCalls);
@@ -57,11 +57,11 @@
 };
 
 /// @return the engine that most requests reached as the first engine of their chain
-inline std::size_t busiestEngine(gateway_world& world)
+inline std::size_t busiestEngine(gateway_cluster& cluster)
 {
-    std::size_t busiest = world.engines().front();
-    for (const auto target : world.engines()) {
-        if (world.fleet().arrivalsAt(target).size() > world.fleet().arrivalsAt(busiest).size())
+    std::size_t busiest = cluster.engines().front();
+    for (const auto target : cluster.engines()) {
+        if (cluster.fleet().arrivalsAt(target).size() > cluster.fleet().arrivalsAt(busiest).size())
             busiest = target;
     }
     return busiest;
--- a/tests/support/gateway_world.cpp
+++ b/tests/support/gateway_cluster.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// @brief Start, faults and requests of the registries and gateways.
-#include "support/gateway_world.hpp"
+#include "support/gateway_cluster.hpp"
 
 #include "buckthornrail/http/http_client.hpp"
 
@@ -70,12 +70,12 @@
 
 } // namespace
 
-gateway_world::gateway_world(
+gateway_cluster::gateway_cluster(
     std::size_t gateways, std::size_t enginesPerDomain, std::size_t registries, std::string gatewaySettings)
     : m_enginesPerDomain(enginesPerDomain)
     , m_gatewaySettings(std::move(gatewaySettings))
 {
-    std::string folderTemplate = (std::filesystem::temp_directory_path() / "gateway-world-XXXXXX").string();
+    std::string folderTemplate = (std::filesystem::temp_directory_path() / "gateway-cluster-XXXXXX").string();
     m_folder = ::mkdtemp(folderTemplate.data());
     for (std::size_t at = 0; at < registries; ++at)
         m_registries.push_back("registry-" + std::to_string(at + 1));
@@ -84,7 +84,7 @@
     writeSettings();
 }
 
-gateway_world::~gateway_world()
+gateway_cluster::~gateway_cluster()
 {
     for (const auto& [name, pid] : m_pids)
         ::kill(pid, SIGKILL);
@@ -96,13 +96,13 @@
         std::filesystem::remove_all(m_folder, ignored);
 }
 
-std::string gateway_world::keepFolder()
+std::string gateway_cluster::keepFolder()
 {
     m_keepsFolder = true;
     return m_folder;
 }
 
-void gateway_world::writeSettings()
+void gateway_cluster::writeSettings()
 {
     // The registries have the same ports and different IP addresses, as on separate machines.
     const std::string linkPort = freeAddress().substr(10);
@@ -141,14 +141,14 @@
     }
 }
 
-void gateway_world::suspendClocks()
+void gateway_cluster::suspendClocks()
 {
     const std::string library = binaryPath("tests/libsuspended_clock.so");
     for (auto& [name, command] : m_commands)
         command.insert(command.begin(), { "/usr/bin/env", "LD_PRELOAD=" + library });
 }
 
-bool gateway_world::start()
+bool gateway_cluster::start()
 {
     for (const auto& name : m_registries)
         startProcess(name);
@@ -175,14 +175,14 @@
         && waitUntil(isServing, startTimeout);
 }
 
-void gateway_world::startProcess(const std::string& name)
+void gateway_cluster::startProcess(const std::string& name)
 {
     m_pids[name] = spawnProcess(m_commands.at(name), m_folder + "/" + name + ".log");
 }
 
-void gateway_world::signal(const std::string& name, int number) { ::kill(m_pids.at(name), number); }
+void gateway_cluster::signal(const std::string& name, int number) { ::kill(m_pids.at(name), number); }
 
-int gateway_world::waitForExit(const std::string& name, std::chrono::milliseconds timeout)
+int gateway_cluster::waitForExit(const std::string& name, std::chrono::milliseconds timeout)
 {
     const int status = waitForProcess(m_pids.at(name), timeout);
     if (status != -1)
@@ -190,13 +190,13 @@
     return status;
 }
 
-void gateway_world::killHard(const std::string& name)
+void gateway_cluster::killHard(const std::string& name)
 {
     signal(name, SIGKILL);
     (void)waitForExit(name, killTimeout);
 }
 
-void gateway_world::loseDisk(const std::string& registry)
+void gateway_cluster::loseDisk(const std::string& registry)
 {
     std::filesystem::remove_all(m_folder + "/data-" + registry);
     // A blank member must join the others, not form a new log.
@@ -207,20 +207,20 @@
     std::ofstream(m_folder + "/" + registry + ".ini") << text;
 }
 
-int gateway_world::publish(std::uint64_t version, const std::string& registry, const std::string& extraRoute)
+int gateway_cluster::publish(std::uint64_t version, const std::string& registry, const std::string& extraRoute)
 {
     document_options options;
     options.extraRoute = extraRoute;
     return publish(version, registry, options);
 }
 
-int gateway_world::publish(std::uint64_t version, const std::string& registry, const document_options& options)
+int gateway_cluster::publish(std::uint64_t version, const std::string& registry, const document_options& options)
 {
     return sendRequest(m_addresses.at(registry), "PUT", "/config", documentOf(version, options), {}, controlTimeout)
         .status;
 }
 
-int gateway_world::publishToAny(std::uint64_t version, const std::string& extraRoute)
+int gateway_cluster::publishToAny(std::uint64_t version, const std::string& extraRoute)
 {
     int status = 0;
     for (const auto& name : m_registries) {
@@ -231,7 +231,7 @@
     return status;
 }
 
-std::optional<std::uint64_t> gateway_world::readVersion(const std::string& registry)
+std::optional<std::uint64_t> gateway_cluster::readVersion(const std::string& registry)
 {
     const auto response = sendRequest(m_addresses.at(registry), "GET", "/config", "", {}, controlTimeout);
     if (response.status != 200)
@@ -239,7 +239,7 @@
     return json::parse(response.body).at("version").get<std::uint64_t>();
 }
 
-std::string gateway_world::leader()
+std::string gateway_cluster::leader()
 {
     for (const auto& name : m_registries) {
         if (!isRunning(name))
@@ -251,7 +251,7 @@
     return {};
 }
 
-caller_response gateway_world::call(const std::string& gateway, const std::string& method, const std::string& path,
+caller_response gateway_cluster::call(const std::string& gateway, const std::string& method, const std::string& path,
     const std::string& requestId, std::chrono::milliseconds timeout, const std::string& key)
 {
     std::vector<http::header_field> headers;
@@ -271,7 +271,7 @@
     return result;
 }
 
-std::vector<std::pair<std::string, std::string>> gateway_world::callerFields(
+std::vector<std::pair<std::string, std::string>> gateway_cluster::callerFields(
     const std::string& requestId, std::chrono::milliseconds timeout, const std::string& key)
 {
     return { { "Host", "h.example" }, { "X-Buckthornrail-Attempt-Id", requestId },
@@ -279,24 +279,24 @@
         { "X-Buckthornrail-Token-Count", "10,10" } };
 }
 
-int gateway_world::readyStatus(const std::string& gateway)
+int gateway_cluster::readyStatus(const std::string& gateway)
 {
     return sendRequest(m_health.at(gateway), "GET", "/readyz", "", {}, controlTimeout).status;
 }
 
-std::string gateway_world::targetLine(const std::string& registry, const std::string& targetId)
+std::string gateway_cluster::targetLine(const std::string& registry, const std::string& targetId)
 {
     const auto response = sendRequest(m_addresses.at(registry), "GET", "/status", "", {}, controlTimeout);
     const auto at = response.body.find("target " + targetId + " ");
     return at == std::string::npos ? std::string() : response.body.substr(at, response.body.find('\n', at) - at);
 }
 
-std::string gateway_world::metricsOf(const std::string& registry)
+std::string gateway_cluster::metricsOf(const std::string& registry)
 {
     return sendRequest(m_addresses.at(registry), "GET", "/metrics", "", {}, controlTimeout).body;
 }
 
-caller_response gateway_world::callRegistry(
+caller_response gateway_cluster::callRegistry(
     const std::string& registry, const std::string& method, const std::string& path)
 {
     const auto response = sendRequest(m_addresses.at(registry), method, path, "", {}, controlTimeout);
@@ -307,18 +307,19 @@
     return result;
 }
 
-int gateway_world::sendRecord(
+int gateway_cluster::sendRecord(
     const std::string& registry, const std::string& method, const std::string& id, const std::string& body)
 {
     return sendRequest(m_addresses.at(registry), method, "/instances/" + id, body, {}, controlTimeout).status;
 }
 
-std::string gateway_world::responseToRecord(const std::string& registry, const std::string& id, const std::string& body)
+std::string gateway_cluster::responseToRecord(
+    const std::string& registry, const std::string& id, const std::string& body)
 {
     return sendRequest(m_addresses.at(registry), "PUT", "/instances/" + id, body, {}, controlTimeout).body;
 }
 
-int gateway_world::sessionCount(const std::string& registry)
+int gateway_cluster::sessionCount(const std::string& registry)
 {
     const std::string linePrefix = "\ngateways ";
     const auto response = sendRequest(m_addresses.at(registry), "GET", "/status", "", {}, controlTimeout);
@@ -326,7 +327,7 @@
     return found == std::string::npos ? -1 : std::stoi(response.body.substr(found + linePrefix.size()));
 }
 
-std::string gateway_world::targetState(const std::string& registry, const std::string& targetId)
+std::string gateway_cluster::targetState(const std::string& registry, const std::string& targetId)
 {
     std::istringstream line(targetLine(registry, targetId));
     std::string state;
@@ -335,15 +336,15 @@
     return state;
 }
 
-int gateway_world::announceUnreachableTarget(const std::string& registry)
+int gateway_cluster::announceUnreachableTarget(const std::string& registry)
 {
     return sendRecord(
         registry, "PUT", "i-alone", R"({"service":"app","address":"127.0.0.1:9","zone":"d1","state":"ready","seq":1})");
 }
 
-std::string gateway_world::logOf(const std::string& name) const { return readFile(m_folder + "/" + name + ".log"); }
+std::string gateway_cluster::logOf(const std::string& name) const { return readFile(m_folder + "/" + name + ".log"); }
 
-std::string gateway_world::streamBody(const std::string& path, std::uint64_t events)
+std::string gateway_cluster::streamBody(const std::string& path, std::uint64_t events)
 {
     std::string body;
     for (std::uint64_t id = 1; id <= events; ++id)
--- a/tests/support/gateway_world.hpp
+++ b/tests/support/gateway_cluster.hpp
@@ -35,17 +35,17 @@
 /// @brief Runs registries and gateways, and in three failure domains engines and a target of a plain service.
 ///
 /// The destructor kills the processes, each by its id.
-class gateway_world {
+class gateway_cluster {
 public:
     /// @param gateways number of gateways
     /// @param enginesPerDomain number of engines in each failure domain
     /// @param registries number of registries; the settings of all processes list the first three
     /// @param gatewaySettings lines added to section [gateway] of the gateways' settings
-    explicit gateway_world(std::size_t gateways = 2, std::size_t enginesPerDomain = 4, std::size_t registries = 3,
+    explicit gateway_cluster(std::size_t gateways = 2, std::size_t enginesPerDomain = 4, std::size_t registries = 3,
         std::string gatewaySettings = {});
-    gateway_world(const gateway_world&) = delete;
-    gateway_world& operator=(const gateway_world&) = delete;
-    ~gateway_world();
+    gateway_cluster(const gateway_cluster&) = delete;
+    gateway_cluster& operator=(const gateway_cluster&) = delete;
+    ~gateway_cluster();
 
     /// @brief Makes the steady clock of each process stand still while a signal stops the process, as on a suspended
     /// machine. Call before start().
--- a/tests/support/keep_alive_caller.cpp
+++ b/tests/support/keep_alive_caller.cpp
@@ -7,12 +7,12 @@
 namespace test_support {
 
 struct keep_alive_caller::implementation {
-    const gateway_world& world;
+    const gateway_cluster& cluster;
     std::map<std::string, std::unique_ptr<httplib::Client>> clients; ///< by gateway
 };
 
-keep_alive_caller::keep_alive_caller(const gateway_world& world)
-    : m_implementation(new implementation { world, {} })
+keep_alive_caller::keep_alive_caller(const gateway_cluster& cluster)
+    : m_implementation(new implementation { cluster, {} })
 {
 }
 
@@ -23,7 +23,7 @@
 {
     auto& client = m_implementation->clients[gateway];
     if (!client) {
-        client = std::make_unique<httplib::Client>("http://" + m_implementation->world.addressOf(gateway));
+        client = std::make_unique<httplib::Client>("http://" + m_implementation->cluster.addressOf(gateway));
         client->set_keep_alive(true);
         client->set_tcp_nodelay(true);
     }
@@ -33,7 +33,7 @@
     httplib::Request request;
     request.method = method;
     request.path = path;
-    for (const auto& [name, value] : gateway_world::callerFields(requestId, timeout))
+    for (const auto& [name, value] : gateway_cluster::callerFields(requestId, timeout))
         request.headers.emplace(name, value);
     const auto result = client->send(request);
     caller_response response;
--- a/tests/support/keep_alive_caller.hpp
+++ b/tests/support/keep_alive_caller.hpp
@@ -2,15 +2,15 @@
 /// @brief A caller that reuses its connections (HTTP keep-alive).
 #pragma once
 
-#include "support/gateway_world.hpp"
+#include "support/gateway_cluster.hpp"
 
 namespace test_support {
 
 /// @brief Holds one connection per gateway until it breaks. Not thread-safe.
 class keep_alive_caller {
 public:
-    /// @param world must outlive the caller
-    explicit keep_alive_caller(const gateway_world& world);
+    /// @param cluster must outlive the caller
+    explicit keep_alive_caller(const gateway_cluster& cluster);
     keep_alive_caller(const keep_alive_caller&) = delete;
     keep_alive_caller& operator=(const keep_alive_caller&) = delete;
     ~keep_alive_caller();
--- a/tests/suspended_machine_test.cpp
+++ b/tests/suspended_machine_test.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// @brief Machines that are suspended for seconds while their steady clocks stop: after they wake, they don't treat
 /// earlier state as current.
-#include "support/gateway_world.hpp"
+#include "support/gateway_cluster.hpp"
 
 #include <catch2/catch.hpp>
 #include <csignal>
@@ -18,12 +18,12 @@
 /// Timeouts that expired during the suspension are handled within this time after the machine wakes.
 constexpr milliseconds maxWakeDelay { 500 };
 
-bool allGatewaysServe(gateway_world& world)
+bool allGatewaysServe(gateway_cluster& cluster)
 {
     static int number = 0;
-    return std::all_of(world.gateways().begin(), world.gateways().end(), [&world](const auto& gateway) {
+    return std::all_of(cluster.gateways().begin(), cluster.gateways().end(), [&cluster](const auto& gateway) {
         const auto id = "well-" + std::to_string(++number);
-        return world.call(gateway, "POST", "/stream/n5", id).body == gateway_world::streamBody("/stream/n5", 5);
+        return cluster.call(gateway, "POST", "/stream/n5", id).body == gateway_cluster::streamBody("/stream/n5", 5);
     });
 }
 
@@ -33,50 +33,50 @@
 {
     const auto suspension = GENERATE(seconds(2), seconds(5), seconds(20));
     CAPTURE(suspension.count());
-    gateway_world world(2);
-    world.suspendClocks();
-    REQUIRE(world.start());
-    const std::string gateway = world.gateways().front();
-    REQUIRE(world.publishToAny(2, "extra") == 200);
-    REQUIRE(waitUntil([&] { return world.call(gateway, "GET", "/extra/x", "before").status == 200; }, waitTimeout));
-    world.signal(gateway, SIGSTOP);
+    gateway_cluster cluster(2);
+    cluster.suspendClocks();
+    REQUIRE(cluster.start());
+    const std::string gateway = cluster.gateways().front();
+    REQUIRE(cluster.publishToAny(2, "extra") == 200);
+    REQUIRE(waitUntil([&] { return cluster.call(gateway, "GET", "/extra/x", "before").status == 200; }, waitTimeout));
+    cluster.signal(gateway, SIGSTOP);
     std::this_thread::sleep_for(suspension);
-    REQUIRE(world.publishToAny(3) == 200);
+    REQUIRE(cluster.publishToAny(3) == 200);
     // In flight when the machine wakes.
     auto inFlight
-        = std::async(std::launch::async, [&] { return world.call(gateway, "GET", "/extra/x", "early", seconds(4)); });
+        = std::async(std::launch::async, [&] { return cluster.call(gateway, "GET", "/extra/x", "early", seconds(4)); });
     std::this_thread::sleep_for(milliseconds(100));
-    world.signal(gateway, SIGCONT);
+    cluster.signal(gateway, SIGCONT);
     CHECK(inFlight.get().status == 404);
-    CHECK(world.call(gateway, "GET", "/extra/x", "late").status == 404);
-    CHECK(waitUntil([&] { return allGatewaysServe(world); }, waitTimeout));
-    CHECK(world.logOf(gateway).find("E106 process_stood_still") != std::string::npos);
+    CHECK(cluster.call(gateway, "GET", "/extra/x", "late").status == 404);
+    CHECK(waitUntil([&] { return allGatewaysServe(cluster); }, waitTimeout));
+    CHECK(cluster.logOf(gateway).find("E106 process_stood_still") != std::string::npos);
 }
 
 TEST_CASE("suspended gateway: a request whose time is over is answered when it wakes", "[suspended]")
 {
-    gateway_world world(1);
-    world.suspendClocks();
-    REQUIRE(world.start());
-    const std::string gateway = world.gateways().front();
-    for (const auto target : world.plainTargets())
-        world.fleet().setUnresponsive(target, true);
+    gateway_cluster cluster(1);
+    cluster.suspendClocks();
+    REQUIRE(cluster.start());
+    const std::string gateway = cluster.gateways().front();
+    for (const auto target : cluster.plainTargets())
+        cluster.fleet().setUnresponsive(target, true);
     using clock = std::chrono::steady_clock;
     auto held = std::async(std::launch::async, [&] {
-        const auto answer = world.call(gateway, "POST", "/unsafe/x", "held", seconds(4));
+        const auto answer = cluster.call(gateway, "POST", "/unsafe/x", "held", seconds(4));
         return std::pair(answer.status, clock::now());
     });
     std::this_thread::sleep_for(milliseconds(300));
-    world.signal(gateway, SIGSTOP);
+    cluster.signal(gateway, SIGSTOP);
     std::this_thread::sleep_for(milliseconds(3600)); // the deadline of 4 s passes soon afterwards
-    world.signal(gateway, SIGCONT);
+    cluster.signal(gateway, SIGCONT);
     const auto wokenAt = clock::now();
     const auto [status, at] = held.get();
     CHECK(status == 504);
     CHECK(at - wokenAt < milliseconds(400) + maxWakeDelay);
-    for (const auto target : world.plainTargets())
-        world.fleet().setUnresponsive(target, false);
-    CHECK(waitUntil([&] { return allGatewaysServe(world); }, waitTimeout));
+    for (const auto target : cluster.plainTargets())
+        cluster.fleet().setUnresponsive(target, false);
+    CHECK(waitUntil([&] { return allGatewaysServe(cluster); }, waitTimeout));
 }
 
 TEST_CASE("suspended registry: it returns no outdated version, and the others continue without it", "[suspended]")
@@ -84,34 +84,34 @@
     const auto suspension = GENERATE(seconds(2), seconds(5), seconds(20));
     const bool isLeader = GENERATE(true, false);
     CAPTURE(suspension.count(), isLeader);
-    gateway_world world(2);
-    world.suspendClocks();
-    REQUIRE(world.start());
-    const std::string leader = world.leader();
+    gateway_cluster cluster(2);
+    cluster.suspendClocks();
+    REQUIRE(cluster.start());
+    const std::string leader = cluster.leader();
     std::string suspended = leader;
-    for (const auto& name : world.registries()) {
+    for (const auto& name : cluster.registries()) {
         if (!isLeader && name != leader)
             suspended = name;
     }
-    world.signal(suspended, SIGSTOP);
+    cluster.signal(suspended, SIGSTOP);
     REQUIRE(waitUntil(
         [&] {
-            return std::any_of(world.registries().begin(), world.registries().end(),
-                [&](const auto& name) { return name != suspended && world.publish(7, name) == 200; });
+            return std::any_of(cluster.registries().begin(), cluster.registries().end(),
+                [&](const auto& name) { return name != suspended && cluster.publish(7, name) == 200; });
         },
         waitTimeout));
     std::this_thread::sleep_for(suspension);
-    auto inFlight = std::async(std::launch::async, [&] { return world.readVersion(suspended); });
+    auto inFlight = std::async(std::launch::async, [&] { return cluster.readVersion(suspended); });
     std::this_thread::sleep_for(milliseconds(100));
-    world.signal(suspended, SIGCONT);
+    cluster.signal(suspended, SIGCONT);
     const auto read = inFlight.get();
     CHECK((!read || *read == 7U)); // none: it refuses with 503 when it can't confirm its version
     for (int at = 0; at < 20; ++at) {
-        const auto again = world.readVersion(suspended);
+        const auto again = cluster.readVersion(suspended);
         CHECK((!again || *again == 7U));
     }
-    CHECK(waitUntil([&] { return world.readVersion(suspended) == 7U; }, waitTimeout));
-    CHECK(waitUntil([&] { return allGatewaysServe(world); }, waitTimeout));
+    CHECK(waitUntil([&] { return cluster.readVersion(suspended) == 7U; }, waitTimeout));
+    CHECK(waitUntil([&] { return allGatewaysServe(cluster); }, waitTimeout));
     // It must not consider instances lost because it received nothing itself.
-    CHECK(world.logOf(suspended).find("E601 instance_lost") == std::string::npos);
+    CHECK(cluster.logOf(suspended).find("E601 instance_lost") == std::string::npos);
 }
