--- a/scripts/upgrade_check.sh
+++ b/scripts/upgrade_check.sh
@@ -14,7 +14,7 @@
 old=$(realpath "$1")
 shift
 [ "$#" -gt 0 ] || set -- control-old control-new every-second upgrade downgrade
-tests=${TESTS:-^(process_faults|gateway_process|session_spread|target_restart|lost_disk|incident_large_change|incident_repeats|soak|soak_pushback)$}
+tests=${TESTS:-^(process_faults|gateway_process|session_spread|target_restart|lost_disk|incident_large_change|incident_retries|soak|soak_pushback)$}
 cd "$(dirname "$0")/.."
 build=$(realpath "${BUILD_DIR:-build}")
 binary=$build/buckthornrail
