--- a/examples/embedded_log.cpp
+++ b/examples/embedded_log.cpp
@@ -45,8 +45,8 @@
     for (int step = 0; step < 300; ++step) {
         now += milliseconds(10);
         std::vector<joining_replica> joiningReplicas;
-        for (std::size_t at = 1; at < nodes.size(); ++at)
-            joiningReplicas.push_back({ nodes[at].log.self(), "node " + std::to_string(at + 1) });
+        for (std::size_t index = 1; index < nodes.size(); ++index)
+            joiningReplicas.push_back({ nodes[index].log.self(), "node " + std::to_string(index + 1) });
         for (auto& node : nodes) {
             node.log.tick(now);
             if (auto changed = nextMembers(node.log, joiningReplicas, now))
--- a/tests/docs_test.cpp
+++ b/tests/docs_test.cpp
@@ -69,9 +69,9 @@
         std::ostringstream line;
         line << "| [" << rule.section << "] " << rule.key << " | ";
         INFO(line.str());
-        const auto at = text.find(line.str());
-        REQUIRE(at != std::string::npos);
-        const std::string row = text.substr(at, text.find('\n', at) - at);
+        const auto position = text.find(line.str());
+        REQUIRE(position != std::string::npos);
+        const std::string row = text.substr(position, text.find('\n', position) - position);
         CHECK(row.find(std::string(rule.description)) != std::string::npos);
     }
     CHECK(tableRowCount(text) == settings::settingRules().size() + headerRows);
--- a/tests/gateway_process_test.cpp
+++ b/tests/gateway_process_test.cpp
@@ -74,10 +74,10 @@
     for (const bool silent : { false, true }) {
         std::vector<caller_response> results(8);
         std::vector<std::thread> callers;
-        for (std::size_t at = 0; at < results.size(); ++at) {
-            callers.emplace_back([&, at] {
-                const std::string id = "long-" + std::to_string(silent) + std::to_string(at);
-                results[at] = cluster.call(cluster.gateways()[at % 2], "POST", "/stream/n150", id, seconds(8));
+        for (std::size_t index = 0; index < results.size(); ++index) {
+            callers.emplace_back([&, index] {
+                const std::string id = "long-" + std::to_string(silent) + std::to_string(index);
+                results[index] = cluster.call(cluster.gateways()[index % 2], "POST", "/stream/n150", id, seconds(8));
             });
         }
         std::this_thread::sleep_for(milliseconds(400));
@@ -107,10 +107,10 @@
     REQUIRE(cluster.start());
     for (const auto target : cluster.plainTargets())
         cluster.fleet().setFaults(target, { 0.1, 0.1, 0.1, 0.1, 1 });
-    for (int at = 0; at < 150; ++at) {
-        const std::string path = (at % 2 == 0 ? "/unsafe/" : "/safe/") + std::to_string(at);
-        const std::string id = "f-" + std::to_string(at);
-        const auto answer = cluster.call(cluster.gateways()[at % 2], "POST", path, id);
+    for (int number = 0; number < 150; ++number) {
+        const std::string path = (number % 2 == 0 ? "/unsafe/" : "/safe/") + std::to_string(number);
+        const std::string id = "f-" + std::to_string(number);
+        const auto answer = cluster.call(cluster.gateways()[number % 2], "POST", path, id);
         const std::size_t runs = executionCount(cluster, id);
         INFO(path << " status " << answer.status << " runs " << runs);
         CHECK(answer.status != 0);
@@ -118,7 +118,7 @@
             CHECK(answer.body == stand_in_fleet::plainBody(path));
         if (answer.status == 503)
             CHECK(runs == 0);
-        if (at % 2 == 0)
+        if (number % 2 == 0)
             CHECK(runs <= 1);
     }
 }
@@ -130,9 +130,9 @@
     const std::string gateway = cluster.gateways()[0];
     std::vector<caller_response> results(6);
     std::vector<std::thread> callers;
-    for (std::size_t at = 0; at < results.size(); ++at) {
-        callers.emplace_back([&, at] {
-            results[at] = cluster.call(gateway, "POST", "/stream/n200", "t-" + std::to_string(at), seconds(8));
+    for (std::size_t index = 0; index < results.size(); ++index) {
+        callers.emplace_back([&, index] {
+            results[index] = cluster.call(gateway, "POST", "/stream/n200", "t-" + std::to_string(index), seconds(8));
         });
     }
     std::this_thread::sleep_for(milliseconds(300));
@@ -223,8 +223,9 @@
     cluster.fleet().drain(leaving);
     REQUIRE(waitUntil([&] { return cluster.fleet().isDrainAcknowledged(leaving); }, waitTimeout));
     std::this_thread::sleep_for(milliseconds(500));
-    for (int at = 0; at < 60; ++at) {
-        const auto answer = cluster.call(cluster.gateways()[at % 2], "POST", "/unsafe/d", "d-" + std::to_string(at));
+    for (int number = 0; number < 60; ++number) {
+        const auto answer
+            = cluster.call(cluster.gateways()[number % 2], "POST", "/unsafe/d", "d-" + std::to_string(number));
         CHECK(answer.status == 200);
     }
     const std::string id = "i-" + std::to_string(leaving) + "-";
@@ -306,8 +307,8 @@
     REQUIRE_FALSE(leader.empty());
     cluster.linkRelay(leader).setMode(relay_mode::Slow); // so that heartbeats and changes cross in flight
     std::uint64_t last = 100;
-    for (std::uint64_t at = 1; at <= changes; ++at) {
-        if (cluster.publish(last + 1, leader, "storm" + std::to_string(at)) == 200)
+    for (std::uint64_t change = 1; change <= changes; ++change) {
+        if (cluster.publish(last + 1, leader, "storm" + std::to_string(change)) == 200)
             ++last;
     }
     const std::string newest = "storm" + std::to_string(last - 100);
--- a/tests/incident_backoff_test.cpp
+++ b/tests/incident_backoff_test.cpp
@@ -34,7 +34,7 @@
     gateway_cluster& cluster, std::size_t target, clock_type::time_point from, clock_type::time_point to)
 {
     return countBetween(
-        cluster.fleet().arrivalsAt(target), [](const auto& one) { return one.at; }, from, to);
+        cluster.fleet().arrivalsAt(target), [](const auto& one) { return one.arrivedAt; }, from, to);
 }
 
 /// @return requests that arrived at a target during the backoff that it asked for, from its first refusal on
@@ -138,7 +138,7 @@
     const auto refusedAt = *cluster.fleet().firstRefusalAt(target);
     std::this_thread::sleep_until(refusedAt + retryAfter);
     const auto calls = countBetween(
-        cluster.fleet().controlCallsAt(target), [](const auto at) { return at; }, refusedAt + inFlightTime,
+        cluster.fleet().controlCallsAt(target), [](const auto time) { return time; }, refusedAt + inFlightTime,
         refusedAt + retryAfter);
     checkAtMost(cluster, calls, maxDuringBackoff);
     cluster.fleet().setRetryAfter(target, std::nullopt);
--- a/tests/incident_crashing_request_test.cpp
+++ b/tests/incident_crashing_request_test.cpp
@@ -88,7 +88,7 @@
 void sendToAllGateways(gateway_cluster& cluster, const std::string& method, const std::string& path, int times)
 {
     static int number = 0;
-    for (int at = 0; at < times; ++at) {
+    for (int round = 0; round < times; ++round) {
         for (const auto& gateway : cluster.gateways())
             (void)cluster.call(gateway, method, path, "later-" + std::to_string(++number), seconds(3));
     }
@@ -189,18 +189,18 @@
     gateway_cluster cluster(3, enginesPerDomain);
     REQUIRE(cluster.start());
     std::vector<std::unique_ptr<retrying_caller>> callers;
-    for (int at = 0; at < 4; ++at) {
+    for (int round = 0; round < 4; ++round) {
         for (const auto& gateway : cluster.gateways())
             callers.push_back(std::make_unique<retrying_caller>(cluster, gateway, "POST", path));
     }
     std::this_thread::sleep_for(milliseconds(500));
     // Kills a sixth of the engines at once, twice, each time including engines that are the first of a path.
     for (int time = 0; time < 2; ++time) {
-        for (std::size_t at = 0; at < cluster.engines().size(); at += 6)
-            cluster.fleet().kill(cluster.engines()[at]);
+        for (std::size_t index = 0; index < cluster.engines().size(); index += 6)
+            cluster.fleet().kill(cluster.engines()[index]);
         std::this_thread::sleep_for(milliseconds(600));
-        for (std::size_t at = 0; at < cluster.engines().size(); at += 6)
-            cluster.fleet().restart(cluster.engines()[at]);
+        for (std::size_t index = 0; index < cluster.engines().size(); index += 6)
+            cluster.fleet().restart(cluster.engines()[index]);
         std::this_thread::sleep_for(milliseconds(600));
     }
     std::this_thread::sleep_for(seconds(1));
@@ -225,10 +225,10 @@
     gateway_cluster cluster(3);
     REQUIRE(cluster.start());
     std::vector<std::unique_ptr<retrying_caller>> callers;
-    for (int at = 0; at < 3; ++at) {
+    for (int number = 0; number < 3; ++number) {
         for (const auto& gateway : cluster.gateways())
             callers.push_back(std::make_unique<retrying_caller>(
-                cluster, gateway, "POST", "/stream/other/" + std::to_string(at) + "/n60"));
+                cluster, gateway, "POST", "/stream/other/" + std::to_string(number) + "/n60"));
     }
     std::this_thread::sleep_for(milliseconds(300));
     sendToAllGateways(cluster, "POST", path, 3);
@@ -242,8 +242,8 @@
     const std::string registry = cluster.registries().front();
     const auto list = cluster.callRegistry(registry, "GET", "/quarantine");
     CHECK(list.body.find("\"stage\":\"proven\"") != std::string::npos);
-    const auto at = list.body.find("\"fingerprint\":\"");
-    REQUIRE(at != std::string::npos);
+    const auto position = list.body.find("\"fingerprint\":\"");
+    REQUIRE(position != std::string::npos);
     CHECK(cluster.callRegistry(registry, "DELETE", "/quarantine/nonsense").status == 400);
     CHECK(cluster.callRegistry(registry, "DELETE", "/quarantine/" + std::string(32, '0')).status == 404);
     CHECK(cluster.callRegistry(registry, "DELETE", "/quarantine/all").status == 200);
--- a/tests/incident_named_limit_test.cpp
+++ b/tests/incident_named_limit_test.cpp
@@ -24,7 +24,7 @@
 {
     const auto arrivals = cluster.fleet().arrivalsAt(target);
     return static_cast<std::size_t>(
-        std::count_if(arrivals.begin(), arrivals.end(), [from](const auto& one) { return one.at >= from; }));
+        std::count_if(arrivals.begin(), arrivals.end(), [from](const auto& one) { return one.arrivedAt >= from; }));
 }
 
 /// Checks that a target got no more requests than its limit allows; keeps the logs otherwise.
--- a/tests/incident_retries_test.cpp
+++ b/tests/incident_retries_test.cpp
@@ -66,7 +66,7 @@
     int number = 0;
     for (int round = 0; round <= restarts; ++round) {
         for (const auto& gateway : cluster.gateways()) {
-            for (int at = 0; at < callsPerRound; ++at)
+            for (int count = 0; count < callsPerRound; ++count)
                 (void)cluster.call(gateway, "GET", "/safe/x", "r-" + std::to_string(++number), seconds(2));
         }
         if (round == restarts)
@@ -91,7 +91,7 @@
         cluster.fleet().setFaults(target, { 0, 0, 0, 1, 1 });
     int number = 0;
     const auto sendCalls = [&](const std::string& gateway) {
-        for (int at = 0; at < callsPerGateway; ++at)
+        for (int count = 0; count < callsPerGateway; ++count)
             (void)cluster.call(gateway, "GET", "/safe/x", "r-" + std::to_string(++number), seconds(2));
     };
     for (const auto& gateway : cluster.gateways())
--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -135,8 +135,8 @@
     CHECK(failureCounts(records) == "");
     CHECK(violationsOf(system, records) == "");
     const auto after = system.executions();
-    for (std::size_t at = ran.size(); at < after.size(); ++at)
-        CHECK(after[at].target != "target-0");
+    for (std::size_t index = ran.size(); index < after.size(); ++index)
+        CHECK(after[index].target != "target-0");
 }
 
 TEST_CASE("processes: a draining target gets no new requests after two seconds", "[process]")
@@ -146,12 +146,12 @@
     CHECK(system.callControllers("POST", "/v1/instances/nobody/drain").status == 404);
     std::this_thread::sleep_for(seconds(2));
     const auto before = system.executions().size();
-    for (int at = 0; at < 20; ++at)
-        CHECK(system.complete("entry-0", "p" + std::to_string(at), 1).code == result_code::Ok);
+    for (int number = 0; number < 20; ++number)
+        CHECK(system.complete("entry-0", "p" + std::to_string(number), 1).code == result_code::Ok);
     const auto after = system.executions();
     CHECK(after.size() == before + 20);
-    for (std::size_t at = before; at < after.size(); ++at)
-        CHECK(after[at].target == "target-1");
+    for (std::size_t index = before; index < after.size(); ++index)
+        CHECK(after[index].target == "target-1");
     CHECK(system.callControllers("POST", "/v1/instances/sidecar-0/undrain").status == 200);
 }
 
@@ -181,7 +181,7 @@
     const json change = { { "base", 1 }, { "change_id", "c2" }, { "author", "t" }, { "document", document } };
     CHECK(waitUntil([&] { return system.call(other, "PUT", "/v1/config", change.dump()).status == 200; }, seconds(20)));
     system.signal(old, SIGCONT);
-    for (int at = 0; at < 20; ++at) {
+    for (int round = 0; round < 20; ++round) {
         const auto response = system.call(old, "GET", "/v1/config");
         if (response.status == 200)
             CHECK(response.body["version"] == 2);
@@ -243,8 +243,9 @@
     system.injectFault("target-1", { { "service_ms", 700 } });
     std::vector<caller_record> records(6);
     std::vector<std::thread> threads;
-    for (std::size_t at = 0; at < 4; ++at)
-        threads.emplace_back([&, at] { records[at] = system.book("entry-" + std::to_string(at % 2), "k1", "slot-1"); });
+    for (std::size_t index = 0; index < 4; ++index)
+        threads.emplace_back(
+            [&, index] { records[index] = system.book("entry-" + std::to_string(index % 2), "k1", "slot-1"); });
     std::this_thread::sleep_for(milliseconds(300));
     system.killHard("entry-0");
     for (auto& thread : threads)
@@ -280,19 +281,19 @@
     };
     std::vector<http_response> responses(6);
     std::vector<std::thread> operators;
-    for (std::size_t at = 0; at < responses.size(); ++at) {
-        const std::string name = "race-" + std::to_string(at);
+    for (std::size_t index = 0; index < responses.size(); ++index) {
+        const std::string name = "race-" + std::to_string(index);
         operators.emplace_back(
-            [&, at, name] { responses[at] = system.putConfiguration(withWorkspace(name), 1, name); });
+            [&, index, name] { responses[index] = system.putConfiguration(withWorkspace(name), 1, name); });
     }
     for (auto& one : operators)
         one.join();
     std::size_t acceptedCount = 0;
-    for (std::size_t at = 0; at < responses.size(); ++at) {
-        CHECK((responses[at].status == 200 || responses[at].status == 409));
-        acceptedCount += responses[at].status == 200 ? 1 : 0;
-        const std::string name = "race-" + std::to_string(at);
-        CHECK(system.putConfiguration(withWorkspace(name), 1, name).status == responses[at].status);
+    for (std::size_t index = 0; index < responses.size(); ++index) {
+        CHECK((responses[index].status == 200 || responses[index].status == 409));
+        acceptedCount += responses[index].status == 200 ? 1 : 0;
+        const std::string name = "race-" + std::to_string(index);
+        CHECK(system.putConfiguration(withWorkspace(name), 1, name).status == responses[index].status);
     }
     CHECK(acceptedCount == 1);
     CHECK(configurationVersion(system) == 2);
@@ -302,9 +303,10 @@
     const std::string lagging = system.leader() == "controller-2" ? "controller-1" : "controller-2";
     system.killHard(lagging);
     system.killHard("entry-1");
-    for (int at = 0; at < 300; ++at) {
-        const std::string name = "w-" + std::to_string(at);
-        REQUIRE(system.putConfiguration(withWorkspace(name), 2 + static_cast<std::uint64_t>(at), name).status == 200);
+    for (int number = 0; number < 300; ++number) {
+        const std::string name = "w-" + std::to_string(number);
+        REQUIRE(
+            system.putConfiguration(withWorkspace(name), 2 + static_cast<std::uint64_t>(number), name).status == 200);
     }
     system.start(lagging);
     system.start("entry-1");
@@ -381,8 +383,8 @@
     system.injectFault("target-0", { { "answers_twice", true }, { "answer_late_ms", 2500 } });
     system.injectFault("target-1", { { "answers_twice", true } });
     std::vector<caller_record> records;
-    for (int at = 0; at < 12; ++at)
-        records.push_back(system.complete("entry-0", "p" + std::to_string(at), 4, at % 2 == 0));
+    for (int number = 0; number < 12; ++number)
+        records.push_back(system.complete("entry-0", "p" + std::to_string(number), 4, number % 2 == 0));
     CHECK(failureCounts(records) == "");
     CHECK(violationsOf(system, records) == "");
 }
--- a/tests/request_faults_test.cpp
+++ b/tests/request_faults_test.cpp
@@ -86,11 +86,11 @@
 
 void endFaults(request_simulation& simulation)
 {
-    for (std::size_t at = 0; at < simulation.sidecars(); ++at) {
-        simulation.pauseSidecar(at, false);
-        simulation.setMode(at, target_mode::Works);
+    for (std::size_t sidecar = 0; sidecar < simulation.sidecars(); ++sidecar) {
+        simulation.pauseSidecar(sidecar, false);
+        simulation.setMode(sidecar, target_mode::Works);
         for (std::size_t entry = 0; entry < simulation.entries(); ++entry)
-            simulation.cutLink(entry, at, false);
+            simulation.cutLink(entry, sidecar, false);
     }
     simulation.loseClaims(false);
 }
@@ -160,7 +160,7 @@
         std::mt19937_64 random(seed);
         simulation.onMessage
             = [&random](std::size_t) { return random() % 20 == 0 ? message_action::Delay : message_action::Deliver; };
-        for (int at = 0; at < 25; ++at)
+        for (int step = 0; step < 25; ++step)
             applyRandomAction(simulation, static_cast<std::uint32_t>(random()));
         simulation.run(milliseconds(9000));
         if (!simulation.violations().empty())
@@ -262,8 +262,8 @@
     simulation.usesStaleIncarnations = false;
     simulation.setMode(0, target_mode::Fails);
     simulation.setMode(1, target_mode::Works);
-    for (int at = 0; at < 6; ++at)
-        simulation.submit({ 0, "essay" + std::to_string(at), "", 5, at % 2 == 0, milliseconds(6000) });
+    for (int number = 0; number < 6; ++number)
+        simulation.submit({ 0, "essay" + std::to_string(number), "", 5, number % 2 == 0, milliseconds(6000) });
     simulation.run(milliseconds(6000));
     for (const auto& caller : simulation.callers()) {
         CHECK(caller.code == result_code::Ok);
--- a/tests/soak/caller_pool.hpp
+++ b/tests/soak/caller_pool.hpp
@@ -28,8 +28,8 @@
     caller_pool(gateway_cluster& cluster, std::uint64_t seed)
         : m_cluster(cluster)
     {
-        for (std::size_t at = 0; at < callerThreads; ++at)
-            m_threads.emplace_back([this, at, seed] { run(at, seed); });
+        for (std::size_t index = 0; index < callerThreads; ++index)
+            m_threads.emplace_back([this, index, seed] { run(index, seed); });
     }
     caller_pool(const caller_pool&) = delete;
     caller_pool& operator=(const caller_pool&) = delete;
@@ -51,8 +51,8 @@
         std::mt19937_64 random(seed * 100 + number);
         keep_alive_caller kept(m_cluster);
         const bool keepsConnections = number % 2 == 0;
-        for (std::size_t at = 0; !m_stopping; ++at) {
-            const std::string id = "c" + std::to_string(number) + "-" + std::to_string(at);
+        for (std::size_t callNumber = 0; !m_stopping; ++callNumber) {
+            const std::string id = "c" + std::to_string(number) + "-" + std::to_string(callNumber);
             const auto kind = random() % 3;
             const std::string path = kind == 0 ? "/stream/" + id + "/n" + std::to_string(1 + random() % 120)
                 : kind == 1                    ? "/unsafe/" + id
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -134,15 +134,15 @@
     {
         const auto& registries = m_cluster.registries();
         const auto& gateways = m_cluster.gateways();
-        const std::size_t at = m_random() % (registries.size() + gateways.size());
-        return at < registries.size() ? registries[at] : gateways[at - registries.size()];
+        const std::size_t index = m_random() % (registries.size() + gateways.size());
+        return index < registries.size() ? registries[index] : gateways[index - registries.size()];
     }
     std::size_t randomTarget()
     {
         const auto& engines = m_cluster.engines();
         const auto& plain = m_cluster.plainTargets();
-        const std::size_t at = m_random() % (engines.size() + plain.size());
-        return at < engines.size() ? engines[at] : plain[at - engines.size()];
+        const std::size_t index = m_random() % (engines.size() + plain.size());
+        return index < engines.size() ? engines[index] : plain[index - engines.size()];
     }
     milliseconds randomDuration() { return milliseconds(200 + m_random() % 2500); }
     bool reserve(const std::string& name) { return m_reserved.insert(name).second; }
@@ -227,9 +227,9 @@
         const std::size_t target = randomTarget();
         const std::string valid = m_cluster.fleet().announcementOf(target);
         const std::string id = m_random() % 2 == 0 ? m_cluster.fleet().idOf(target) : "i-broken";
-        for (int at = 0; at < 20; ++at) {
+        for (int number = 0; number < 20; ++number) {
             std::string body = valid.substr(0, m_random() % valid.size());
-            if (at % 2 == 0)
+            if (number % 2 == 0)
                 body = "{\"service\":7,\"state\":[],\"address\":null}";
             const int status = m_cluster.sendRecord(registry, "PUT", id, body);
             if (status == 200)
--- a/tests/support/cluster.cpp
+++ b/tests/support/cluster.cpp
@@ -90,9 +90,9 @@
 {
     std::string controllers;
     std::vector<std::string> links;
-    for (std::size_t at = 0; at < spec.controllers; ++at) {
+    for (std::size_t index = 0; index < spec.controllers; ++index) {
         links.push_back(freeAddress());
-        controllers += (at == 0 ? "" : ",") + links.back();
+        controllers += (index == 0 ? "" : ",") + links.back();
     }
     const auto common = [&](const std::string& name, const std::string& domain) {
         m_httpAddresses[name] = freeAddress();
@@ -105,26 +105,27 @@
         std::ofstream(file) << text;
         addProcess(name, { binaryPath("buckthornrail"), role, "--settings", file });
     };
-    for (std::size_t at = 0; at < spec.controllers; ++at) {
-        const std::string name = "controller-" + std::to_string(at);
+    for (std::size_t index = 0; index < spec.controllers; ++index) {
+        const std::string name = "controller-" + std::to_string(index);
         m_controllerNames.push_back(name);
-        m_controllerLinkAddresses.push_back(links[at]);
+        m_controllerLinkAddresses.push_back(links[index]);
         add(name, "controller",
-            common(name, "domain-" + std::to_string(at)) + "[link]\naddress = " + links[at] + "\n[storage]\nfolder = "
-                + m_folder + "/data-" + name + "\nelection_timeout_ms = " + std::to_string(spec.electionTimeoutMs)
+            common(name, "domain-" + std::to_string(index)) + "[link]\naddress = " + links[index]
+                + "\n[storage]\nfolder = " + m_folder + "/data-" + name
+                + "\nelection_timeout_ms = " + std::to_string(spec.electionTimeoutMs)
                 + "\nsnapshot_entries = " + std::to_string(spec.snapshotEntries) + "\n");
     }
-    for (std::size_t at = 0; at < spec.entries; ++at) {
-        const std::string name = "entry-" + std::to_string(at);
+    for (std::size_t index = 0; index < spec.entries; ++index) {
+        const std::string name = "entry-" + std::to_string(index);
         add(name, "entry",
-            common(name, "domain-" + std::to_string(at)) + "heartbeat_ms = " + std::to_string(spec.heartbeatMs)
+            common(name, "domain-" + std::to_string(index)) + "heartbeat_ms = " + std::to_string(spec.heartbeatMs)
                 + "\n[entry]\nprogress_timeout_ms = 1500\nstrategy = " + spec.strategy
                 + "\n[http]\nthreads = " + std::to_string(spec.httpThreads) + "\n");
     }
-    for (std::size_t at = 0; at < spec.targets.size(); ++at) {
-        const auto& target = spec.targets[at];
-        const std::string name = "sidecar-" + std::to_string(at);
-        const std::string targetName = "target-" + std::to_string(at);
+    for (std::size_t index = 0; index < spec.targets.size(); ++index) {
+        const auto& target = spec.targets[index];
+        const std::string name = "sidecar-" + std::to_string(index);
+        const std::string targetName = "target-" + std::to_string(index);
         m_targetAddresses[targetName] = freeAddress();
         addProcess(targetName,
             { binaryPath("tools/stand_in_target"), "--address", m_targetAddresses[targetName], "--name", targetName,
@@ -133,7 +134,7 @@
                 std::to_string(spec.reportLagMs), "--prefill-us-per-byte", std::to_string(spec.prefillUsPerByte),
                 "--cache", std::to_string(spec.cacheEntries) });
         const std::string link = freeAddress();
-        std::string text = common(name, "domain-" + std::to_string(at % 3))
+        std::string text = common(name, "domain-" + std::to_string(index % 3))
             + "heartbeat_ms = " + std::to_string(spec.heartbeatMs) + "\n[link]\naddress = " + link + "\n";
         if (target.viaRelay) {
             m_relays[name] = std::make_unique<relay>(link);
--- a/tests/support/gateway_cluster.cpp
+++ b/tests/support/gateway_cluster.cpp
@@ -37,11 +37,11 @@
     if (!extraRoute.empty())
         routes.push_back(routeOf(extraRoute, "/" + extraRoute + "/", "safe", "app"));
     std::mt19937 random(1);
-    for (std::size_t at = 0; at < options.fillerRoutes; ++at) {
+    for (std::size_t index = 0; index < options.fillerRoutes; ++index) {
         std::string path;
         while (path.size() < options.fillerPathLength)
             path += static_cast<char>('a' + random() % 26);
-        routes.push_back(routeOf("filler-" + std::to_string(at), "/" + path + "/", "safe", "app"));
+        routes.push_back(routeOf("filler-" + std::to_string(index), "/" + path + "/", "safe", "app"));
     }
     const json engine { { "layers", stand_in_fleet::layers }, { "layer-mb", 100 }, { "kv-token-bytes", 16 },
         { "step_ms", 1 }, { "usual", { { "prompt", 10 }, { "answer", 10 } } },
@@ -77,10 +77,10 @@
 {
     std::string folderTemplate = (std::filesystem::temp_directory_path() / "gateway-cluster-XXXXXX").string();
     m_folder = ::mkdtemp(folderTemplate.data());
-    for (std::size_t at = 0; at < registries; ++at)
-        m_registries.push_back("registry-" + std::to_string(at + 1));
-    for (std::size_t at = 0; at < gateways; ++at)
-        m_gateways.push_back("gateway-" + std::to_string(at + 1));
+    for (std::size_t index = 0; index < registries; ++index)
+        m_registries.push_back("registry-" + std::to_string(index + 1));
+    for (std::size_t index = 0; index < gateways; ++index)
+        m_gateways.push_back("gateway-" + std::to_string(index + 1));
     writeSettings();
 }
 
@@ -108,34 +108,34 @@
     const std::string linkPort = freeAddress().substr(10);
     const std::string controlPort = freeAddress().substr(10);
     std::string links;
-    for (std::size_t at = 0; at < m_registries.size(); ++at) {
-        auto& registryRelay = m_relays[m_registries[at]];
-        registryRelay = std::make_unique<relay>("127.0.0.1" + std::to_string(at + 1) + ":" + linkPort);
-        if (at < seedCount)
-            links += (at == 0 ? "" : ", ") + registryRelay->address();
+    for (std::size_t index = 0; index < m_registries.size(); ++index) {
+        auto& registryRelay = m_relays[m_registries[index]];
+        registryRelay = std::make_unique<relay>("127.0.0.1" + std::to_string(index + 1) + ":" + linkPort);
+        if (index < seedCount)
+            links += (index == 0 ? "" : ", ") + registryRelay->address();
     }
     const auto writeFile = [this](const std::string& name, const std::string& role, const std::string& text) {
         const std::string file = m_folder + "/" + name + ".ini";
         std::ofstream(file) << text;
         m_commands[name] = { binaryPath("buckthornrail"), role, "--settings", file };
     };
-    for (std::size_t at = 0; at < m_registries.size(); ++at) {
-        const std::string& name = m_registries[at];
-        const std::string ip = "127.0.0.1" + std::to_string(at + 1);
+    for (std::size_t index = 0; index < m_registries.size(); ++index) {
+        const std::string& name = m_registries[index];
+        const std::string ip = "127.0.0.1" + std::to_string(index + 1);
         m_addresses[name] = ip + ":" + controlPort;
         writeFile(name, "registry",
-            "[instance]\nid = " + name + "\nfailure_domain = d" + std::to_string(at + 1)
+            "[instance]\nid = " + name + "\nfailure_domain = d" + std::to_string(index + 1)
                 + "\n[http]\naddress = " + m_addresses[name] + "\n[link]\naddress = " + ip + ":" + linkPort
                 + "\nannounce = " + m_relays.at(name)->address() + "\nkeep_alive_ms = 300\n[controllers]\naddresses = "
                 + links + "\n[registry]\nbootstrap = true\ntarget_heartbeat_ms = 200\n[storage]\nfolder = " + m_folder
                 + "/data-" + name + "\nelection_timeout_ms = 300\nsnapshot_entries = 100\n");
     }
-    for (std::size_t at = 0; at < m_gateways.size(); ++at) {
-        const std::string& name = m_gateways[at];
+    for (std::size_t index = 0; index < m_gateways.size(); ++index) {
+        const std::string& name = m_gateways[index];
         m_addresses[name] = freeAddress();
         m_health[name] = freeAddress();
         writeFile(name, "gateway",
-            "[instance]\nid = " + name + "\nfailure_domain = d" + std::to_string(at % 3 + 1) + "\n[http]\naddress = "
+            "[instance]\nid = " + name + "\nfailure_domain = d" + std::to_string(index % 3 + 1) + "\n[http]\naddress = "
                 + m_health[name] + "\n[gateway]\naddress = " + m_addresses[name] + "\n" + m_gatewaySettings
                 + "\n[controllers]\naddresses = " + links + "\nheartbeat_ms = 200\n[link]\nkeep_alive_ms = 300\n");
     }
@@ -159,7 +159,7 @@
         controlAddresses.push_back(m_addresses.at(name));
     m_fleet = std::make_unique<stand_in_fleet>(controlAddresses);
     for (const std::string domain : { "d1", "d2", "d3" }) {
-        for (std::size_t at = 0; at < m_enginesPerDomain; ++at)
+        for (std::size_t index = 0; index < m_enginesPerDomain; ++index)
             m_engines.push_back(m_fleet->add("llm", domain, "l4"));
         m_plainTargets.push_back(m_fleet->add("app", domain, ""));
     }
@@ -202,8 +202,8 @@
     // A blank member must join the others, not form a new log.
     std::string text = readFile(m_folder + "/" + registry + ".ini");
     const std::string setting = "bootstrap = true";
-    if (const auto at = text.find(setting); at != std::string::npos)
-        text.replace(at, setting.size(), "bootstrap = false");
+    if (const auto position = text.find(setting); position != std::string::npos)
+        text.replace(position, setting.size(), "bootstrap = false");
     std::ofstream(m_folder + "/" + registry + ".ini") << text;
 }
 
@@ -287,8 +287,10 @@
 std::string gateway_cluster::targetLine(const std::string& registry, const std::string& targetId)
 {
     const auto response = sendRequest(m_addresses.at(registry), "GET", "/status", "", {}, controlTimeout);
-    const auto at = response.body.find("target " + targetId + " ");
-    return at == std::string::npos ? std::string() : response.body.substr(at, response.body.find('\n', at) - at);
+    const auto position = response.body.find("target " + targetId + " ");
+    return position == std::string::npos
+        ? std::string()
+        : response.body.substr(position, response.body.find('\n', position) - position);
 }
 
 std::string gateway_cluster::metricsOf(const std::string& registry)
--- a/tests/support/rate_limit_bounds.hpp
+++ b/tests/support/rate_limit_bounds.hpp
@@ -28,10 +28,10 @@
 {
     std::ptrdiff_t peak = 0;
     for (auto first = arrivals.begin(); first != arrivals.end(); ++first) {
-        if (first->at < from)
+        if (first->arrivedAt < from)
             continue;
-        const auto end = std::find_if(
-            first, arrivals.end(), [&first](const auto& arrival) { return arrival.at >= first->at + limitWindow; });
+        const auto end = std::find_if(first, arrivals.end(),
+            [&first](const auto& arrival) { return arrival.arrivedAt >= first->arrivedAt + limitWindow; });
         peak = std::max(peak, end - first);
     }
     return peak;
--- a/tests/support/stand_in_fleet.hpp
+++ b/tests/support/stand_in_fleet.hpp
@@ -37,7 +37,7 @@
 struct fleet_arrival {
     std::string requestId;
     std::string target;
-    std::chrono::steady_clock::time_point at;
+    std::chrono::steady_clock::time_point arrivedAt;
 };
 
 /// A target's crash, caused by a request whose path contains "/crash".
--- a/tests/support/stand_in_session.hpp
+++ b/tests/support/stand_in_session.hpp
@@ -35,11 +35,11 @@
 /// @return the number that follows a marker in a text; without the marker or a number, the fallback
 inline std::uint64_t numberAfter(std::string_view text, std::string_view marker, std::uint64_t fallback)
 {
-    const auto at = text.find(marker);
-    if (at == std::string_view::npos)
+    const auto position = text.find(marker);
+    if (position == std::string_view::npos)
         return fallback;
     std::uint64_t number = fallback;
-    std::from_chars(text.data() + at + marker.size(), text.data() + text.size(), number);
+    std::from_chars(text.data() + position + marker.size(), text.data() + text.size(), number);
     return number;
 }
 
--- a/tests/support/token_model.hpp
+++ b/tests/support/token_model.hpp
@@ -19,7 +19,7 @@
 inline std::string responseTo(std::string prompt, std::uint32_t tokens)
 {
     std::string response;
-    for (std::uint32_t at = 0; at < tokens; ++at) {
+    for (std::uint32_t index = 0; index < tokens; ++index) {
         const std::string token = nextToken(prompt);
         response += token;
         prompt += token;
--- a/tests/support/unresponsive_listener.hpp
+++ b/tests/support/unresponsive_listener.hpp
@@ -35,7 +35,7 @@
     void fillBacklog()
     {
         constexpr int connections = 3;
-        for (int at = 0; at < connections; ++at) {
+        for (int index = 0; index < connections; ++index) {
             m_pendingConnections.push_back(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
             // Most of them never complete.
             (void)connect(m_pendingConnections.back(), socketAddress(), sizeof(m_address));
--- a/tests/target_restart_test.cpp
+++ b/tests/target_restart_test.cpp
@@ -74,8 +74,8 @@
 /// @return the number after the last occurrence of a prefix in a log; 0: there is none
 std::uint64_t lastNumberAfter(const std::string& log, const std::string& prefix)
 {
-    const auto at = log.rfind(prefix);
-    return at == std::string::npos ? 0 : std::stoull(log.substr(at + prefix.size()));
+    const auto position = log.rfind(prefix);
+    return position == std::string::npos ? 0 : std::stoull(log.substr(position + prefix.size()));
 }
 
 } // namespace
@@ -86,10 +86,10 @@
     REQUIRE(cluster.startAndRestartTargets());
     std::vector<caller_response> results(8);
     std::vector<std::thread> callers;
-    for (std::size_t at = 0; at < results.size(); ++at) {
-        callers.emplace_back([&, at] {
-            const std::string id = "long-" + std::to_string(at);
-            results[at] = cluster.call(cluster.gateways()[at % 2], "POST", "/stream/n200", id, seconds(8));
+    for (std::size_t index = 0; index < results.size(); ++index) {
+        callers.emplace_back([&, index] {
+            const std::string id = "long-" + std::to_string(index);
+            results[index] = cluster.call(cluster.gateways()[index % 2], "POST", "/stream/n200", id, seconds(8));
         });
     }
     std::this_thread::sleep_for(milliseconds(400));
@@ -295,9 +295,9 @@
     REQUIRE(cluster.startAndRestartTargets());
     const std::size_t engine = cluster.engines()[0];
     std::uint64_t version = 100;
-    for (int at = 0; at < changes; ++at) {
+    for (int change = 0; change < changes; ++change) {
         (void)cluster.publishToAny(++version);
-        if (at % 40 == 20)
+        if (change % 40 == 20)
             cluster.fleet().restart(engine);
     }
     const std::string restarted
--- a/tools/bench_core.cpp
+++ b/tools/bench_core.cpp
@@ -53,12 +53,12 @@
 configuration::document makeDocument(std::int64_t workspaces)
 {
     configuration::document document;
-    for (std::int64_t at = 0; at < workspaces; ++at)
-        document.workspaces["workspace-" + std::to_string(at)].weight = static_cast<std::uint32_t>(1 + at % 4);
-    for (std::int64_t at = 0; at < modelCount; ++at) {
-        document.models["model-" + std::to_string(at)].layers = 8;
-        document.pipelines["pipeline-" + std::to_string(at)]
-            = { "model-" + std::to_string(at), { { "1", 100 } }, {}, {}, request_priority::Normal };
+    for (std::int64_t number = 0; number < workspaces; ++number)
+        document.workspaces["workspace-" + std::to_string(number)].weight = static_cast<std::uint32_t>(1 + number % 4);
+    for (std::int64_t number = 0; number < modelCount; ++number) {
+        document.models["model-" + std::to_string(number)].layers = 8;
+        document.pipelines["pipeline-" + std::to_string(number)]
+            = { "model-" + std::to_string(number), { { "1", 100 } }, {}, {}, request_priority::Normal };
     }
     return document;
 }
@@ -72,8 +72,8 @@
 void routeDecision(benchmark::State& state)
 {
     routing::route_table table({}, 1);
-    for (std::int64_t at = 0; at < state.range(0); ++at)
-        table.update(makeTarget(at));
+    for (std::int64_t number = 0; number < state.range(0); ++number)
+        table.update(makeTarget(number));
     routing::route_query query;
     query.model = "model-1";
     query.version = "1";
--- a/tools/bench_document.cpp
+++ b/tools/bench_document.cpp
@@ -42,14 +42,15 @@
 versioned_text makeDocument(std::uint64_t version, std::int64_t routes, std::int64_t changed)
 {
     json routeList = json::array();
-    for (std::int64_t at = 0; at < routes; ++at) {
-        routeList.push_back(makeRoute(at));
-        if (at == changed)
+    for (std::int64_t route = 0; route < routes; ++route) {
+        routeList.push_back(makeRoute(route));
+        if (route == changed)
             routeList.back()["priority"] = version % 7;
     }
     json tenants = json::array();
-    for (int at = 0; at < 24; ++at)
-        tenants.push_back({ { "name", "w" + std::to_string(at) }, { "api-keys", { "key" + std::to_string(at) } } });
+    for (int tenant = 0; tenant < 24; ++tenant)
+        tenants.push_back(
+            { { "name", "w" + std::to_string(tenant) }, { "api-keys", { "key" + std::to_string(tenant) } } });
     const json document { { "version", version }, { "routes", routeList }, { "services", { { { "name", "engine" } } } },
         { "tenants", tenants } };
     return { version, document.dump() };
@@ -148,10 +149,10 @@
 {
     const auto text = makeDocument(firstVersion, state.range(0), -1);
     const gateway::route_index index(platform::controlDialect().readDocument(text.text).value());
-    std::int64_t at = 0;
+    std::int64_t route = 0;
     for (auto _ : state) {
-        at = (at + 7919) % state.range(0);
-        benchmark::DoNotOptimize(index.find(hostOf(at), prefixOf(at)));
+        route = (route + 7919) % state.range(0);
+        benchmark::DoNotOptimize(index.find(hostOf(route), prefixOf(route)));
     }
 }
 
--- a/tools/load.cpp
+++ b/tools/load.cpp
@@ -54,10 +54,10 @@
     {
         const auto rank = static_cast<std::uint64_t>(std::ceil(fraction * static_cast<double>(m_count)));
         std::uint64_t seen = 0;
-        for (std::size_t at = 0; at < bucketCount; ++at) {
-            seen += m_buckets[at];
+        for (std::size_t bucket = 0; bucket < bucketCount; ++bucket) {
+            seen += m_buckets[bucket];
             if (seen >= rank && seen > 0)
-                return firstBoundMs * std::pow(bucketGrowth, static_cast<double>(at));
+                return firstBoundMs * std::pow(bucketGrowth, static_cast<double>(bucket));
         }
         return 0;
     }
@@ -116,10 +116,10 @@
     {
         const double meanIntervalUs = 1e6 / m_options.rate;
         std::exponential_distribution<double> interval(1.0 / meanIntervalUs);
-        double at = 0;
-        while (at < m_options.seconds * 1e6) {
-            m_plan.push_back(planRequest(static_cast<std::int64_t>(at)));
-            at += interval(m_random);
+        double arrivalUs = 0;
+        while (arrivalUs < m_options.seconds * 1e6) {
+            m_plan.push_back(planRequest(static_cast<std::int64_t>(arrivalUs)));
+            arrivalUs += interval(m_random);
         }
     }
 
@@ -127,7 +127,7 @@
     {
         m_beginUs = nowUs() + 200'000;
         std::vector<std::thread> threads;
-        for (std::uint32_t at = 0; at < m_options.threads; ++at)
+        for (std::uint32_t index = 0; index < m_options.threads; ++index)
             threads.emplace_back([this] { runWorker(); });
         for (auto& thread : threads)
             thread.join();
@@ -189,13 +189,13 @@
         int status = 0;
         const auto onHead = [&status](int value, const auto&) { status = value; };
         const auto onBody = [&](const char* data, std::size_t size) {
-            const std::int64_t at = nowUs();
+            const std::int64_t receivedUs = nowUs();
             received.append(data, size);
             if (firstUs == 0)
-                firstUs = at;
+                firstUs = receivedUs;
             else
-                gaps.push_back(static_cast<double>(at - lastUs) / 1000);
-            lastUs = at;
+                gaps.push_back(static_cast<double>(receivedUs - lastUs) / 1000);
+            lastUs = receivedUs;
             return true;
         };
         const auto response = http::call(call, onHead, onBody);
--- a/tools/print_tables.cpp
+++ b/tools/print_tables.cpp
@@ -65,8 +65,8 @@
         return std::to_string(rule.low) + " to " + std::to_string(rule.high);
     case settings::setting_type::Choice: {
         std::string choices(rule.choices);
-        for (auto at = choices.find('|'); at != std::string::npos; at = choices.find('|'))
-            choices.replace(at, 1, ", ");
+        for (auto position = choices.find('|'); position != std::string::npos; position = choices.find('|'))
+            choices.replace(position, 1, ", ");
         return choices;
     }
     case settings::setting_type::Text:
--- a/tools/stand_in_model.cpp
+++ b/tools/stand_in_model.cpp
@@ -31,7 +31,7 @@
 std::string expectedAnswer(std::string text, std::uint32_t count, std::uint32_t layers)
 {
     std::string answer;
-    for (std::uint32_t at = 0; at < count; ++at) {
+    for (std::uint32_t index = 0; index < count; ++index) {
         const std::string token = tokenOf(runLayers(embed(text), 0, layers));
         answer += token;
         text += token;
--- a/tools/stand_in_prefix_cache.hpp
+++ b/tools/stand_in_prefix_cache.hpp
@@ -49,7 +49,7 @@
         const std::scoped_lock lock(m_mutex);
         nlohmann::json list = nlohmann::json::array();
         for (const auto& event : m_events) {
-            if (event.at + lag <= now && (skipInterval == 0 || event.sequence % skipInterval != 0))
+            if (event.recordedAt + lag <= now && (skipInterval == 0 || event.sequence % skipInterval != 0))
                 list.push_back({ { "sequence", event.sequence }, { "event", event.name }, { "prefix", event.key } });
         }
         return list;
@@ -60,7 +60,7 @@
         std::uint64_t sequence = 0;
         const char* name = "";
         std::uint64_t key = 0;
-        buckthornrail::steady_time at {};
+        buckthornrail::steady_time recordedAt {};
     };
 
     void recordEvent(const char* name, std::uint64_t key)
--- a/tools/stand_in_target.cpp
+++ b/tools/stand_in_target.cpp
@@ -244,8 +244,8 @@
             answer.push_back("data: " + event(word, last, isKServe).dump() + "\n\n");
             alive = exchange.writeChunk(answer.back()) && !isCancelled(id + "/" + attempt);
         }
-        for (std::size_t at = 0; at < answer.size() && alive && m_options.answersTwice; ++at)
-            alive = exchange.writeChunk(answer[at]);
+        for (std::size_t index = 0; index < answer.size() && alive && m_options.answersTwice; ++index)
+            alive = exchange.writeChunk(answer[index]);
         if (alive && !isKServe)
             exchange.writeChunk("data: [DONE]\n\n");
         exchange.endStream();
