--- a/src/buckthornrail/gateway/exchange_stream_test.cpp
+++ b/src/buckthornrail/gateway/exchange_stream_test.cpp
@@ -167,8 +167,8 @@
         runAndBreak();
     REQUIRE(bench.port.isOpen);
     CHECK(ranOn.contains(bench.port.target));
-    const std::string third = *std::find_if(
-        bench.firsts.begin(), bench.firsts.end(), [&](const std::string& id) { return !ranOn.contains(id); });
+    const std::string third = *std::find_if(bench.firstTargets.begin(), bench.firstTargets.end(),
+        [&](const std::string& id) { return !ranOn.contains(id); });
     SECTION("both drain")
     {
         for (const auto& id : ranOn)
--- a/src/buckthornrail/gateway/target_limit_test.cpp
+++ b/src/buckthornrail/gateway/target_limit_test.cpp
@@ -208,7 +208,7 @@
     auto call = bench.make();
     call.start(zero);
     call.onSent(zero);
-    for (const auto& target : bench.firsts) {
+    for (const auto& target : bench.firstTargets) {
         mergeLimit(bench.pool, target, 0, 0);
         for (int sent = 0; sent < 5; ++sent)
             bench.pool.recordSent(target, afterMs(0));
--- a/tests/demo/fleet_demo.cpp
+++ b/tests/demo/fleet_demo.cpp
@@ -24,11 +24,11 @@
 constexpr std::uint64_t eventCount = 100; ///< per stream; takes about 1 s
 
 /// @brief Ends the demo with an error unless a condition holds.
-void require(bool holds, const std::string& what)
+void require(bool condition, const std::string& description)
 {
-    if (holds)
+    if (condition)
         return;
-    std::cerr << "fleet_demo: " << what << "\n";
+    std::cerr << "fleet_demo: " << description << "\n";
     std::exit(EXIT_FAILURE);
 }
 
--- a/tests/gateway_process_test.cpp
+++ b/tests/gateway_process_test.cpp
@@ -23,7 +23,7 @@
     return count;
 }
 
-bool answersWith(gateway_cluster& cluster, const std::string& gateway, const std::string& route, int status)
+bool respondsWith(gateway_cluster& cluster, const std::string& gateway, const std::string& route, int status)
 {
     static std::size_t number = 0;
     const std::string id = "probe-" + std::to_string(++number);
@@ -58,13 +58,13 @@
     // A newer document takes effect on every gateway, an older one has no effect, and a conflicting one is refused.
     REQUIRE(cluster.publish(5, cluster.registries()[1], "added") == 200);
     for (const auto& gateway : cluster.gateways())
-        CHECK(waitUntil([&] { return answersWith(cluster, gateway, "added", 200); }, seconds(2)));
+        CHECK(waitUntil([&] { return respondsWith(cluster, gateway, "added", 200); }, seconds(2)));
     CHECK(cluster.publish(4, cluster.registries()[2]) == 200);
     CHECK(cluster.publish(5, cluster.registries()[0], "other") == 409);
     CHECK(cluster.publish(5, cluster.registries()[0], "added") == 200);
     for (const auto& registry : cluster.registries())
         CHECK(cluster.readVersion(registry) == 5U);
-    CHECK(answersWith(cluster, cluster.gateways()[0], "added", 200));
+    CHECK(respondsWith(cluster, cluster.gateways()[0], "added", 200));
 }
 
 TEST_CASE("gateway: streams continue when a target crashes or stops responding", "[gateway_process]")
@@ -82,11 +82,11 @@
         }
         std::this_thread::sleep_for(milliseconds(400));
         // A member of a chain in the failure domain of the first gateway.
-        const std::size_t victim = cluster.engines()[silent ? 5 : 1];
+        const std::size_t failedTarget = cluster.engines()[silent ? 5 : 1];
         if (silent)
-            cluster.fleet().setUnresponsive(victim, true);
+            cluster.fleet().setUnresponsive(failedTarget, true);
         else
-            cluster.fleet().kill(victim);
+            cluster.fleet().kill(failedTarget);
         for (auto& caller : callers)
             caller.join();
         for (const auto& result : results) {
@@ -95,7 +95,7 @@
             CHECK(result.isComplete);
             CHECK(result.body == gateway_cluster::streamBody("/stream/n150", 150));
         }
-        cluster.fleet().restart(victim);
+        cluster.fleet().restart(failedTarget);
         CHECK(waitUntil([&] { return cluster.fleet().hasChain("d1") && cluster.fleet().hasChain("d2"); }, waitTimeout));
     }
 }
@@ -110,13 +110,13 @@
     for (int number = 0; number < 150; ++number) {
         const std::string path = (number % 2 == 0 ? "/unsafe/" : "/safe/") + std::to_string(number);
         const std::string id = "f-" + std::to_string(number);
-        const auto answer = cluster.call(cluster.gateways()[number % 2], "POST", path, id);
+        const auto response = cluster.call(cluster.gateways()[number % 2], "POST", path, id);
         const std::size_t runs = executionCount(cluster, id);
-        INFO(path << " status " << answer.status << " runs " << runs);
-        CHECK(answer.status != 0);
-        if (answer.status == 200)
-            CHECK(answer.body == stand_in_fleet::plainBody(path));
-        if (answer.status == 503)
+        INFO(path << " status " << response.status << " runs " << runs);
+        CHECK(response.status != 0);
+        if (response.status == 200)
+            CHECK(response.body == stand_in_fleet::plainBody(path));
+        if (response.status == 503)
             CHECK(runs == 0);
         if (number % 2 == 0)
             CHECK(runs <= 1);
@@ -178,9 +178,9 @@
     REQUIRE(cluster.start());
     std::uint64_t version = 10;
     const auto publishes = [&] { return cluster.publishToAny(version, "v" + std::to_string(version)) == 200; };
-    const auto isInForceEverywhere = [&] {
+    const auto isInEffectEverywhere = [&] {
         for (const auto& gateway : cluster.gateways()) {
-            if (!answersWith(cluster, gateway, "v" + std::to_string(version), 200))
+            if (!respondsWith(cluster, gateway, "v" + std::to_string(version), 200))
                 return false;
         }
         return true;
@@ -191,7 +191,7 @@
     cluster.killHard(first);
     ++version;
     CHECK(waitUntil(publishes, waitTimeout));
-    CHECK(waitUntil(isInForceEverywhere, waitTimeout));
+    CHECK(waitUntil(isInEffectEverywhere, waitTimeout));
     cluster.startProcess(first);
     CHECK(waitUntil([&] { return cluster.readVersion(first) == version; }, waitTimeout));
 
@@ -205,14 +205,14 @@
     for (const auto& name : cluster.registries())
         cluster.killHard(name);
     // Gateways keep serving without registries.
-    CHECK(answersWith(cluster, cluster.gateways()[0], "v" + std::to_string(version), 200));
+    CHECK(respondsWith(cluster, cluster.gateways()[0], "v" + std::to_string(version), 200));
     for (const auto& name : cluster.registries())
         cluster.startProcess(name);
     for (const auto& name : cluster.registries())
         CHECK(waitUntil([&] { return cluster.readVersion(name) == version; }, waitTimeout));
     ++version;
     CHECK(waitUntil(publishes, waitTimeout));
-    CHECK(waitUntil(isInForceEverywhere, waitTimeout));
+    CHECK(waitUntil(isInEffectEverywhere, waitTimeout));
 }
 
 TEST_CASE("registry: a draining target gets no new requests once the drain is acknowledged", "[gateway_process]")
@@ -224,9 +224,9 @@
     REQUIRE(waitUntil([&] { return cluster.fleet().isDrainAcknowledged(leaving); }, waitTimeout));
     std::this_thread::sleep_for(milliseconds(500));
     for (int number = 0; number < 60; ++number) {
-        const auto answer
+        const auto response
             = cluster.call(cluster.gateways()[number % 2], "POST", "/unsafe/d", "d-" + std::to_string(number));
-        CHECK(answer.status == 200);
+        CHECK(response.status == 200);
     }
     const std::string id = "i-" + std::to_string(leaving) + "-";
     for (const auto& run : cluster.fleet().runs()) {
@@ -273,11 +273,12 @@
     gateway_cluster cluster;
     REQUIRE(cluster.start());
     const std::size_t unannounced = cluster.plainTargets()[0];
-    const std::size_t dead = cluster.plainTargets()[1];
+    const std::size_t unresponsive = cluster.plainTargets()[1];
     const std::string leader = cluster.leader();
     cluster.fleet().setAnnouncing(unannounced, false);
-    cluster.fleet().setUnresponsive(dead, true);
-    CHECK(waitUntil([&] { return cluster.targetState(leader, cluster.fleet().idOf(dead)) == "lost"; }, waitTimeout));
+    cluster.fleet().setUnresponsive(unresponsive, true);
+    CHECK(waitUntil(
+        [&] { return cluster.targetState(leader, cluster.fleet().idOf(unresponsive)) == "lost"; }, waitTimeout));
     std::this_thread::sleep_for(seconds(2));
     CHECK(cluster.targetState(leader, cluster.fleet().idOf(unannounced)) == "ready");
 }
@@ -313,7 +314,7 @@
     }
     const std::string newest = "storm" + std::to_string(last - 100);
     for (const auto& gateway : cluster.gateways()) {
-        CHECK(waitUntil([&] { return answersWith(cluster, gateway, newest, 200); }, waitTimeout));
+        CHECK(waitUntil([&] { return respondsWith(cluster, gateway, newest, 200); }, waitTimeout));
         // A change whose base is not the version that the gateway holds would end its session.
         CHECK(cluster.logOf(gateway).find("E608 session_lost") == std::string::npos);
     }
--- a/tests/incident_backoff_test.cpp
+++ b/tests/incident_backoff_test.cpp
@@ -34,7 +34,7 @@
     gateway_cluster& cluster, std::size_t target, clock_type::time_point from, clock_type::time_point to)
 {
     return countBetween(
-        cluster.fleet().arrivalsAt(target), [](const auto& one) { return one.arrivedAt; }, from, to);
+        cluster.fleet().arrivalsAt(target), [](const auto& arrival) { return arrival.arrivedAt; }, from, to);
 }
 
 /// @return requests that arrived at a target during the backoff that it asked for, from its first refusal on
--- a/tests/incident_crashing_request_test.cpp
+++ b/tests/incident_crashing_request_test.cpp
@@ -28,7 +28,7 @@
 {
     const auto crashes = cluster.fleet().crashes();
     return static_cast<std::size_t>(
-        std::count_if(crashes.begin(), crashes.end(), [&path](const auto& one) { return one.path == path; }));
+        std::count_if(crashes.begin(), crashes.end(), [&path](const auto& crash) { return crash.path == path; }));
 }
 
 /// Checks the number of crashes; keeps the logs when it is too high.
@@ -61,7 +61,7 @@
         m_isStopping = true;
         if (m_thread.joinable())
             m_thread.join();
-        return m_answers;
+        return m_responses;
     }
 
 private:
@@ -69,7 +69,7 @@
     {
         static std::atomic<int> number { 0 };
         while (!m_isStopping) {
-            m_answers.push_back(
+            m_responses.push_back(
                 m_cluster.call(m_gateway, m_method, m_path, "again-" + std::to_string(++number), seconds(3)));
             std::this_thread::sleep_for(retryInterval);
         }
@@ -80,7 +80,7 @@
     std::string m_method;
     std::string m_path;
     std::atomic<bool> m_isStopping { false };
-    std::vector<caller_response> m_answers;
+    std::vector<caller_response> m_responses;
     std::thread m_thread;
 };
 
@@ -98,8 +98,8 @@
 {
     static int number = 0;
     return std::all_of(cluster.gateways().begin(), cluster.gateways().end(), [&cluster](const auto& gateway) {
-        const auto answer = cluster.call(gateway, "POST", "/stream/n5", "well-" + std::to_string(++number));
-        return answer.isComplete && answer.body == gateway_cluster::streamBody("/stream/n5", 5);
+        const auto response = cluster.call(gateway, "POST", "/stream/n5", "well-" + std::to_string(++number));
+        return response.isComplete && response.body == gateway_cluster::streamBody("/stream/n5", 5);
     });
 }
 
@@ -117,11 +117,11 @@
         callers.push_back(std::make_unique<retrying_caller>(cluster, gateway, method, path));
     std::this_thread::sleep_for(seconds(4));
     for (auto& caller : callers) {
-        const auto& answers = caller->stop();
-        REQUIRE(answers.size() > 5);
+        const auto& responses = caller->stop();
+        REQUIRE(responses.size() > 5);
         // A final answer without a time to retry.
-        CHECK(answers.back().status == 400);
-        CHECK(answers.back().retryAfter.empty());
+        CHECK(responses.back().status == 400);
+        CHECK(responses.back().retryAfter.empty());
     }
     checkCrashes(cluster, path);
     CHECK(waitUntil([&] { return allGatewaysServe(cluster); }, waitTimeout));
@@ -205,15 +205,17 @@
     }
     std::this_thread::sleep_for(seconds(1));
     for (auto& caller : callers) {
-        const auto& answers = caller->stop();
-        const auto isServed
-            = [&body](const auto& one) { return one.isComplete && one.status == 200 && one.body == body; };
+        const auto& responses = caller->stop();
+        const auto isServed = [&body](const auto& response) {
+            return response.isComplete && response.status == 200 && response.body == body;
+        };
         // Refused only for a short time, and never with a final answer.
-        CHECK(std::none_of(answers.begin(), answers.end(), [](const auto& one) { return one.status == 400; }));
-        CHECK(isServed(answers.back()));
+        CHECK(std::none_of(
+            responses.begin(), responses.end(), [](const auto& response) { return response.status == 400; }));
+        CHECK(isServed(responses.back()));
         std::size_t consecutiveRefusals = 0;
-        for (const auto& one : answers) {
-            consecutiveRefusals = isServed(one) ? 0 : consecutiveRefusals + 1;
+        for (const auto& response : responses) {
+            consecutiveRefusals = isServed(response) ? 0 : consecutiveRefusals + 1;
             CHECK(consecutiveRefusals * retryInterval < maxRefusalTime);
         }
     }
@@ -233,10 +235,11 @@
     std::this_thread::sleep_for(milliseconds(300));
     sendToAllGateways(cluster, "POST", path, 3);
     for (auto& caller : callers) {
-        const auto& answers = caller->stop();
+        const auto& responses = caller->stop();
         // Streams that lost their target have continued on other targets.
-        CHECK(std::all_of(answers.begin(), answers.end(), [](const auto& one) { return one.status != 400; }));
-        CHECK((answers.back().isComplete && answers.back().status == 200));
+        CHECK(std::all_of(
+            responses.begin(), responses.end(), [](const auto& response) { return response.status != 400; }));
+        CHECK((responses.back().isComplete && responses.back().status == 200));
     }
     checkCrashes(cluster, path);
     const std::string registry = cluster.registries().front();
--- a/tests/large_table_test.cpp
+++ b/tests/large_table_test.cpp
@@ -64,11 +64,11 @@
     std::size_t bytes = 0;
     link::event_loop loop;
     std::unique_ptr<link::link_hub> hub;
-    const auto onConnected = [&hub](link::link_number channel, bool) {
+    const auto onConnected = [&hub](link::link_number linkNumber, bool) {
         link::gateway_heartbeat heartbeat;
         heartbeat.instance = "gateway-blank";
         heartbeat.sequence = 1;
-        hub->send(channel, link::encode(link::message(heartbeat)));
+        hub->send(linkNumber, link::encode(link::message(heartbeat)));
     };
     const auto onReceived = [&](link::link_number, const std::string& received) {
         const auto message = link::decode(received);
--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -286,8 +286,8 @@
         operators.emplace_back(
             [&, index, name] { responses[index] = system.putConfiguration(withWorkspace(name), 1, name); });
     }
-    for (auto& one : operators)
-        one.join();
+    for (auto& thread : operators)
+        thread.join();
     std::size_t acceptedCount = 0;
     for (std::size_t index = 0; index < responses.size(); ++index) {
         CHECK((responses[index].status == 200 || responses[index].status == 409));
--- a/tests/request_faults_test.cpp
+++ b/tests/request_faults_test.cpp
@@ -30,45 +30,60 @@
     fault_case { "message repeated", [](request_simulation&) { return message_action::Duplicate; } },
     fault_case { "message late", [](request_simulation&) { return message_action::Delay; } },
     fault_case { "sidecar 0 killed",
-        [](request_simulation& s) { return deliverAndRun([](request_simulation& x) { x.killSidecar(0); }, s); } },
+        [](request_simulation& simulation) {
+            return deliverAndRun([](request_simulation& affected) { affected.killSidecar(0); }, simulation);
+        } },
     fault_case { "both sidecars killed",
-        [](request_simulation& s) {
+        [](request_simulation& simulation) {
             return deliverAndRun(
-                [](request_simulation& x) {
-                    x.killSidecar(0);
-                    x.killSidecar(1);
+                [](request_simulation& affected) {
+                    affected.killSidecar(0);
+                    affected.killSidecar(1);
                 },
-                s);
+                simulation);
         } },
     fault_case { "sidecar 0 paused",
-        [](request_simulation& s) {
-            return deliverAndRun([](request_simulation& x) { x.pauseSidecar(0, true); }, s);
+        [](request_simulation& simulation) {
+            return deliverAndRun([](request_simulation& affected) { affected.pauseSidecar(0, true); }, simulation);
         } },
     fault_case { "entry 0 killed",
-        [](request_simulation& s) { return deliverAndRun([](request_simulation& x) { x.killEntry(0); }, s); } },
+        [](request_simulation& simulation) {
+            return deliverAndRun([](request_simulation& affected) { affected.killEntry(0); }, simulation);
+        } },
     fault_case { "link closed",
-        [](request_simulation& s) { return deliverAndRun([](request_simulation& x) { x.closeLink(0, 0); }, s); } },
+        [](request_simulation& simulation) {
+            return deliverAndRun([](request_simulation& affected) { affected.closeLink(0, 0); }, simulation);
+        } },
     fault_case { "link silently cut",
-        [](request_simulation& s) { return deliverAndRun([](request_simulation& x) { x.cutLink(0, 0, true); }, s); } },
+        [](request_simulation& simulation) {
+            return deliverAndRun([](request_simulation& affected) { affected.cutLink(0, 0, true); }, simulation);
+        } },
     fault_case { "target 0 fails",
-        [](request_simulation& s) {
-            return deliverAndRun([](request_simulation& x) { x.setMode(0, target_mode::Fails); }, s);
+        [](request_simulation& simulation) {
+            return deliverAndRun(
+                [](request_simulation& affected) { affected.setMode(0, target_mode::Fails); }, simulation);
         } },
     fault_case { "target 0 stalls",
-        [](request_simulation& s) {
-            return deliverAndRun([](request_simulation& x) { x.setMode(0, target_mode::Stalls); }, s);
+        [](request_simulation& simulation) {
+            return deliverAndRun(
+                [](request_simulation& affected) { affected.setMode(0, target_mode::Stalls); }, simulation);
         } },
     fault_case { "target 0 refuses connections",
-        [](request_simulation& s) {
-            return deliverAndRun([](request_simulation& x) { x.setMode(0, target_mode::Refuses); }, s);
+        [](request_simulation& simulation) {
+            return deliverAndRun(
+                [](request_simulation& affected) { affected.setMode(0, target_mode::Refuses); }, simulation);
         } },
     fault_case { "sidecar 0 drains",
-        [](request_simulation& s) { return deliverAndRun([](request_simulation& x) { x.drainSidecar(0); }, s); } },
+        [](request_simulation& simulation) {
+            return deliverAndRun([](request_simulation& affected) { affected.drainSidecar(0); }, simulation);
+        } },
     fault_case { "claims lost",
-        [](request_simulation& s) { return deliverAndRun([](request_simulation& x) { x.loseClaims(true); }, s); } },
+        [](request_simulation& simulation) {
+            return deliverAndRun([](request_simulation& affected) { affected.loseClaims(true); }, simulation);
+        } },
     fault_case { "new configuration",
-        [](request_simulation& s) {
-            return deliverAndRun([](request_simulation& x) { x.publishConfiguration(); }, s);
+        [](request_simulation& simulation) {
+            return deliverAndRun([](request_simulation& affected) { affected.publishConfiguration(); }, simulation);
         } },
 };
 
--- a/tests/session_spread_test.cpp
+++ b/tests/session_spread_test.cpp
@@ -20,7 +20,7 @@
 
 constexpr seconds waitTimeout { 15 };
 /// An acknowledged change takes effect on all gateways within this time.
-constexpr milliseconds inForceTimeout { 2000 };
+constexpr milliseconds inEffectTimeout { 2000 };
 
 bool servesRoute(gateway_cluster& cluster, const std::string& gateway, const std::string& route)
 {
@@ -93,13 +93,13 @@
         cluster.linkRelay(silent).setMode(relay_mode::DownstreamOnly);
     }
     REQUIRE(cluster.publish(2, leader, "two") == 200);
-    CHECK(waitUntil([&] { return servesRoute(cluster, gateway, "two"); }, inForceTimeout));
+    CHECK(waitUntil([&] { return servesRoute(cluster, gateway, "two"); }, inEffectTimeout));
     cluster.signal(silent, SIGCONT);
     cluster.linkRelay(silent).setMode(relay_mode::Pass);
     REQUIRE(waitUntil([&] { return cluster.readVersion(silent) == 2U; }, waitTimeout));
     REQUIRE(cluster.publish(3, silent, "three") == 200);
     for (const auto& name : cluster.gateways())
-        CHECK(waitUntil([&] { return servesRoute(cluster, name, "three"); }, inForceTimeout));
+        CHECK(waitUntil([&] { return servesRoute(cluster, name, "three"); }, inEffectTimeout));
 }
 
 TEST_CASE("session spread: an acknowledged change takes effect in time although the leader crashes", "[session_spread]")
@@ -115,7 +115,7 @@
         const auto acknowledged = buckthornrail::boot_clock::now();
         cluster.killHard(leader);
         for (const auto& gateway : cluster.gateways())
-            CHECK(waitUntil([&] { return servesRoute(cluster, gateway, route); }, inForceTimeout));
+            CHECK(waitUntil([&] { return servesRoute(cluster, gateway, route); }, inEffectTimeout));
         INFO("took effect after "
             << std::chrono::duration_cast<milliseconds>(buckthornrail::boot_clock::now() - acknowledged).count()
             << " ms");
@@ -136,7 +136,7 @@
     cluster.loseDisk(blank);
     REQUIRE(cluster.publish(2, cluster.leader(), "two") == 200);
     cluster.startProcess(blank);
-    CHECK(waitUntil([&] { return servesRoute(cluster, gateway, "two"); }, inForceTimeout));
+    CHECK(waitUntil([&] { return servesRoute(cluster, gateway, "two"); }, inEffectTimeout));
     // The gateway returns to the nearest registry.
     CHECK(waitUntil([&] { return cluster.sessionCount(blank) == 1; }, waitTimeout));
     CHECK(servesRoute(cluster, gateway, "two"));
--- a/tests/soak/caller_pool.hpp
+++ b/tests/soak/caller_pool.hpp
@@ -49,7 +49,7 @@
     void run(std::size_t number, std::uint64_t seed)
     {
         std::mt19937_64 random(seed * 100 + number);
-        keep_alive_caller kept(m_cluster);
+        keep_alive_caller keepAliveCaller(m_cluster);
         const bool keepsConnections = number % 2 == 0;
         for (std::size_t callNumber = 0; !m_stopping; ++callNumber) {
             const std::string id = "c" + std::to_string(number) + "-" + std::to_string(callNumber);
@@ -58,7 +58,7 @@
                 : kind == 1                    ? "/unsafe/" + id
                                                : "/safe/" + id;
             const auto& gateway = m_cluster.gateways()[random() % m_cluster.gateways().size()];
-            auto response = keepsConnections ? kept.call(gateway, "POST", path, id, callerTimeout)
+            auto response = keepsConnections ? keepAliveCaller.call(gateway, "POST", path, id, callerTimeout)
                                              : m_cluster.call(gateway, "POST", path, id, callerTimeout);
             if (response.status == 0)
                 std::this_thread::sleep_for(std::chrono::milliseconds(20)); // no process is listening
--- a/tests/soak/check_call.hpp
+++ b/tests/soak/check_call.hpp
@@ -14,25 +14,25 @@
 inline void checkCall(const call_record& record, std::size_t runs, violation_log& violations)
 {
     const auto& response = record.response;
-    const std::string what
+    const std::string description
         = record.requestId + " (" + record.path + ", status " + std::to_string(response.status) + ")";
     if (record.path.starts_with("/unsafe/")) {
         if (runs > 1)
-            violations.report(what + " ran " + std::to_string(runs) + " times");
+            violations.report(description + " ran " + std::to_string(runs) + " times");
         const bool saysNotRun = response.status == 503 || response.status == 429 || response.status == 408;
         if (saysNotRun && runs > 0)
-            violations.report(what + " was reported as not run, but ran");
+            violations.report(description + " was reported as not run, but ran");
     }
     if (response.status != 200)
         return;
     if (response.serverStamp.empty())
-        violations.report(what + " has no server stamp");
+        violations.report(description + " has no server stamp");
     const std::string expected = record.path.starts_with("/stream/")
         ? gateway_cluster::streamBody(record.path, eventCountOf(record.path))
         : stand_in_fleet::plainBody(record.path);
     const bool isRight = response.isComplete ? response.body == expected : expected.starts_with(response.body);
     if (!isRight)
-        violations.report(what
+        violations.report(description
             + (response.isComplete ? " is complete, but isn't the response to its request"
                                    : " isn't a prefix of the response to its request"));
 }
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -85,10 +85,10 @@
     void recordQuorumOutage()
     {
         const auto& all = m_cluster.registries();
-        const auto left = std::count_if(
+        const auto runningCount = std::count_if(
             all.begin(), all.end(), [this](const std::string& name) { return !m_reserved.contains(name); });
         const auto now = clock_type::now();
-        if (left * 2 <= static_cast<std::ptrdiff_t>(all.size())) {
+        if (runningCount * 2 <= static_cast<std::ptrdiff_t>(all.size())) {
             if (m_quorumOutages.empty() || now > m_quorumOutages.back().second)
                 m_quorumOutages.emplace_back(now, now);
             m_quorumOutages.back().second = now + quorumRecoveryTime;
@@ -100,8 +100,9 @@
     {
         if (record.response.status != 503 || record.response.body.find("\"no_configuration\"") == std::string::npos)
             return false;
-        return std::any_of(m_quorumOutages.begin(), m_quorumOutages.end(),
-            [&record](const auto& time) { return record.receivedAt >= time.first && record.receivedAt < time.second; });
+        return std::any_of(m_quorumOutages.begin(), m_quorumOutages.end(), [&record](const auto& outage) {
+            return record.receivedAt >= outage.first && record.receivedAt < outage.second;
+        });
     }
 
     void injectFault()
@@ -180,9 +181,9 @@
         const auto deadline = clock_type::now() + shutdownTimeout;
         beginFault("stopping " + name, shutdownTimeout, [this, name, deadline] {
             // The end of the soak test also ends this fault, possibly before the shutdown timeout.
-            const auto left = std::max<clock_type::duration>(deadline - clock_type::now(), milliseconds(0));
+            const auto remaining = std::max<clock_type::duration>(deadline - clock_type::now(), milliseconds(0));
             const int status
-                = m_cluster.waitForExit(name, std::chrono::duration_cast<milliseconds>(left) + milliseconds(500));
+                = m_cluster.waitForExit(name, std::chrono::duration_cast<milliseconds>(remaining) + milliseconds(500));
             if (status != 0)
                 m_violations.report(name + " didn't exit cleanly after SIGTERM: status " + std::to_string(status));
             if (status == -1)
@@ -307,10 +308,10 @@
 
     void checkLimit(std::size_t target, double perSecond, clock_type::time_point from)
     {
-        const auto most = peakRequestsPerWindow(m_cluster.fleet().arrivalsAt(target), from);
-        if (static_cast<double>(most) > maxRequestsPerWindow(perSecond))
+        const auto peak = peakRequestsPerWindow(m_cluster.fleet().arrivalsAt(target), from);
+        if (static_cast<double>(peak) > maxRequestsPerWindow(perSecond))
             m_violations.report("target " + std::to_string(target) + " named a limit of " + std::to_string(perSecond)
-                + " requests per second and got " + std::to_string(most) + " in 4 s");
+                + " requests per second and got " + std::to_string(peak) + " in 4 s");
     }
 
     void impairLinks()
@@ -395,16 +396,16 @@
                 m_acknowledged.emplace_back(clock_type::now(), version);
             return;
         }
-        std::uint64_t least = 0;
+        std::uint64_t minVersion = 0;
         const auto before = clock_type::now() - propagationTimeout;
         for (const auto& [when, version] : m_acknowledged) {
             if (when <= before)
-                least = std::max(least, version);
+                minVersion = std::max(minVersion, version);
         }
         const auto read = m_cluster.readVersion(registry);
-        if (read && *read < least)
+        if (read && *read < minVersion)
             m_violations.report(registry + " returned version " + std::to_string(*read) + " after "
-                + std::to_string(least) + " was acknowledged");
+                + std::to_string(minVersion) + " was acknowledged");
     }
 
     void checkRecovery()
@@ -488,13 +489,13 @@
         TCLAP::SwitchArg pushback("", "pushback", "Targets also name rate limits and request backoffs", line);
         line.parse(argc, argv);
         std::cout << "soak: seed " << seed.getValue() << std::endl;
-        const bool held = soak_run(
+        const bool isPassed = soak_run(
             seed.getValue(), seconds(duration.getValue()), gateways.getValue(), engines.getValue(), pushback.getValue())
-                              .run();
-        std::cout << "soak: seed " << seed.getValue() << (held ? " held" : " BROKEN") << std::endl;
-        return held ? 0 : 1;
-    } catch (const std::exception& fault) {
-        std::cerr << "soak: " << fault.what() << "\n";
+                                  .run();
+        std::cout << "soak: seed " << seed.getValue() << (isPassed ? " held" : " BROKEN") << std::endl;
+        return isPassed ? 0 : 1;
+    } catch (const std::exception& error) {
+        std::cerr << "soak: " << error.what() << "\n";
         return 2;
     }
 }
--- a/tests/soak/violation_log.hpp
+++ b/tests/soak/violation_log.hpp
@@ -12,11 +12,11 @@
 /// @brief Prints and counts violations. Thread-safe.
 class violation_log {
 public:
-    void report(const std::string& what)
+    void report(const std::string& description)
     {
         const std::scoped_lock lock(m_mutex);
-        m_entries.push_back(what);
-        std::cout << "BROKEN " << what << std::endl;
+        m_entries.push_back(description);
+        std::cout << "BROKEN " << description << std::endl;
     }
     [[nodiscard]] std::size_t count() const
     {
--- a/tests/support/child_process.cpp
+++ b/tests/support/child_process.cpp
@@ -43,8 +43,8 @@
 pid_t spawnProcess(const std::vector<std::string>& command, const std::string& log)
 {
     std::vector<char*> arguments;
-    for (const auto& word : command)
-        arguments.push_back(const_cast<char*>(word.c_str()));
+    for (const auto& argument : command)
+        arguments.push_back(const_cast<char*>(argument.c_str()));
     arguments.push_back(nullptr);
     posix_spawn_file_actions_t files;
     posix_spawn_file_actions_init(&files);
--- a/tests/support/cluster.cpp
+++ b/tests/support/cluster.cpp
@@ -250,7 +250,7 @@
         = call(entry, "POST", "/v1/completions", body.dump(), { { "X-Workspace", "w1" }, { "X-Timeout-Ms", "20000" } });
     caller_record record;
     record.request = response.requestId;
-    record.expected = stand_in::expectedAnswer(prompt, tokens, layers);
+    record.expected = stand_in::expectedResponse(prompt, tokens, layers);
     record.hasResponse = response.status != 0;
     record.ran = ran_state::Yes;
     if (response.status != 200) {
--- a/tests/support/exchange_bench.hpp
+++ b/tests/support/exchange_bench.hpp
@@ -156,7 +156,7 @@
         return { request, port, pool, budget };
     }
 
-    const std::vector<std::string> firsts { "a0", "b0", "c0" }; ///< targets that may take a request
+    const std::vector<std::string> firstTargets { "a0", "b0", "c0" }; ///< targets that may take a request
     recording_port port;
     target_pool pool { pool_options { "a" }, 7 };
     shared_retry_budget budget { shared_retry_budget_options {} };
--- a/tests/support/request_simulation.cpp
+++ b/tests/support/request_simulation.cpp
@@ -213,9 +213,9 @@
                        }
                        const std::size_t chosen = candidates[m_random() % candidates.size()];
                        // An entry sometimes knows only an outdated incarnation.
-                       const auto known
+                       const auto knownIncarnation
                            = m_sidecars[chosen].incarnation - (usesStaleIncarnations && m_random() % 8 == 0 ? 1 : 0);
-                       open.run.targetChosen({ std::to_string(chosen), known }, m_now);
+                       open.run.targetChosen({ std::to_string(chosen), knownIncarnation }, m_now);
                    },
                    [&](const send_claim& request) { sendClaim(entry, open.run.request().id, request); },
                    [&](const send_offer& offer) {
@@ -340,20 +340,20 @@
 {
     auto& core = *m_sidecars[sidecar].core;
     const auto linkNumber = linkNumberOf(entry, sidecar);
-    const auto known = [&](incarnation_number named) {
-        return disabled == disabled_protection::Incarnations ? m_sidecars[sidecar].incarnation : named;
+    const auto effectiveIncarnation = [&](incarnation_number received) {
+        return disabled == disabled_protection::Incarnations ? m_sidecars[sidecar].incarnation : received;
     };
     std::visit(overloaded {
                    [&](attempt_offer offer) {
-                       offer.incarnation = known(offer.incarnation);
+                       offer.incarnation = effectiveIncarnation(offer.incarnation);
                        core.offer(offer, linkNumber, m_now);
                    },
                    [&](attempt_revoke revoke) {
-                       revoke.incarnation = known(revoke.incarnation);
+                       revoke.incarnation = effectiveIncarnation(revoke.incarnation);
                        core.revoke(revoke, linkNumber, m_now);
                    },
                    [&](response_attach attach) {
-                       attach.incarnation = known(attach.incarnation);
+                       attach.incarnation = effectiveIncarnation(attach.incarnation);
                        core.attach(attach, linkNumber, m_now);
                    },
                },
--- a/tests/support/stand_in_fleet.cpp
+++ b/tests/support/stand_in_fleet.cpp
@@ -10,50 +10,50 @@
 
 } // namespace
 
-void stand_in_fleet::implementation::start(target& one)
+void stand_in_fleet::implementation::start(target& standIn)
 {
-    one.incarnation = ++lastIncarnation;
-    if (!keepsIds || one.id.empty())
-        one.id = "i-" + std::to_string(one.index) + "-" + std::to_string(one.incarnation);
+    standIn.incarnation = ++lastIncarnation;
+    if (!keepsIds || standIn.id.empty())
+        standIn.id = "i-" + std::to_string(standIn.index) + "-" + std::to_string(standIn.incarnation);
     const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
     const auto nowMs = static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(sinceEpoch).count());
-    one.startedMs = keepsIds ? std::max(one.startedMs + 1, nowMs) : 0;
-    one.firstLayer = one.endLayer = 0;
-    one.heartbeatSequence = one.revision = one.fencingToken = 0;
-    one.isUp = true;
-    one.isUnresponsive = one.isDraining = one.isDrainAcknowledged = one.isLoading = false;
-    one.listener = std::make_unique<net::tcp_listener>(loop, [this, &one](net::channel_pointer channel) {
-        auto session = std::make_shared<target_session>(*this, one, std::move(channel));
-        one.sessions.insert(session);
+    standIn.startedMs = keepsIds ? std::max(standIn.startedMs + 1, nowMs) : 0;
+    standIn.firstLayer = standIn.endLayer = 0;
+    standIn.heartbeatSequence = standIn.revision = standIn.fencingToken = 0;
+    standIn.isUp = true;
+    standIn.isUnresponsive = standIn.isDraining = standIn.isDrainAcknowledged = standIn.isLoading = false;
+    standIn.listener = std::make_unique<net::tcp_listener>(loop, [this, &standIn](net::channel_pointer channel) {
+        auto session = std::make_shared<target_session>(*this, standIn, std::move(channel));
+        standIn.sessions.insert(session);
         session->begin();
     });
-    one.listener->listen(one.address);
-    sendHeartbeat(one);
-    scheduleHeartbeat(one.index, one.incarnation);
+    standIn.listener->listen(standIn.address);
+    sendHeartbeat(standIn);
+    scheduleHeartbeat(standIn.index, standIn.incarnation);
 }
 
-void stand_in_fleet::implementation::terminate(target& one)
+void stand_in_fleet::implementation::terminate(target& standIn)
 {
-    one.isUp = false;
-    one.listener.reset();
-    const auto openSessions = one.sessions;
+    standIn.isUp = false;
+    standIn.listener.reset();
+    const auto openSessions = standIn.sessions;
     for (const auto& session : openSessions)
         session->reset();
 }
 
-void stand_in_fleet::implementation::crash(target& one, const std::string& requestId, const std::string& path)
+void stand_in_fleet::implementation::crash(target& standIn, const std::string& requestId, const std::string& path)
 {
-    if (std::exchange(one.crashedIncarnation, one.incarnation) == one.incarnation)
+    if (std::exchange(standIn.crashedIncarnation, standIn.incarnation) == standIn.incarnation)
         return; // two attempts of the request at one target crash it once
-    crashes.push_back({ requestId, path, one.id });
+    crashes.push_back({ requestId, path, standIn.id });
     // Posted, because terminating the target also ends the session that called this.
-    loop.post([this, &one, incarnation = one.incarnation] {
-        if (isShuttingDown || one.incarnation != incarnation)
+    loop.post([this, &standIn, incarnation = standIn.incarnation] {
+        if (isShuttingDown || standIn.incarnation != incarnation)
             return;
-        terminate(one);
-        loop.runAt(now() + restartDelay, [this, &one, incarnation] {
-            if (!isShuttingDown && one.incarnation == incarnation && !one.isUp)
-                start(one);
+        terminate(standIn);
+        loop.runAt(now() + restartDelay, [this, &standIn, incarnation] {
+            if (!isShuttingDown && standIn.incarnation == incarnation && !standIn.isUp)
+                start(standIn);
         });
     });
 }
@@ -61,38 +61,39 @@
 void stand_in_fleet::implementation::scheduleHeartbeat(std::size_t index, std::size_t incarnation)
 {
     loop.runAt(now() + heartbeatInterval, [this, index, incarnation] {
-        auto& one = *targets[index];
-        if (isShuttingDown || one.incarnation != incarnation || !one.isUp)
+        auto& standIn = *targets[index];
+        if (isShuttingDown || standIn.incarnation != incarnation || !standIn.isUp)
             return;
-        sendHeartbeat(one);
+        sendHeartbeat(standIn);
         scheduleHeartbeat(index, incarnation);
     });
 }
 
-json stand_in_fleet::implementation::announcement(const target& one)
+json stand_in_fleet::implementation::announcement(const target& standIn)
 {
-    json body { { "service", one.service }, { "address", one.address }, { "zone", one.domain }, { "slots", 192 },
-        { "state", one.isDraining ? "draining" : "ready" }, { "seq", one.heartbeatSequence } };
-    if (one.startedMs > 0)
-        body["born"] = one.startedMs;
-    if (!one.accelerator.empty())
-        body["kind"] = one.accelerator;
-    if (one.endLayer > 0)
-        body["layers"] = { { "from", one.firstLayer }, { "target", one.endLayer } };
+    json body { { "service", standIn.service }, { "address", standIn.address }, { "zone", standIn.domain },
+        { "slots", 192 }, { "state", standIn.isDraining ? "draining" : "ready" },
+        { "seq", standIn.heartbeatSequence } };
+    if (standIn.startedMs > 0)
+        body["born"] = standIn.startedMs;
+    if (!standIn.accelerator.empty())
+        body["kind"] = standIn.accelerator;
+    if (standIn.endLayer > 0)
+        body["layers"] = { { "from", standIn.firstLayer }, { "target", standIn.endLayer } };
     return body;
 }
 
-void stand_in_fleet::implementation::sendHeartbeat(target& one)
+void stand_in_fleet::implementation::sendHeartbeat(target& standIn)
 {
-    if (one.isUnresponsive || !one.announces)
+    if (standIn.isUnresponsive || !standIn.announces)
         return;
-    ++one.heartbeatSequence;
-    const std::string body = announcement(one).dump();
+    ++standIn.heartbeatSequence;
+    const std::string body = announcement(standIn).dump();
     const std::string& controllerAddress
-        = controllerAddresses[(one.heartbeatSequence + one.index) % controllerAddresses.size()];
+        = controllerAddresses[(standIn.heartbeatSequence + standIn.index) % controllerAddresses.size()];
     net::http_call::start(loop, controllerAddress,
-        { { "PUT", "/instances/" + one.id, { { "Host", "control" } } }, body }, now() + heartbeatTimeout,
-        [this, index = one.index, incarnation = one.incarnation, wasDraining = one.isDraining](
+        { { "PUT", "/instances/" + standIn.id, { { "Host", "control" } } }, body }, now() + heartbeatTimeout,
+        [this, index = standIn.index, incarnation = standIn.incarnation, wasDraining = standIn.isDraining](
             net::call_outcome outcome, const net::whole_response& response) {
             auto& sender = *targets[index];
             const bool isAcknowledged = outcome == net::call_outcome::Answered && response.head.status == 200;
@@ -111,8 +112,8 @@
     auto& fleet = *m_implementation;
     fleet.runOnLoop([&fleet] {
         fleet.isShuttingDown = true;
-        for (auto& one : fleet.targets)
-            fleet.terminate(*one);
+        for (auto& standIn : fleet.targets)
+            fleet.terminate(*standIn);
     });
     fleet.loop.post([&fleet] { fleet.loop.stop(); });
     fleet.thread.join();
@@ -122,13 +123,13 @@
 {
     auto& fleet = *m_implementation;
     return fleet.runOnLoop([&] {
-        auto one = std::make_unique<implementation::target>();
-        one->index = fleet.targets.size();
-        one->service = service;
-        one->domain = domain;
-        one->accelerator = accelerator;
-        one->address = freeAddress();
-        fleet.targets.push_back(std::move(one));
+        auto standIn = std::make_unique<implementation::target>();
+        standIn->index = fleet.targets.size();
+        standIn->service = service;
+        standIn->domain = domain;
+        standIn->accelerator = accelerator;
+        standIn->address = freeAddress();
+        fleet.targets.push_back(std::move(standIn));
         fleet.start(*fleet.targets.back());
         return fleet.targets.size() - 1;
     });
@@ -142,21 +143,21 @@
 void stand_in_fleet::restart(std::size_t target)
 {
     m_implementation->runOnLoop([&] {
-        auto& one = *m_implementation->targets.at(target);
-        if (one.isUp)
-            m_implementation->terminate(one);
-        m_implementation->start(one);
+        auto& standIn = *m_implementation->targets.at(target);
+        if (standIn.isUp)
+            m_implementation->terminate(standIn);
+        m_implementation->start(standIn);
     });
 }
 
 void stand_in_fleet::restartElsewhere(std::size_t target)
 {
     m_implementation->runOnLoop([&] {
-        auto& one = *m_implementation->targets.at(target);
-        if (one.isUp)
-            m_implementation->terminate(one);
-        one.address = freeAddress();
-        m_implementation->start(one);
+        auto& standIn = *m_implementation->targets.at(target);
+        if (standIn.isUp)
+            m_implementation->terminate(standIn);
+        standIn.address = freeAddress();
+        m_implementation->start(standIn);
     });
 }
 
@@ -179,9 +180,9 @@
 void stand_in_fleet::drain(std::size_t target)
 {
     m_implementation->runOnLoop([&] {
-        auto& one = *m_implementation->targets.at(target);
-        one.isDraining = true;
-        m_implementation->sendHeartbeat(one);
+        auto& standIn = *m_implementation->targets.at(target);
+        standIn.isDraining = true;
+        m_implementation->sendHeartbeat(standIn);
     });
 }
 
@@ -232,8 +233,8 @@
 {
     return m_implementation->runOnLoop([this] {
         std::vector<std::string> ids;
-        for (const auto& one : m_implementation->arrivals)
-            ids.push_back(one.requestId);
+        for (const auto& arrival : m_implementation->arrivals)
+            ids.push_back(arrival.requestId);
         return ids;
     });
 }
@@ -242,9 +243,9 @@
 {
     return m_implementation->runOnLoop([&] {
         std::vector<fleet_arrival> found;
-        for (const auto& one : m_implementation->arrivals) {
-            if (one.target == m_implementation->targets.at(target)->id)
-                found.push_back(one);
+        for (const auto& arrival : m_implementation->arrivals) {
+            if (arrival.target == m_implementation->targets.at(target)->id)
+                found.push_back(arrival);
         }
         return found;
     });
@@ -263,12 +264,13 @@
 bool stand_in_fleet::hasChain(const std::string& domain) const
 {
     return m_implementation->runOnLoop([&] {
-        std::set<std::uint32_t> held;
-        for (const auto& one : m_implementation->targets) {
-            for (auto layer = one->firstLayer; one->isUp && one->domain == domain && layer < one->endLayer; ++layer)
-                held.insert(layer);
+        std::set<std::uint32_t> loadedLayers;
+        for (const auto& standIn : m_implementation->targets) {
+            for (auto layer = standIn->firstLayer;
+                 standIn->isUp && standIn->domain == domain && layer < standIn->endLayer; ++layer)
+                loadedLayers.insert(layer);
         }
-        return held.size() == layers;
+        return loadedLayers.size() == layers;
     });
 }
 
--- a/tests/support/stand_in_session.hpp
+++ b/tests/support/stand_in_session.hpp
@@ -120,18 +120,18 @@
         return promise.get_future().get();
     }
 
-    void start(target& one);
-    void terminate(target& one);
+    void start(target& standIn);
+    void terminate(target& standIn);
     /// @brief Crashes a target while it executes a request, and restarts it after restartDelay.
-    void crash(target& one, const std::string& requestId, const std::string& path);
+    void crash(target& standIn, const std::string& requestId, const std::string& path);
     void scheduleHeartbeat(std::size_t index, std::size_t incarnation);
-    void sendHeartbeat(target& one);
-    static json announcement(const target& one);
+    void sendHeartbeat(target& standIn);
+    static json announcement(const target& standIn);
     target* findByAddress(const std::string& address)
     {
-        for (auto& one : targets) {
-            if (one->address == address)
-                return one.get();
+        for (auto& standIn : targets) {
+            if (standIn->address == address)
+                return standIn.get();
         }
         return nullptr;
     }
@@ -269,13 +269,13 @@
         ++m_target.revision;
         m_target.isLoading = true;
         m_target.firstLayer = m_target.endLayer = 0;
-        auto* one = &m_target;
-        m_fleet.loop.runAt(now() + loadTime, [one, request, incarnation = one->incarnation] {
-            if (one->incarnation != incarnation)
+        auto* standIn = &m_target;
+        m_fleet.loop.runAt(now() + loadTime, [standIn, request, incarnation = standIn->incarnation] {
+            if (standIn->incarnation != incarnation)
                 return;
-            one->isLoading = false;
-            one->firstLayer = request.value("from", 0U);
-            one->endLayer = request.value("target", 0U);
+            standIn->isLoading = false;
+            standIn->firstLayer = request.value("from", 0U);
+            standIn->endLayer = request.value("target", 0U);
         });
         respond(202, "{}", {});
     }
--- a/tests/support/target_tables.hpp
+++ b/tests/support/target_tables.hpp
@@ -11,11 +11,11 @@
 {
     buckthornrail::registry::target_table table;
     for (const auto& id : ids) {
-        buckthornrail::registry::target_record one;
-        one.id = id;
-        one.service = "s";
-        one.address = id + ":1";
-        table.apply(one);
+        buckthornrail::registry::target_record record;
+        record.id = id;
+        record.service = "s";
+        record.address = id + ":1";
+        table.apply(record);
     }
     return table;
 }
--- a/tests/target_restart_test.cpp
+++ b/tests/target_restart_test.cpp
@@ -216,21 +216,21 @@
     std::vector<std::string> broken { "", "no json", "[]", "null", good.dump().substr(0, 40), "\xff\xfe\x00\x01",
         std::string(100'000, '[') };
     for (const auto* field : { "service", "address", "state" }) {
-        json one = good;
-        one.erase(field);
-        broken.push_back(one.dump());
+        json record = good;
+        record.erase(field);
+        broken.push_back(record.dump());
     }
     const std::vector<json> values { nullptr, 7, -1, 1.5, true, "", "odd", json::array(), json::object() };
     for (const auto* field : { "service", "address", "state", "born", "layers" }) {
         for (const auto& value : values) {
-            json one = good;
-            one["seq"] = 1'000'000;
-            one[field] = value;
+            json record = good;
+            record["seq"] = 1'000'000;
+            record[field] = value;
             const std::string name = field;
             const bool isPossible = (name == "born" && (value.is_null() || value == 7))
                 || (name == "layers" && value.is_null()) || (name == "service" && value == "odd");
             if (!isPossible)
-                broken.push_back(one.dump());
+                broken.push_back(record.dump());
         }
     }
     const std::string before = cluster.targetLine(leader, id);
--- a/tools/bench_document.cpp
+++ b/tools/bench_document.cpp
@@ -58,10 +58,10 @@
 
 /// @brief Decodes the slices that a registry sends. @param heldVersion version that the gateway holds; 0: none
 std::vector<link::document_slice> slicesFrom(
-    app::document_feed& feed, std::uint64_t heldVersion, const versioned_text& newest)
+    app::document_feed& feed, std::uint64_t knownVersion, const versioned_text& newest)
 {
     std::vector<link::document_slice> slices;
-    for (const auto* bytes : feed.messagesFrom(heldVersion, newest))
+    for (const auto* bytes : feed.messagesFrom(knownVersion, newest))
         slices.push_back(std::get<link::document_slice>(link::decode(*bytes).value()));
     return slices;
 }
--- a/tools/load.cpp
+++ b/tools/load.cpp
@@ -212,7 +212,7 @@
         const bool isComplete = response.outcome == http::client_outcome::Ok && status == 200 && finished;
         const bool isRefusal = status == 503 || status == 429 || status == 504;
         const bool isCorrect
-            = !isComplete || text == stand_in::expectedAnswer(request.prompt, m_options.tokens, layers);
+            = !isComplete || text == stand_in::expectedResponse(request.prompt, m_options.tokens, layers);
         const std::scoped_lock lock(m_mutex);
         auto& result = m_results[request.isHighPriority ? "high" : "normal"];
         if (isComplete && isCorrect) {
--- a/tools/stand_in_model.cpp
+++ b/tools/stand_in_model.cpp
@@ -28,15 +28,15 @@
     return " " + std::string(vocabulary[value % vocabulary.size()]) + std::to_string((value >> 8U) % 100);
 }
 
-std::string expectedAnswer(std::string text, std::uint32_t count, std::uint32_t layers)
+std::string expectedResponse(std::string text, std::uint32_t count, std::uint32_t layers)
 {
-    std::string answer;
+    std::string response;
     for (std::uint32_t index = 0; index < count; ++index) {
         const std::string token = tokenOf(runLayers(embed(text), 0, layers));
-        answer += token;
+        response += token;
         text += token;
     }
-    return answer;
+    return response;
 }
 
 } // namespace stand_in
--- a/tools/stand_in_model.hpp
+++ b/tools/stand_in_model.hpp
@@ -19,6 +19,6 @@
 std::string tokenOf(std::uint64_t value);
 
 /// @brief The `count` tokens that a model with that many layers generates after a text.
-std::string expectedAnswer(std::string text, std::uint32_t count, std::uint32_t layers);
+std::string expectedResponse(std::string text, std::uint32_t count, std::uint32_t layers);
 
 } // namespace stand_in
--- a/tools/stand_in_prefix_cache.hpp
+++ b/tools/stand_in_prefix_cache.hpp
@@ -28,17 +28,17 @@
         const std::scoped_lock lock(m_mutex);
         const std::uint64_t key = embed(prompt.substr(0, prefixBytes));
         const auto found = std::find(m_recentKeys.begin(), m_recentKeys.end(), key);
-        const bool known = found != m_recentKeys.end();
-        if (known)
+        const bool isCached = found != m_recentKeys.end();
+        if (isCached)
             m_recentKeys.erase(found);
         m_recentKeys.push_front(key);
-        if (!known)
+        if (!isCached)
             recordEvent("stored", key);
         if (m_recentKeys.size() > m_capacity) {
             recordEvent("evicted", m_recentKeys.back());
             m_recentKeys.pop_back();
         }
-        return known;
+        return isCached;
     }
 
     /// @brief The last events with their sequence numbers, late and with gaps, as real engines publish them.
--- a/tools/stand_in_target.cpp
+++ b/tools/stand_in_target.cpp
@@ -46,8 +46,8 @@
     std::uint32_t serviceMs = 2; ///< time for a service call
     std::uint32_t loadMs = 200; ///< time to load a version
     bool checksFences = true; ///< false: carries out load orders with an outdated fencing token
-    bool answersTwice = false; ///< repeats all tokens of an answer after the last one
-    std::uint32_t answerLateMs = 0; ///< delay between the response head and the first token
+    bool sendsTokensTwice = false; ///< repeats all tokens of an answer after the last one
+    std::uint32_t firstTokenDelayMs = 0; ///< delay between the response head and the first token
     std::uint32_t cacheEventLagMs = 500; ///< age at which cache events become visible
     std::uint32_t cacheEventSkipInterval = 7; ///< every n-th cache event is never published; 0: none
     std::uint32_t stallAfter = 0; ///< stalls before this token (counted from 1) and each later one; 0: never
@@ -119,8 +119,8 @@
         m_options.stallAfter = body.value("stall_after", m_options.stallAfter);
         m_options.dieAfter = body.value("die_after", m_options.dieAfter);
         m_options.serviceMs = body.value("service_ms", m_options.serviceMs);
-        m_options.answersTwice = body.value("answers_twice", m_options.answersTwice);
-        m_options.answerLateMs = body.value("answer_late_ms", m_options.answerLateMs);
+        m_options.sendsTokensTwice = body.value("answers_twice", m_options.sendsTokensTwice);
+        m_options.firstTokenDelayMs = body.value("answer_late_ms", m_options.firstTokenDelayMs);
         m_ready = body.value("ready", m_ready.load());
         respond(exchange, 200, json::object());
     }
@@ -232,20 +232,21 @@
         if (!m_cache.touch(text))
             sleepUs(std::uint64_t { m_options.prefillUsPerByte } * text.size());
         exchange.beginStream(200, { { "Content-Type", "text/event-stream" } });
-        sleepUs(std::uint64_t { m_options.answerLateMs } * 1000);
+        sleepUs(std::uint64_t { m_options.firstTokenDelayMs } * 1000);
         bool alive = true;
-        std::vector<std::string> answer;
+        std::vector<std::string> events;
         for (std::uint32_t token = 0; token < limit && alive; ++token) {
             applyFault(token);
             sleepUs(std::uint64_t { m_options.tokenMs } * 1000);
-            const std::string word = stand_in::tokenOf(stand_in::runLayers(stand_in::embed(text), 0, m_options.layers));
-            text += word;
+            const std::string tokenText
+                = stand_in::tokenOf(stand_in::runLayers(stand_in::embed(text), 0, m_options.layers));
+            text += tokenText;
             const bool last = token + 1 == limit;
-            answer.push_back("data: " + event(word, last, isKServe).dump() + "\n\n");
-            alive = exchange.writeChunk(answer.back()) && !isCancelled(id + "/" + attempt);
+            events.push_back("data: " + event(tokenText, last, isKServe).dump() + "\n\n");
+            alive = exchange.writeChunk(events.back()) && !isCancelled(id + "/" + attempt);
         }
-        for (std::size_t index = 0; index < answer.size() && alive && m_options.answersTwice; ++index)
-            alive = exchange.writeChunk(answer[index]);
+        for (std::size_t index = 0; index < events.size() && alive && m_options.sendsTokensTwice; ++index)
+            alive = exchange.writeChunk(events[index]);
         if (alive && !isKServe)
             exchange.writeChunk("data: [DONE]\n\n");
         exchange.endStream();
@@ -253,12 +254,12 @@
         log({ { "event", alive ? "done" : "stopped" }, { "request", id }, { "attempt", std::stoul(attempt) } });
     }
 
-    static json event(const std::string& word, bool last, bool isKServe)
+    static json event(const std::string& tokenText, bool last, bool isKServe)
     {
         const json reason = last ? json("length") : json();
         if (isKServe)
-            return { { "text_output", word }, { "finish_reason", reason } };
-        return { { "choices", json::array({ { { "text", word }, { "finish_reason", reason } } }) } };
+            return { { "text_output", tokenText }, { "finish_reason", reason } };
+        return { { "choices", json::array({ { { "text", tokenText }, { "finish_reason", reason } } }) } };
     }
 
     void executeStep(const http_request& request, http_exchange& exchange)
