--- a/examples/embedded_log.cpp
+++ b/examples/embedded_log.cpp
@@ -19,7 +19,7 @@
     std::vector<std::string> applied;
 };
 
-/// @brief Carries out a replica's effects in the order that replica.hpp requires: persist, send, apply.
+/// @brief Applies a replica's effects in the order that replica.hpp requires: persist, send, apply.
 void applyEffects(replica_node& node, std::vector<peer_message>& network)
 {
     const effects pending = node.log.takeEffects();
--- a/tests/gateway_process_test.cpp
+++ b/tests/gateway_process_test.cpp
@@ -100,7 +100,7 @@
     }
 }
 
-TEST_CASE("gateway: with a faulty service callers get only their own, whole answers, unsafe ones run once at most",
+TEST_CASE("gateway: with a faulty service, callers get only their own complete responses, unsafe ones run once at most",
     "[gateway_process]")
 {
     gateway_cluster cluster;
@@ -315,7 +315,7 @@
     const std::string newest = "storm" + std::to_string(last - 100);
     for (const auto& gateway : cluster.gateways()) {
         CHECK(waitUntil([&] { return respondsWith(cluster, gateway, newest, 200); }, waitTimeout));
-        // A change whose base is not the version that the gateway holds would end its session.
+        // A change whose base is not the version that the gateway has would end its session.
         CHECK(cluster.logOf(gateway).find("E608 session_lost") == std::string::npos);
     }
 }
--- a/tests/incident_backoff_test.cpp
+++ b/tests/incident_backoff_test.cpp
@@ -37,7 +37,7 @@
         cluster.fleet().arrivalsAt(target), [](const auto& arrival) { return arrival.arrivedAt; }, from, to);
 }
 
-/// @return requests that arrived at a target during the backoff that it asked for, from its first refusal on
+/// @return requests that arrived at a target during the backoff that it requested, from its first refusal on
 std::ptrdiff_t requestsDuringBackoff(gateway_cluster& cluster, std::size_t target)
 {
     const auto refusedAt = cluster.fleet().firstRefusalAt(target);
@@ -146,8 +146,9 @@
     CHECK(cluster.targetState(cluster.leader(), cluster.fleet().idOf(target)) == "ready");
 }
 
-// Guards against requests to a target that says only in its answers, and not in its announcements, that it drains.
-TEST_CASE("target leaving: a target that says so in its answers gets no more requests from any gateway", "[incident]")
+// Guards against requests to a target that reports only in its responses, and not in its announcements, that it drains.
+TEST_CASE(
+    "target leaving: a target that reports it in its responses gets no more requests from any gateway", "[incident]")
 {
     const auto [method, path] = GENERATE(std::pair("GET", "/safe/x"), std::pair("POST", "/stream/n3"));
     CAPTURE(path);
--- a/tests/incident_crashing_request_test.cpp
+++ b/tests/incident_crashing_request_test.cpp
@@ -55,7 +55,7 @@
     retrying_caller& operator=(const retrying_caller&) = delete;
     ~retrying_caller() { stop(); }
 
-    /// @return the answers, in order
+    /// @return the responses, in order
     const std::vector<caller_response>& stop()
     {
         m_isStopping = true;
@@ -119,7 +119,7 @@
     for (auto& caller : callers) {
         const auto& responses = caller->stop();
         REQUIRE(responses.size() > 5);
-        // A final answer without a time to retry.
+        // A final response without a time to retry.
         CHECK(responses.back().status == 400);
         CHECK(responses.back().retryAfter.empty());
     }
@@ -209,7 +209,7 @@
         const auto isServed = [&body](const auto& response) {
             return response.isComplete && response.status == 200 && response.body == body;
         };
-        // Refused only for a short time, and never with a final answer.
+        // Refused only for a short time, and never with a final response.
         CHECK(std::none_of(
             responses.begin(), responses.end(), [](const auto& response) { return response.status == 400; }));
         CHECK(isServed(responses.back()));
--- a/tests/incident_retries_test.cpp
+++ b/tests/incident_retries_test.cpp
@@ -3,9 +3,9 @@
 ///
 /// Targets got 391 retries within 10 s for 825 requests; 367 were allowed. Each gateway uses its share of the slack,
 /// and the shares added up to more than the slack for two reasons: a restarted gateway didn't know what its earlier
-/// process had spent and began with a full share, and a new leader told the first gateways to connect that few share
-/// the budget. That these two caused the incident is inferred from its times, not traced. In the half second in which
-/// gateways found the new leader, one request was sent six times to the same full target.
+/// process had spent and began with a full share, and a new leader reported to the first gateways that connected that
+/// few share the budget. That these two caused the incident is inferred from its times, not traced. In the half second
+/// in which gateways found the new leader, one request was sent six times to the same full target.
 #include "buckthornrail/gateway/shared_retry_budget.hpp"
 #include "support/gateway_cluster.hpp"
 
@@ -106,7 +106,7 @@
     std::this_thread::sleep_for(seconds(1)); // for the session and a heartbeat in it
     sendCalls(first);
     CHECK(retryCount(cluster) <= slack);
-    // All four are alive: the leader must not tell any that fewer share the budget.
+    // All four are alive: the leader must not report to any of them that fewer share the budget.
     CHECK(cluster.logOf(first).find("before=4") == std::string::npos);
     for (const auto& gateway : cluster.gateways())
         cluster.signal(gateway, SIGCONT);
--- a/tests/large_table_test.cpp
+++ b/tests/large_table_test.cpp
@@ -2,7 +2,7 @@
 /// @brief Real processes: the first update of a gateway session with a table of many targets.
 ///
 /// Guards against a leader that is overloaded by new sessions: it encoded the whole table of 3,000 targets (800 KB)
-/// again for each of 294 gateways, which took four seconds in which it answered nothing. Gateways disconnected after
+/// again for each of 294 gateways, which took four seconds in which it sent no response. Gateways disconnected after
 /// 0.9 s of silence and reconnected, 33,000 sessions in 33 s, and no request was served.
 #include "buckthornrail/link/link_hub.hpp"
 #include "buckthornrail/link/message.hpp"
@@ -58,7 +58,7 @@
     std::thread m_thread;
 };
 
-/// @return size in bytes of the first update for a gateway that holds no version yet; 0: it got none
+/// @return size in bytes of the first update for a gateway that has no version yet; 0: it got none
 std::size_t firstUpdateSize(const std::string& registryLink)
 {
     std::size_t bytes = 0;
--- a/tests/request_faults_test.cpp
+++ b/tests/request_faults_test.cpp
@@ -27,7 +27,7 @@
 
 constexpr std::array faultTable {
     fault_case { "message lost", [](request_simulation&) { return message_action::Drop; } },
-    fault_case { "message repeated", [](request_simulation&) { return message_action::Duplicate; } },
+    fault_case { "message duplicated", [](request_simulation&) { return message_action::Duplicate; } },
     fault_case { "message late", [](request_simulation&) { return message_action::Delay; } },
     fault_case { "sidecar 0 killed",
         [](request_simulation& simulation) {
@@ -271,7 +271,7 @@
     CHECK(isViolationDetected(disabled_protection::Digests));
 }
 
-TEST_CASE("requests: an idempotent answer continues after the last token when its target crashes", "[faults]")
+TEST_CASE("requests: an idempotent response continues after the last token when its target crashes", "[faults]")
 {
     request_simulation simulation(1, 2, 5);
     simulation.usesStaleIncarnations = false;
@@ -286,7 +286,7 @@
     }
 }
 
-TEST_CASE("requests: a complete non-idempotent answer is returned again through another entry", "[faults]")
+TEST_CASE("requests: a complete non-idempotent response is returned again through another entry", "[faults]")
 {
     request_simulation simulation(2, 2, 6);
     simulation.usesStaleIncarnations = false;
--- a/tests/session_spread_test.cpp
+++ b/tests/session_spread_test.cpp
@@ -86,7 +86,7 @@
     const std::string silent = follower(cluster);
     const std::string gateway = gatewayInDomainOf(cluster, silent);
     const std::string leader = cluster.leader();
-    SECTION("frozen") { cluster.signal(silent, SIGSTOP); }
+    SECTION("paused") { cluster.signal(silent, SIGSTOP); }
     SECTION("its links are cut, and it considers its state current") { cluster.linkRelay(silent).setSilent(true); }
     SECTION("it receives nothing, but its messages arrive")
     {
--- a/tests/support/gateway_cluster.hpp
+++ b/tests/support/gateway_cluster.hpp
@@ -47,7 +47,7 @@
     gateway_cluster& operator=(const gateway_cluster&) = delete;
     ~gateway_cluster();
 
-    /// @brief Makes the steady clock of each process stand still while a signal stops the process, as on a suspended
+    /// @brief Makes the steady clock of each process stand still while SIGSTOP pauses the process, as on a suspended
     /// machine. Call before start().
     void suspendClocks();
     /// @brief Starts all processes and targets, and waits until every gateway serves requests.
@@ -59,7 +59,7 @@
     int waitForExit(const std::string& name, std::chrono::milliseconds timeout);
     /// @brief Sends SIGKILL and waits for the end of the process.
     void killHard(const std::string& name);
-    /// @brief Deletes the storage of a stopped registry, which joins as a blank member at its next start.
+    /// @brief Deletes the storage of a registry that isn't running, which joins as a blank member at its next start.
     void loseDisk(const std::string& registry);
     [[nodiscard]] bool isRunning(const std::string& name) const { return m_pids.contains(name); }
 
--- a/tests/support/suspended_clock.cpp
+++ b/tests/support/suspended_clock.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// @brief Library for LD_PRELOAD that simulates a suspended machine: CLOCK_MONOTONIC stands still while the process is
-/// stopped. The boot clock and the wall clock keep counting.
+/// paused (SIGSTOP). The boot clock and the wall clock keep counting.
 #include <atomic>
 #include <cstdint>
 #include <ctime>
@@ -11,7 +11,7 @@
 
 constexpr std::int64_t nanosecondsPerSecond = 1'000'000'000;
 /// The programs read their clocks many times per second, so a longer gap between two readings means that the process
-/// was stopped.
+/// was paused.
 constexpr std::int64_t minSuspension = nanosecondsPerSecond;
 
 std::atomic<std::int64_t> lastReading { 0 };
--- a/tests/target_restart_test.cpp
+++ b/tests/target_restart_test.cpp
@@ -323,20 +323,20 @@
     CHECK(waitUntil([&] { return cluster.allGatewaysServe(); }, waitTimeout));
 }
 
-TEST_CASE("target restart: while a gateway is stopped", "[target_restart]")
+TEST_CASE("target restart: while a gateway is paused", "[target_restart]")
 {
     restart_cluster cluster;
     REQUIRE(cluster.startAndRestartTargets());
-    const std::string stopped = cluster.gateways()[0];
-    cluster.signal(stopped, SIGSTOP);
+    const std::string paused = cluster.gateways()[0];
+    cluster.signal(paused, SIGSTOP);
     for (int round = 0; round < 2; ++round) {
         cluster.fleet().restart(cluster.engines()[0]);
         cluster.fleet().restart(cluster.plainTargets()[0]);
         std::this_thread::sleep_for(milliseconds(1200));
     }
-    cluster.signal(stopped, SIGCONT);
+    cluster.signal(paused, SIGCONT);
     CHECK(waitUntil(
         [&] { return cluster.hasAllChains() && cluster.areAllReady() && cluster.allGatewaysServe(); }, waitTimeout));
-    const auto stream = cluster.call(stopped, "POST", "/stream/n20", "after");
+    const auto stream = cluster.call(paused, "POST", "/stream/n20", "after");
     CHECK((stream.body == gateway_cluster::streamBody("/stream/n20", 20)));
 }
--- a/tools/bench_document.cpp
+++ b/tools/bench_document.cpp
@@ -56,7 +56,7 @@
     return { version, document.dump() };
 }
 
-/// @brief Decodes the slices that a registry sends. @param heldVersion version that the gateway holds; 0: none
+/// @brief Decodes the slices that a registry sends. @param knownVersion version that the gateway has; 0: none
 std::vector<link::document_slice> slicesFrom(
     app::document_feed& feed, std::uint64_t knownVersion, const versioned_text& newest)
 {
--- a/tools/load.cpp
+++ b/tools/load.cpp
@@ -1,9 +1,9 @@
 /// @file
-/// @brief Open-loop load generator with a seeded schedule; verifies the text of every complete answer.
+/// @brief Open-loop load generator with a seeded schedule; verifies the text of every complete response.
 ///
-/// Arrivals follow a Poisson process. Each request is sent when it is due, whether or not earlier ones were answered;
-/// `sent_late` counts requests sent over 100 ms late because all threads were busy. Latencies are kept in histograms
-/// with a fixed number of buckets, so their memory doesn't grow with the run.
+/// Arrivals follow a Poisson process. Each request is sent when it is due, whether or not earlier ones have got their
+/// response; `sent_late` counts requests sent over 100 ms late because all threads were busy. Latencies are kept in
+/// histograms with a fixed number of buckets, so their memory doesn't grow with the run.
 #include "stand_in_model.hpp"
 
 #include "buckthornrail/http/http_client.hpp"
@@ -73,7 +73,7 @@
     double rate = 50; ///< mean requests per second
     double seconds = 10; ///< length of the schedule
     std::uint32_t threads = 200; ///< limit of requests in flight
-    std::uint32_t tokens = 8; ///< per answer
+    std::uint32_t tokens = 8; ///< per response
     std::uint32_t promptBytes = 200;
     std::uint32_t prefixes = 0; ///< shared prompt prefixes per workspace; 0: none
     std::uint32_t prefixBytes = 400;
@@ -103,7 +103,7 @@
     std::uint64_t failed = 0; ///< neither complete nor refused
     std::uint64_t wrong = 0; ///< complete, but with another text than expected
     latency_histogram firstTokenMs;
-    latency_histogram gapMs; ///< between successive chunks of an answer
+    latency_histogram gapMs; ///< between successive chunks of a response
     latency_histogram totalMs; ///< reported as `whole_ms`
     latency_histogram refusalMs;
 };
@@ -223,8 +223,8 @@
             for (const double gap : gaps)
                 result.gapMs.add(gap);
             ++m_goodByWorkspace[request.workspace];
-            // Throughput counts answers of the steady window only: the ramp-up and the answers after the last request
-            // was due would distort it.
+            // Throughput counts responses of the steady window only: the ramp-up and the responses after the last
+            // request was due would distort it.
             const double endSeconds = static_cast<double>(doneUs - m_beginUs) / 1e6;
             if (endSeconds >= steadyStart * m_options.seconds && endSeconds < m_options.seconds)
                 ++m_goodInSteadyWindow;
@@ -321,7 +321,7 @@
 load_options readOptions(int argc, char** argv)
 {
     load_options options;
-    TCLAP::CmdLine line("Sends open-loop load to entries and verifies the answers.", ' ', "0.1.0");
+    TCLAP::CmdLine line("Sends open-loop load to entries and verifies the responses.", ' ', "0.1.0");
     TCLAP::ValueArg<std::string> entries(
         "", "entries", "Addresses of the entries, on loopback", true, "", "IP:port,...", line);
     TCLAP::ValueArg<std::string> workspaces(
@@ -336,7 +336,7 @@
         return std::make_unique<TCLAP::ValueArg<std::uint32_t>>("", flag, meaning, false, fallback, "number", line);
     };
     const auto threads = numberArg("threads", "Maximum number of requests in flight", options.threads);
-    const auto tokens = numberArg("tokens", "Tokens per answer", options.tokens);
+    const auto tokens = numberArg("tokens", "Tokens per response", options.tokens);
     const auto promptBytes = numberArg("prompt-bytes", "Minimum size of a prompt in bytes", options.promptBytes);
     const auto prefixes = numberArg("prefixes", "Shared prompt prefixes per workspace; 0: none", 0);
     const auto prefixBytes = numberArg("prefix-bytes", "Size of a shared prefix in bytes", options.prefixBytes);
--- a/tools/measure.cpp
+++ b/tools/measure.cpp
@@ -22,7 +22,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::uint32_t tokens = 8; ///< per answer
+constexpr std::uint32_t tokens = 8; ///< per response
 constexpr double loadSeconds = 8;
 
 /// Targets, load and fault of one measurement.
@@ -155,8 +155,8 @@
 
 /// Times since a fault was injected.
 struct recovery_result {
-    double firstGoodMs = 0; ///< first successful answer
-    double settledMs = 0; ///< last failed answer, or last answer more than 150 ms after the one before
+    double firstGoodMs = 0; ///< first successful response
+    double settledMs = 0; ///< last failed response, or last response more than 150 ms after the one before
     int failedCount = 0;
 };
 
@@ -202,9 +202,9 @@
     const std::vector<std::pair<std::string, std::function<void(cluster&)>>> faults {
         { "controller leader killed", [](cluster& system) { system.killHard(system.leader()); } },
         { "sidecar killed", [](cluster& system) { system.killHard("sidecar-0"); } },
-        { "sidecar frozen", [](cluster& system) { system.signal("sidecar-0", SIGSTOP); } },
-        { "target killed in mid-answer", [](cluster& system) { system.killHard("target-0"); } },
-        { "target stalls in mid-answer",
+        { "sidecar paused", [](cluster& system) { system.signal("sidecar-0", SIGSTOP); } },
+        { "target killed in mid-response", [](cluster& system) { system.killHard("target-0"); } },
+        { "target stalls in mid-response",
             [](cluster& system) {
                 system.injectFault("target-0", { { "stall_after", 2 } });
             } },
--- a/tools/stand_in_model.hpp
+++ b/tools/stand_in_model.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// @brief Deterministic stand-in for a language model: each token is a function of the whole text before it, so that a
-/// test can compute the expected answer.
+/// test can compute the expected response.
 #pragma once
 
 #include <cstdint>
--- a/tools/stand_in_target.cpp
+++ b/tools/stand_in_target.cpp
@@ -1,8 +1,8 @@
 /// @file
 /// @brief Stand-in for a target of any kind, with configurable speed, batch slots, prefix cache and fault injection.
 ///
-/// It logs every execution as a line of JSON. The tests of exactly-once execution compare that log with the callers'
-/// answers.
+/// It logs every execution as a line of JSON. The tests of exactly-once execution compare that log with the
+/// responses that callers received.
 #include "stand_in_execution_log.hpp"
 #include "stand_in_model.hpp"
 #include "stand_in_prefix_cache.hpp"
@@ -45,8 +45,8 @@
     std::uint32_t reportLagMs = 0; ///< the load report is refreshed only when this time has passed
     std::uint32_t serviceMs = 2; ///< time for a service call
     std::uint32_t loadMs = 200; ///< time to load a version
-    bool checksFences = true; ///< false: carries out load orders with an outdated fencing token
-    bool sendsTokensTwice = false; ///< repeats all tokens of an answer after the last one
+    bool checksFences = true; ///< false: executes load orders with an outdated fencing token
+    bool sendsTokensTwice = false; ///< sends all tokens of a response again after the last one
     std::uint32_t firstTokenDelayMs = 0; ///< delay between the response head and the first token
     std::uint32_t cacheEventLagMs = 500; ///< age at which cache events become visible
     std::uint32_t cacheEventSkipInterval = 7; ///< every n-th cache event is never published; 0: none
@@ -355,7 +355,7 @@
     const auto lag = numberArg("report-lag-ms", "Interval at which load reports are refreshed, in ms", 0);
     const auto serviceMs = numberArg("service-ms", "Time for a service call in ms", options.serviceMs);
     const auto loadMs = numberArg("load-ms", "Time to load a version in ms", options.loadMs);
-    TCLAP::SwitchArg ignoresFences("", "ignore-fences", "Carry out load orders with an outdated fencing token", line);
+    TCLAP::SwitchArg ignoresFences("", "ignore-fences", "Execute load orders with an outdated fencing token", line);
     line.parse(argc, argv);
     options.loadMs = loadMs->getValue();
     options.checksFences = !ignoresFences.getValue();
