--- a/tests/request_faults_test.cpp
+++ b/tests/request_faults_test.cpp
@@ -27,48 +27,63 @@
 
 constexpr std::array faultTable {
     fault_case { "message lost", [](request_simulation&) { return message_action::Drop; } },
-    fault_case { "message repeated", [](request_simulation&) { return message_action::Duplicate; } },
+    fault_case { "message duplicated", [](request_simulation&) { return message_action::Duplicate; } },
     fault_case { "message late", [](request_simulation&) { return message_action::Delay; } },
     fault_case { "sidecar 0 killed",
-        [](request_simulation& s) { return deliverAndRun([](request_simulation& x) { x.killSidecar(0); }, s); } },
+        [](request_simulation& simulation) {
+            return deliverAndRun([](request_simulation& affected) { affected.killSidecar(0); }, simulation);
+        } },
     fault_case { "both sidecars killed",
-        [](request_simulation& s) {
+        [](request_simulation& simulation) {
             return deliverAndRun(
-                [](request_simulation& x) {
-                    x.killSidecar(0);
-                    x.killSidecar(1);
+                [](request_simulation& affected) {
+                    affected.killSidecar(0);
+                    affected.killSidecar(1);
                 },
-                s);
+                simulation);
         } },
     fault_case { "sidecar 0 paused",
-        [](request_simulation& s) {
-            return deliverAndRun([](request_simulation& x) { x.pauseSidecar(0, true); }, s);
+        [](request_simulation& simulation) {
+            return deliverAndRun([](request_simulation& affected) { affected.pauseSidecar(0, true); }, simulation);
         } },
     fault_case { "entry 0 killed",
-        [](request_simulation& s) { return deliverAndRun([](request_simulation& x) { x.killEntry(0); }, s); } },
+        [](request_simulation& simulation) {
+            return deliverAndRun([](request_simulation& affected) { affected.killEntry(0); }, simulation);
+        } },
     fault_case { "link closed",
-        [](request_simulation& s) { return deliverAndRun([](request_simulation& x) { x.closeLink(0, 0); }, s); } },
+        [](request_simulation& simulation) {
+            return deliverAndRun([](request_simulation& affected) { affected.closeLink(0, 0); }, simulation);
+        } },
     fault_case { "link silently cut",
-        [](request_simulation& s) { return deliverAndRun([](request_simulation& x) { x.cutLink(0, 0, true); }, s); } },
+        [](request_simulation& simulation) {
+            return deliverAndRun([](request_simulation& affected) { affected.cutLink(0, 0, true); }, simulation);
+        } },
     fault_case { "target 0 fails",
-        [](request_simulation& s) {
-            return deliverAndRun([](request_simulation& x) { x.setMode(0, target_mode::Fails); }, s);
+        [](request_simulation& simulation) {
+            return deliverAndRun(
+                [](request_simulation& affected) { affected.setMode(0, target_mode::Fails); }, simulation);
         } },
     fault_case { "target 0 stalls",
-        [](request_simulation& s) {
-            return deliverAndRun([](request_simulation& x) { x.setMode(0, target_mode::Stalls); }, s);
+        [](request_simulation& simulation) {
+            return deliverAndRun(
+                [](request_simulation& affected) { affected.setMode(0, target_mode::Stalls); }, simulation);
         } },
     fault_case { "target 0 refuses connections",
-        [](request_simulation& s) {
-            return deliverAndRun([](request_simulation& x) { x.setMode(0, target_mode::Refuses); }, s);
+        [](request_simulation& simulation) {
+            return deliverAndRun(
+                [](request_simulation& affected) { affected.setMode(0, target_mode::Refuses); }, simulation);
         } },
     fault_case { "sidecar 0 drains",
-        [](request_simulation& s) { return deliverAndRun([](request_simulation& x) { x.drainSidecar(0); }, s); } },
+        [](request_simulation& simulation) {
+            return deliverAndRun([](request_simulation& affected) { affected.drainSidecar(0); }, simulation);
+        } },
     fault_case { "claims lost",
-        [](request_simulation& s) { return deliverAndRun([](request_simulation& x) { x.loseClaims(true); }, s); } },
+        [](request_simulation& simulation) {
+            return deliverAndRun([](request_simulation& affected) { affected.loseClaims(true); }, simulation);
+        } },
     fault_case { "new configuration",
-        [](request_simulation& s) {
-            return deliverAndRun([](request_simulation& x) { x.publishConfiguration(); }, s);
+        [](request_simulation& simulation) {
+            return deliverAndRun([](request_simulation& affected) { affected.publishConfiguration(); }, simulation);
         } },
 };
 
@@ -86,11 +101,11 @@
 
 void endFaults(request_simulation& simulation)
 {
-    for (std::size_t at = 0; at < simulation.sidecars(); ++at) {
-        simulation.pauseSidecar(at, false);
-        simulation.setMode(at, target_mode::Works);
+    for (std::size_t sidecar = 0; sidecar < simulation.sidecars(); ++sidecar) {
+        simulation.pauseSidecar(sidecar, false);
+        simulation.setMode(sidecar, target_mode::Works);
         for (std::size_t entry = 0; entry < simulation.entries(); ++entry)
-            simulation.cutLink(entry, at, false);
+            simulation.cutLink(entry, sidecar, false);
     }
     simulation.loseClaims(false);
 }
@@ -160,7 +175,7 @@
         std::mt19937_64 random(seed);
         simulation.onMessage
             = [&random](std::size_t) { return random() % 20 == 0 ? message_action::Delay : message_action::Deliver; };
-        for (int at = 0; at < 25; ++at)
+        for (int step = 0; step < 25; ++step)
             applyRandomAction(simulation, static_cast<std::uint32_t>(random()));
         simulation.run(milliseconds(9000));
         if (!simulation.violations().empty())
@@ -256,14 +271,14 @@
     CHECK(isViolationDetected(disabled_protection::Digests));
 }
 
-TEST_CASE("requests: an idempotent answer continues after the last token when its target crashes", "[faults]")
+TEST_CASE("requests: an idempotent response continues after the last token when its target crashes", "[faults]")
 {
     request_simulation simulation(1, 2, 5);
     simulation.usesStaleIncarnations = false;
     simulation.setMode(0, target_mode::Fails);
     simulation.setMode(1, target_mode::Works);
-    for (int at = 0; at < 6; ++at)
-        simulation.submit({ 0, "essay" + std::to_string(at), "", 5, at % 2 == 0, milliseconds(6000) });
+    for (int number = 0; number < 6; ++number)
+        simulation.submit({ 0, "essay" + std::to_string(number), "", 5, number % 2 == 0, milliseconds(6000) });
     simulation.run(milliseconds(6000));
     for (const auto& caller : simulation.callers()) {
         CHECK(caller.code == result_code::Ok);
@@ -271,7 +286,7 @@
     }
 }
 
-TEST_CASE("requests: a complete non-idempotent answer is returned again through another entry", "[faults]")
+TEST_CASE("requests: a complete non-idempotent response is returned again through another entry", "[faults]")
 {
     request_simulation simulation(2, 2, 6);
     simulation.usesStaleIncarnations = false;
--- a/tests/support/gateway_world.hpp
+++ b/tests/support/gateway_cluster.hpp
@@ -35,19 +35,19 @@
 /// @brief Runs registries and gateways, and in three failure domains engines and a target of a plain service.
 ///
 /// The destructor kills the processes, each by its id.
-class gateway_world {
+class gateway_cluster {
 public:
     /// @param gateways number of gateways
     /// @param enginesPerDomain number of engines in each failure domain
     /// @param registries number of registries; the settings of all processes list the first three
     /// @param gatewaySettings lines added to section [gateway] of the gateways' settings
-    explicit gateway_world(std::size_t gateways = 2, std::size_t enginesPerDomain = 4, std::size_t registries = 3,
+    explicit gateway_cluster(std::size_t gateways = 2, std::size_t enginesPerDomain = 4, std::size_t registries = 3,
         std::string gatewaySettings = {});
-    gateway_world(const gateway_world&) = delete;
-    gateway_world& operator=(const gateway_world&) = delete;
-    ~gateway_world();
+    gateway_cluster(const gateway_cluster&) = delete;
+    gateway_cluster& operator=(const gateway_cluster&) = delete;
+    ~gateway_cluster();
 
-    /// @brief Makes the steady clock of each process stand still while a signal stops the process, as on a suspended
+    /// @brief Makes the steady clock of each process stand still while SIGSTOP pauses the process, as on a suspended
     /// machine. Call before start().
     void suspendClocks();
     /// @brief Starts all processes and targets, and waits until every gateway serves requests.
@@ -59,7 +59,7 @@
     int waitForExit(const std::string& name, std::chrono::milliseconds timeout);
     /// @brief Sends SIGKILL and waits for the end of the process.
     void killHard(const std::string& name);
-    /// @brief Deletes the storage of a stopped registry, which joins as a blank member at its next start.
+    /// @brief Deletes the storage of a registry that isn't running, which joins as a blank member at its next start.
     void loseDisk(const std::string& registry);
     [[nodiscard]] bool isRunning(const std::string& name) const { return m_pids.contains(name); }
 
--- a/tools/load.cpp
+++ b/tools/load.cpp
@@ -1,9 +1,9 @@
 /// @file
-/// @brief Open-loop load generator with a seeded schedule; verifies the text of every complete answer.
+/// @brief Open-loop load generator with a seeded schedule; verifies the text of every complete response.
 ///
-/// Arrivals follow a Poisson process. Each request is sent when it is due, whether or not earlier ones were answered;
-/// `sent_late` counts requests sent over 100 ms late because all threads were busy. Latencies are kept in histograms
-/// with a fixed number of buckets, so their memory doesn't grow with the run.
+/// Arrivals follow a Poisson process. Each request is sent when it is due, whether or not earlier ones have got their
+/// response; `sent_late` counts requests sent over 100 ms late because all threads were busy. Latencies are kept in
+/// histograms with a fixed number of buckets, so their memory doesn't grow with the run.
 #include "stand_in_model.hpp"
 
 #include "buckthornrail/http/http_client.hpp"
@@ -54,10 +54,10 @@
     {
         const auto rank = static_cast<std::uint64_t>(std::ceil(fraction * static_cast<double>(m_count)));
         std::uint64_t seen = 0;
-        for (std::size_t at = 0; at < bucketCount; ++at) {
-            seen += m_buckets[at];
+        for (std::size_t bucket = 0; bucket < bucketCount; ++bucket) {
+            seen += m_buckets[bucket];
             if (seen >= rank && seen > 0)
-                return firstBoundMs * std::pow(bucketGrowth, static_cast<double>(at));
+                return firstBoundMs * std::pow(bucketGrowth, static_cast<double>(bucket));
         }
         return 0;
     }
@@ -73,7 +73,7 @@
     double rate = 50; ///< mean requests per second
     double seconds = 10; ///< length of the schedule
     std::uint32_t threads = 200; ///< limit of requests in flight
-    std::uint32_t tokens = 8; ///< per answer
+    std::uint32_t tokens = 8; ///< per response
     std::uint32_t promptBytes = 200;
     std::uint32_t prefixes = 0; ///< shared prompt prefixes per workspace; 0: none
     std::uint32_t prefixBytes = 400;
@@ -103,7 +103,7 @@
     std::uint64_t failed = 0; ///< neither complete nor refused
     std::uint64_t wrong = 0; ///< complete, but with another text than expected
     latency_histogram firstTokenMs;
-    latency_histogram gapMs; ///< between successive chunks of an answer
+    latency_histogram gapMs; ///< between successive chunks of a response
     latency_histogram totalMs; ///< reported as `whole_ms`
     latency_histogram refusalMs;
 };
@@ -116,10 +116,10 @@
     {
         const double meanIntervalUs = 1e6 / m_options.rate;
         std::exponential_distribution<double> interval(1.0 / meanIntervalUs);
-        double at = 0;
-        while (at < m_options.seconds * 1e6) {
-            m_plan.push_back(planRequest(static_cast<std::int64_t>(at)));
-            at += interval(m_random);
+        double arrivalUs = 0;
+        while (arrivalUs < m_options.seconds * 1e6) {
+            m_plan.push_back(planRequest(static_cast<std::int64_t>(arrivalUs)));
+            arrivalUs += interval(m_random);
         }
     }
 
@@ -127,7 +127,7 @@
     {
         m_beginUs = nowUs() + 200'000;
         std::vector<std::thread> threads;
-        for (std::uint32_t at = 0; at < m_options.threads; ++at)
+        for (std::uint32_t index = 0; index < m_options.threads; ++index)
             threads.emplace_back([this] { runWorker(); });
         for (auto& thread : threads)
             thread.join();
@@ -189,13 +189,13 @@
         int status = 0;
         const auto onHead = [&status](int value, const auto&) { status = value; };
         const auto onBody = [&](const char* data, std::size_t size) {
-            const std::int64_t at = nowUs();
+            const std::int64_t receivedUs = nowUs();
             received.append(data, size);
             if (firstUs == 0)
-                firstUs = at;
+                firstUs = receivedUs;
             else
-                gaps.push_back(static_cast<double>(at - lastUs) / 1000);
-            lastUs = at;
+                gaps.push_back(static_cast<double>(receivedUs - lastUs) / 1000);
+            lastUs = receivedUs;
             return true;
         };
         const auto response = http::call(call, onHead, onBody);
@@ -212,7 +212,7 @@
         const bool isComplete = response.outcome == http::client_outcome::Ok && status == 200 && finished;
         const bool isRefusal = status == 503 || status == 429 || status == 504;
         const bool isCorrect
-            = !isComplete || text == stand_in::expectedAnswer(request.prompt, m_options.tokens, layers);
+            = !isComplete || text == stand_in::expectedResponse(request.prompt, m_options.tokens, layers);
         const std::scoped_lock lock(m_mutex);
         auto& result = m_results[request.isHighPriority ? "high" : "normal"];
         if (isComplete && isCorrect) {
@@ -223,8 +223,8 @@
             for (const double gap : gaps)
                 result.gapMs.add(gap);
             ++m_goodByWorkspace[request.workspace];
-            // Throughput counts answers of the steady window only: the ramp-up and the answers after the last request
-            // was due would distort it.
+            // Throughput counts responses of the steady window only: the ramp-up and the responses after the last
+            // request was due would distort it.
             const double endSeconds = static_cast<double>(doneUs - m_beginUs) / 1e6;
             if (endSeconds >= steadyStart * m_options.seconds && endSeconds < m_options.seconds)
                 ++m_goodInSteadyWindow;
@@ -321,7 +321,7 @@
 load_options readOptions(int argc, char** argv)
 {
     load_options options;
-    TCLAP::CmdLine line("Sends open-loop load to entries and verifies the answers.", ' ', "0.1.0");
+    TCLAP::CmdLine line("Sends open-loop load to entries and verifies the responses.", ' ', "0.1.0");
     TCLAP::ValueArg<std::string> entries(
         "", "entries", "Addresses of the entries, on loopback", true, "", "IP:port,...", line);
     TCLAP::ValueArg<std::string> workspaces(
@@ -336,7 +336,7 @@
         return std::make_unique<TCLAP::ValueArg<std::uint32_t>>("", flag, meaning, false, fallback, "number", line);
     };
     const auto threads = numberArg("threads", "Maximum number of requests in flight", options.threads);
-    const auto tokens = numberArg("tokens", "Tokens per answer", options.tokens);
+    const auto tokens = numberArg("tokens", "Tokens per response", options.tokens);
     const auto promptBytes = numberArg("prompt-bytes", "Minimum size of a prompt in bytes", options.promptBytes);
     const auto prefixes = numberArg("prefixes", "Shared prompt prefixes per workspace; 0: none", 0);
     const auto prefixBytes = numberArg("prefix-bytes", "Size of a shared prefix in bytes", options.prefixBytes);
--- a/tools/stand_in_prefix_cache.hpp
+++ b/tools/stand_in_prefix_cache.hpp
@@ -28,17 +28,17 @@
         const std::scoped_lock lock(m_mutex);
         const std::uint64_t key = embed(prompt.substr(0, prefixBytes));
         const auto found = std::find(m_recentKeys.begin(), m_recentKeys.end(), key);
-        const bool known = found != m_recentKeys.end();
-        if (known)
+        const bool isCached = found != m_recentKeys.end();
+        if (isCached)
             m_recentKeys.erase(found);
         m_recentKeys.push_front(key);
-        if (!known)
+        if (!isCached)
             recordEvent("stored", key);
         if (m_recentKeys.size() > m_capacity) {
             recordEvent("evicted", m_recentKeys.back());
             m_recentKeys.pop_back();
         }
-        return known;
+        return isCached;
     }
 
     /// @brief The last events with their sequence numbers, late and with gaps, as real engines publish them.
@@ -49,7 +49,7 @@
         const std::scoped_lock lock(m_mutex);
         nlohmann::json list = nlohmann::json::array();
         for (const auto& event : m_events) {
-            if (event.at + lag <= now && (skipInterval == 0 || event.sequence % skipInterval != 0))
+            if (event.recordedAt + lag <= now && (skipInterval == 0 || event.sequence % skipInterval != 0))
                 list.push_back({ { "sequence", event.sequence }, { "event", event.name }, { "prefix", event.key } });
         }
         return list;
@@ -60,7 +60,7 @@
         std::uint64_t sequence = 0;
         const char* name = "";
         std::uint64_t key = 0;
-        buckthornrail::steady_time at {};
+        buckthornrail::steady_time recordedAt {};
     };
 
     void recordEvent(const char* name, std::uint64_t key)
