--- a/include/buckthornrail/net/reachability.hpp
+++ b/include/buckthornrail/net/reachability.hpp
@@ -62,7 +62,7 @@
 private:
     struct probe_state;
     struct watched_address {
-        channel_pointer channel;
+        connection_pointer connection;
         steady_time expiresAt {};
         steady_time reconnectAt {};
     };
--- a/include/buckthornrail/net/tcp.hpp
+++ b/include/buckthornrail/net/tcp.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Asynchronous TCP on the event loop: one channel per connection, with callbacks. Restricted to C++17, see
+/// @brief Asynchronous TCP connections on the event loop, with callbacks. Restricted to C++17, see
 /// event_loop.hpp.
 #pragma once
 
@@ -15,21 +15,21 @@
 namespace buckthornrail::net {
 
 /// How a connection ended.
-enum class channel_end : std::uint8_t {
+enum class connection_end : std::uint8_t {
     Closed, ///< the peer closed the connection in order (end of stream)
     Reset, ///< connection reset, TCP timeout or another I/O error
     Refused, ///< the connection was never established, so nothing was sent
 };
 
-/// Callbacks of a channel, called on the loop thread. `ended` is the last one.
-struct channel_handlers {
+/// Callbacks of a connection, called on the loop thread. `ended` is the last one.
+struct connection_handlers {
     std::function<void()> opened; ///< an outgoing connection is established
     std::function<void(std::string_view)> received;
     std::function<void()> drained; ///< the operating system has accepted all written bytes
-    std::function<void(channel_end)> ended;
+    std::function<void(connection_end)> ended;
 };
 
-struct channel_options {
+struct connection_options {
     /// The connection is reset when the peer acknowledges nothing for this long. Nothing else detects a network
     /// partition, which sends no error.
     milliseconds peerTimeout { 3000 };
@@ -37,14 +37,14 @@
 
 /// @brief One TCP connection. Lives on the loop thread.
 /// @ingroup net
-class tcp_channel {
+class tcp_connection {
 public:
-    tcp_channel() = default;
-    tcp_channel(const tcp_channel&) = delete;
-    tcp_channel& operator=(const tcp_channel&) = delete;
-    virtual ~tcp_channel() = default;
+    tcp_connection() = default;
+    tcp_connection(const tcp_connection&) = delete;
+    tcp_connection& operator=(const tcp_connection&) = delete;
+    virtual ~tcp_connection() = default;
 
-    virtual void setHandlers(channel_handlers handlers) = 0;
+    virtual void setHandlers(connection_handlers handlers) = 0;
     /// @brief Writes as much as the operating system accepts now, and buffers the rest.
     virtual void write(std::string_view bytes) = 0;
     /// @brief Number of buffered bytes that the operating system hasn't accepted yet.
@@ -58,19 +58,19 @@
     virtual void abort(bool reset) = 0;
 };
 
-using channel_pointer = std::shared_ptr<tcp_channel>;
+using connection_pointer = std::shared_ptr<tcp_connection>;
 
 /// @brief Opens a connection. Failures are reported by `ended`, never from within this call.
 /// @param address "IP:port"
-channel_pointer dial(
-    link::event_loop& loop, const std::string& address, channel_handlers handlers, const channel_options& options = {});
+connection_pointer dial(link::event_loop& loop, const std::string& address, connection_handlers handlers,
+    const connection_options& options = {});
 
 /// @brief Accepts incoming connections.
 class tcp_listener {
 public:
-    /// @param accepted receives each new channel, and must set its handlers before it returns
-    tcp_listener(
-        link::event_loop& loop, std::function<void(channel_pointer)> accepted, const channel_options& options = {});
+    /// @param accepted receives each new connection, and must set its handlers before it returns
+    tcp_listener(link::event_loop& loop, std::function<void(connection_pointer)> accepted,
+        const connection_options& options = {});
     tcp_listener(const tcp_listener&) = delete;
     tcp_listener& operator=(const tcp_listener&) = delete;
     ~tcp_listener();
--- a/src/app/gateway/caller_connection.cpp
+++ b/src/app/gateway/caller_connection.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-caller_connection::caller_connection(gateway_role& gateway, net::channel_pointer connection)
+caller_connection::caller_connection(gateway_role& gateway, net::connection_pointer connection)
     : m_gateway(gateway)
     , m_connection(std::move(connection))
     , m_parser(parserLimits(gateway.limits()))
@@ -37,7 +37,7 @@
             if (self && self->m_call)
                 self->m_call->drained();
         },
-        [weak](net::channel_end) {
+        [weak](net::connection_end) {
             if (const auto self = weak.lock())
                 self->onEnded();
         },
--- a/src/app/gateway/caller_connection.hpp
+++ b/src/app/gateway/caller_connection.hpp
@@ -10,7 +10,7 @@
 class caller_connection : public response_sink, public std::enable_shared_from_this<caller_connection> {
 public:
     /// @param gateway must outlive the connection
-    caller_connection(gateway_role& gateway, net::channel_pointer connection);
+    caller_connection(gateway_role& gateway, net::connection_pointer connection);
 
     /// @brief Starts reading. Not in the constructor, as the handlers need a weak pointer to this object.
     void begin();
@@ -38,7 +38,7 @@
     void close();
 
     gateway_role& m_gateway;
-    net::channel_pointer m_connection;
+    net::connection_pointer m_connection;
     http1::request_parser m_parser;
     steady_time m_openedAt = steadyNow();
     std::shared_ptr<gateway_call> m_call;
--- a/src/app/gateway/gateway.cpp
+++ b/src/app/gateway/gateway.cpp
@@ -47,7 +47,7 @@
     , m_document(control)
     , m_context { loop, traffic, metrics, gateway::target_pool(poolOptions(settings), randomNumber()),
         gateway::shared_retry_budgets(budgetOptions(settings)), nullptr, 0, std::mt19937_64(randomNumber()) }
-    , m_listener(loop, [this](net::channel_pointer connection) { onConnection(std::move(connection)); })
+    , m_listener(loop, [this](net::connection_pointer connection) { onConnection(std::move(connection)); })
     , m_health(loop,
           [this](
               const net::whole_request& request, const net::responder& respond) { onHealthRequest(request, respond); })
@@ -138,7 +138,7 @@
     return m_context.document ? m_context.document->rest()->limits : gateway::caller_limits {};
 }
 
-void gateway_role::onConnection(net::channel_pointer connection)
+void gateway_role::onConnection(net::connection_pointer connection)
 {
     auto caller = std::make_shared<caller_connection>(*this, std::move(connection));
     m_connections.insert(caller);
--- a/src/app/gateway/gateway.hpp
+++ b/src/app/gateway/gateway.hpp
@@ -40,7 +40,7 @@
 
 private:
     /// @brief Accepts a caller's connection.
-    void onConnection(net::channel_pointer connection);
+    void onConnection(net::connection_pointer connection);
     /// @brief Applies what the leader reports about the other gateways.
     void onSessionUpdate(const link::gateway_update& update);
     /// @brief Applies rate limits that targets have reported to other gateways.
--- a/src/app/gateway/gateway_call.cpp
+++ b/src/app/gateway/gateway_call.cpp
@@ -190,7 +190,7 @@
             },
             [ifCurrent](std::string_view bytes) { ifCurrent([bytes](gateway_call& self) { self.onBytes(bytes); }); },
             nullptr,
-            [ifCurrent](net::channel_end end) { ifCurrent([end](gateway_call& self) { self.onEnded(end); }); },
+            [ifCurrent](net::connection_end end) { ifCurrent([end](gateway_call& self) { self.onEnded(end); }); },
         });
     if (selected.parts.size() > 1) {
         for (const auto& part : selected.parts)
@@ -280,10 +280,10 @@
     advance();
 }
 
-void gateway_call::onEnded(net::channel_end end)
+void gateway_call::onEnded(net::connection_end end)
 {
     const auto self = shared_from_this();
-    if (end == net::channel_end::Closed) {
+    if (end == net::connection_end::Closed) {
         m_parser->putEof();
         if (m_parser->state() == http1::parse_state::Done) {
             advance();
--- a/src/app/gateway/gateway_call.hpp
+++ b/src/app/gateway/gateway_call.hpp
@@ -120,7 +120,7 @@
     /// @brief Logs a change of the verdict.
     void logVerdict(gateway::dispatch_verdict verdict, const gateway::selection& selected);
     void onBytes(std::string_view bytes);
-    void onEnded(net::channel_end end);
+    void onEnded(net::connection_end end);
     /// @brief Passes what the parser has completed on to the exchange.
     void advance();
     void readStream();
@@ -143,7 +143,7 @@
     steady_time m_arrivedAt {};
 
     gateway::selection m_selection;
-    net::channel_pointer m_connection; ///< to the target
+    net::connection_pointer m_connection; ///< to the target
     std::uint32_t m_attempt = 0;
     std::unique_ptr<http1::response_parser> m_parser;
     http1::event_stream_reader m_eventReader;
--- a/src/buckthornrail/net/http_service.cpp
+++ b/src/buckthornrail/net/http_service.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief HTTP/1.1 server and client on TCP channels.
+/// @brief HTTP/1.1 server and client on TCP connections.
 #include "buckthornrail/net/http_service.hpp"
 
 #include <array>
@@ -34,11 +34,11 @@
 };
 
 /// Server side of one connection. Handles one request at a time.
-class server_channel : public std::enable_shared_from_this<server_channel> {
+class server_connection : public std::enable_shared_from_this<server_connection> {
 public:
-    server_channel(
-        link::event_loop& loop, channel_pointer channel, request_handler handler, const service_options& options)
-        : m_channel(std::move(channel))
+    server_connection(
+        link::event_loop& loop, connection_pointer connection, request_handler handler, const service_options& options)
+        : m_connection(std::move(connection))
         , m_handler(std::move(handler))
         , m_options(options)
         , m_parser(options.limits)
@@ -49,18 +49,18 @@
     void start()
     {
         const auto self = shared_from_this();
-        m_channel->setHandlers({ nullptr, [self](std::string_view bytes) { self->onBytes(bytes); }, nullptr,
-            [self](channel_end) { self->m_idleTimer.cancel(); } });
+        m_connection->setHandlers({ nullptr, [self](std::string_view bytes) { self->onBytes(bytes); }, nullptr,
+            [self](connection_end) { self->m_idleTimer.cancel(); } });
         startIdleTimer();
     }
 
 private:
     void startIdleTimer()
     {
-        const std::weak_ptr<server_channel> weak = weak_from_this();
+        const std::weak_ptr<server_connection> weak = weak_from_this();
         m_idleTimer.set(boot_clock::now() + m_options.idleTimeout, [weak] {
             if (const auto self = weak.lock())
-                self->m_channel->closeAfterWrite();
+                self->m_connection->closeAfterWrite();
         });
     }
 
@@ -80,8 +80,8 @@
                 : error == http1::parse_error::BodyTooLarge              ? bodyTooLarge
                                                                          : badRequest;
             const auto response = plainResponse(status, "{}");
-            m_channel->write(http1::formatResponse(response.head, response.body, false));
-            m_channel->closeAfterWrite();
+            m_connection->write(http1::formatResponse(response.head, response.body, false));
+            m_connection->closeAfterWrite();
             return;
         }
         if (m_parser.state() != http1::parse_state::Done)
@@ -89,7 +89,7 @@
         m_isServing = true;
         m_idleTimer.cancel();
         whole_request request { m_parser.head(), m_parser.takeBody() };
-        const std::weak_ptr<server_channel> weak = weak_from_this();
+        const std::weak_ptr<server_connection> weak = weak_from_this();
         m_handler(request, [weak, keepAlive = request.head.keepAlive](const whole_response& response) {
             if (const auto self = weak.lock())
                 self->respond(response, keepAlive);
@@ -98,9 +98,9 @@
 
     void respond(const whole_response& response, bool keepAlive)
     {
-        m_channel->write(http1::formatResponse(response.head, response.body, keepAlive));
+        m_connection->write(http1::formatResponse(response.head, response.body, keepAlive));
         if (!keepAlive) {
-            m_channel->closeAfterWrite();
+            m_connection->closeAfterWrite();
             return;
         }
         m_isServing = false;
@@ -109,7 +109,7 @@
         serve();
     }
 
-    channel_pointer m_channel;
+    connection_pointer m_connection;
     request_handler m_handler;
     service_options m_options;
     http1::request_parser m_parser;
@@ -129,10 +129,10 @@
     void start(link::event_loop& loop, const std::string& address, const whole_request& request, steady_time deadline)
     {
         const auto self = shared_from_this();
-        m_channel = dial(loop, address,
+        m_connection = dial(loop, address,
             { nullptr, [self](std::string_view bytes) { self->onBytes(bytes); }, nullptr,
-                [self](channel_end reason) { self->onEnded(reason); } });
-        m_channel->write(http1::formatRequest(request.head, request.body));
+                [self](connection_end reason) { self->onEnded(reason); } });
+        m_connection->write(http1::formatRequest(request.head, request.body));
         m_timer.set(deadline, [self] { self->finish(call_outcome::TimedOut); });
     }
 
@@ -152,20 +152,20 @@
             finish(call_outcome::Broken);
     }
 
-    void onEnded(channel_end reason)
+    void onEnded(connection_end reason)
     {
-        if (reason == channel_end::Closed && m_parser.putEof() == http1::parse_state::Done) {
+        if (reason == connection_end::Closed && m_parser.putEof() == http1::parse_state::Done) {
             finish(call_outcome::Answered);
             return;
         }
-        finish(reason == channel_end::Refused ? call_outcome::Refused : call_outcome::Broken);
+        finish(reason == connection_end::Refused ? call_outcome::Refused : call_outcome::Broken);
     }
 
     void finish(call_outcome outcome)
     {
         const auto keep = shared_from_this();
         m_timer.cancel();
-        m_channel->abort(false);
+        m_connection->abort(false);
         const auto done = std::exchange(m_callback, nullptr);
         if (!done)
             return;
@@ -176,7 +176,7 @@
     }
 
     callback m_callback;
-    channel_pointer m_channel;
+    connection_pointer m_connection;
     http1::response_parser m_parser;
     loop_timer m_timer;
 };
@@ -185,8 +185,8 @@
 
 struct http_service::implementation {
     implementation(link::event_loop& loop, request_handler handler, const service_options& options)
-        : listener(loop, [&loop, handler = std::move(handler), options](const channel_pointer& channel) {
-            std::make_shared<server_channel>(loop, channel, handler, options)->start();
+        : listener(loop, [&loop, handler = std::move(handler), options](const connection_pointer& connection) {
+            std::make_shared<server_connection>(loop, connection, handler, options)->start();
         })
     {
     }
--- a/src/buckthornrail/net/reachability.cpp
+++ b/src/buckthornrail/net/reachability.cpp
@@ -19,14 +19,14 @@
 
     void closeAll()
     {
-        for (auto& channel : channels) {
-            if (channel)
-                std::exchange(channel, nullptr)->abort(false);
+        for (auto& connection : connections) {
+            if (connection)
+                std::exchange(connection, nullptr)->abort(false);
         }
     }
 
     loop_timer timer;
-    std::array<channel_pointer, 2> channels;
+    std::array<connection_pointer, 2> connections;
     std::size_t connectionCount = 0;
     std::optional<reachability> result; ///< empty while the probe is in flight
     bool reportsOpen = false;
@@ -44,8 +44,8 @@
 reachability_prober::~reachability_prober()
 {
     for (auto& [address, watched] : m_watchedByAddress) {
-        if (watched.channel)
-            watched.channel->abort(false);
+        if (watched.connection)
+            watched.connection->abort(false);
     }
 }
 
@@ -54,7 +54,7 @@
     const steady_time now = boot_clock::now();
     auto& watched = m_watchedByAddress[address];
     watched.expiresAt = now + m_options.watchLifetime;
-    if (!watched.channel && now >= watched.reconnectAt)
+    if (!watched.connection && now >= watched.reconnectAt)
         connectWatch(address, watched, now);
     if (now >= m_nextExpiryCheckAt)
         removeExpiredWatches(now);
@@ -63,15 +63,15 @@
 void reachability_prober::connectWatch(const std::string& address, watched_address& watched, steady_time now)
 {
     watched.reconnectAt = now + m_options.watchReconnectDelay;
-    channel_handlers handlers;
-    handlers.ended = [this, address](channel_end) {
+    connection_handlers handlers;
+    handlers.ended = [this, address](connection_end) {
         const auto known = m_watchedByAddress.find(address);
         if (known == m_watchedByAddress.end())
             return;
-        known->second.channel = nullptr;
+        known->second.connection = nullptr;
         probe(address);
     };
-    watched.channel = dial(m_loop, address, std::move(handlers));
+    watched.connection = dial(m_loop, address, std::move(handlers));
 }
 
 void reachability_prober::removeExpiredWatches(steady_time now)
@@ -80,8 +80,8 @@
     std::erase_if(m_watchedByAddress, [now](auto& item) {
         if (now < item.second.expiresAt)
             return false;
-        if (item.second.channel)
-            item.second.channel->abort(false);
+        if (item.second.connection)
+            item.second.connection->abort(false);
         return true;
     });
 }
@@ -135,10 +135,10 @@
         if (current && !current->result)
             finishProbe(address, result);
     };
-    channel_handlers handlers;
+    connection_handlers handlers;
     handlers.opened = [finishAs] { finishAs(reachability::Open); };
-    handlers.ended = [finishAs](channel_end) { finishAs(reachability::Refused); };
-    state->channels[state->connectionCount++] = dial(m_loop, address, std::move(handlers));
+    handlers.ended = [finishAs](connection_end) { finishAs(reachability::Refused); };
+    state->connections[state->connectionCount++] = dial(m_loop, address, std::move(handlers));
 }
 
 void reachability_prober::scheduleTimeout(const std::string& address, steady_time deadline)
--- a/src/buckthornrail/net/tcp.cpp
+++ b/src/buckthornrail/net/tcp.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief TCP channels on asio. Every source that includes asio is compiled as C++17, so that asio's types have the
+/// @brief TCP connections on asio. Every source that includes asio is compiled as C++17, so that asio's types have the
 /// same layout in all of them.
 #include "buckthornrail/net/tcp.hpp"
 
@@ -17,7 +17,7 @@
 
 using asio::ip::tcp;
 
-constexpr std::size_t readBufferBytes = 16U << 10U; ///< one buffer per loop thread, shared by its channels
+constexpr std::size_t readBufferBytes = 16U << 10U; ///< one buffer per loop thread, shared by its connections
 constexpr int keepAliveIntervalSeconds = 1; ///< idle time before, and interval between, TCP keep-alive probes
 constexpr int listenBacklog = 1024; ///< a full queue drops the SYN, which the client retransmits after seconds
 constexpr std::size_t maxAcceptsPerWakeUp = 16;
@@ -41,9 +41,9 @@
     (void)::setsockopt(socket.native_handle(), level, name, &value, sizeof value);
 }
 
-class asio_channel : public tcp_channel, public std::enable_shared_from_this<asio_channel> {
+class asio_connection : public tcp_connection, public std::enable_shared_from_this<asio_connection> {
 public:
-    asio_channel(tcp::socket socket, const channel_options& options)
+    asio_connection(tcp::socket socket, const connection_options& options)
         : m_socket(std::move(socket))
         , m_options(options)
     {
@@ -53,7 +53,7 @@
     {
         const auto endpoint = parseEndpoint(address);
         if (!endpoint) {
-            asio::post(m_socket.get_executor(), [self = shared_from_this()] { self->end(channel_end::Refused); });
+            asio::post(m_socket.get_executor(), [self = shared_from_this()] { self->end(connection_end::Refused); });
             return;
         }
         std::error_code error;
@@ -64,7 +64,7 @@
             if (self->m_hasEnded)
                 return;
             if (failed) {
-                self->end(channel_end::Refused);
+                self->end(connection_end::Refused);
                 return;
             }
             self->m_isOpen = true;
@@ -83,7 +83,7 @@
         awaitRead();
     }
 
-    void setHandlers(channel_handlers handlers) override { m_handlers = std::move(handlers); }
+    void setHandlers(connection_handlers handlers) override { m_handlers = std::move(handlers); }
 
     void write(std::string_view bytes) override
     {
@@ -171,7 +171,7 @@
             return;
         }
         if (error) {
-            end(error == asio::error::eof ? channel_end::Closed : channel_end::Reset);
+            end(error == asio::error::eof ? connection_end::Closed : connection_end::Reset);
             return;
         }
         if (m_isClosing) {
@@ -207,7 +207,7 @@
             awaitWrite();
             return;
         }
-        std::string().swap(m_pending); // releases the memory of idle channels
+        std::string().swap(m_pending); // releases the memory of idle connections
         if (m_isClosing) {
             shutDownSend();
             return;
@@ -234,10 +234,10 @@
     /// Reports a write error from the event loop, because write() must not call `ended`.
     void postFailure()
     {
-        asio::post(m_socket.get_executor(), [self = shared_from_this()] { self->end(channel_end::Reset); });
+        asio::post(m_socket.get_executor(), [self = shared_from_this()] { self->end(connection_end::Reset); });
     }
 
-    void end(channel_end reason)
+    void end(connection_end reason)
     {
         if (std::exchange(m_hasEnded, true))
             return;
@@ -258,8 +258,8 @@
     }
 
     tcp::socket m_socket;
-    channel_options m_options;
-    channel_handlers m_handlers;
+    connection_options m_options;
+    connection_handlers m_handlers;
     std::string m_pending;
     bool m_isOpen = false;
     bool m_hasEnded = false;
@@ -270,17 +270,18 @@
 
 } // namespace
 
-channel_pointer dial(
-    link::event_loop& loop, const std::string& address, channel_handlers handlers, const channel_options& options)
+connection_pointer dial(
+    link::event_loop& loop, const std::string& address, connection_handlers handlers, const connection_options& options)
 {
-    auto channel = std::make_shared<asio_channel>(tcp::socket(loop.implementation().io), options);
-    channel->setHandlers(std::move(handlers));
-    channel->connect(address);
-    return channel;
+    auto connection = std::make_shared<asio_connection>(tcp::socket(loop.implementation().io), options);
+    connection->setHandlers(std::move(handlers));
+    connection->connect(address);
+    return connection;
 }
 
 struct tcp_listener::implementation : std::enable_shared_from_this<tcp_listener::implementation> {
-    implementation(link::event_loop& loop, std::function<void(channel_pointer)> callback, const channel_options& limits)
+    implementation(
+        link::event_loop& loop, std::function<void(connection_pointer)> callback, const connection_options& limits)
         : acceptor(loop.implementation().io)
         , accepted(std::move(callback))
         , options(limits)
@@ -305,20 +306,20 @@
             acceptor.accept(socket, error);
             if (error)
                 return; // no pending connection, or out of file descriptors; retried on the next wake-up
-            auto channel = std::make_shared<asio_channel>(std::move(socket), options);
-            accepted(channel);
-            channel->start();
+            auto connection = std::make_shared<asio_connection>(std::move(socket), options);
+            accepted(connection);
+            connection->start();
         }
     }
 
     tcp::acceptor acceptor;
-    std::function<void(channel_pointer)> accepted;
-    channel_options options;
+    std::function<void(connection_pointer)> accepted;
+    connection_options options;
     bool stopped = false;
 };
 
 tcp_listener::tcp_listener(
-    link::event_loop& loop, std::function<void(channel_pointer)> accepted, const channel_options& options)
+    link::event_loop& loop, std::function<void(connection_pointer)> accepted, const connection_options& options)
     : m_implementation(std::make_shared<implementation>(loop, std::move(accepted), options))
 {
 }
--- a/tests/support/stand_in_fleet.cpp
+++ b/tests/support/stand_in_fleet.cpp
@@ -22,8 +22,8 @@
     one.heartbeatSequence = one.revision = one.fencingToken = 0;
     one.isUp = true;
     one.isUnresponsive = one.isDraining = one.isDrainAcknowledged = one.isLoading = false;
-    one.listener = std::make_unique<net::tcp_listener>(loop, [this, &one](net::channel_pointer channel) {
-        auto session = std::make_shared<target_session>(*this, one, std::move(channel));
+    one.listener = std::make_unique<net::tcp_listener>(loop, [this, &one](net::connection_pointer connection) {
+        auto session = std::make_shared<target_session>(*this, one, std::move(connection));
         one.sessions.insert(session);
         session->begin();
     });
--- a/tests/support/stand_in_session.hpp
+++ b/tests/support/stand_in_session.hpp
@@ -155,10 +155,10 @@
 public:
     using fleet = stand_in_fleet::implementation;
 
-    target_session(fleet& owner, fleet::target& target, net::channel_pointer channel)
+    target_session(fleet& owner, fleet::target& target, net::connection_pointer connection)
         : m_fleet(owner)
         , m_target(target)
-        , m_channel(std::move(channel))
+        , m_connection(std::move(connection))
         , m_timer(owner.loop)
     {
     }
@@ -166,13 +166,13 @@
     void begin()
     {
         const std::weak_ptr<target_session> weak = weak_from_this();
-        m_channel->setHandlers({ nullptr,
+        m_connection->setHandlers({ nullptr,
             [weak](std::string_view bytes) {
                 if (const auto self = weak.lock())
                     self->onBytes(bytes);
             },
             nullptr,
-            [weak](net::channel_end) {
+            [weak](net::connection_end) {
                 if (const auto self = weak.lock())
                     self->finish();
             } });
@@ -180,7 +180,7 @@
 
     void reset()
     {
-        m_channel->abort(true);
+        m_connection->abort(true);
         finish();
     }
 
@@ -322,7 +322,7 @@
             auto fields = responseFields();
             fields.push_back({ "Content-Type", "text/event-stream" });
             addPushback(fields);
-            m_channel->write(http1::formatChunkedHead({ 200, "OK", fields }, true));
+            m_connection->write(http1::formatChunkedHead({ 200, "OK", fields }, true));
             scheduleEvent();
         }
     }
@@ -331,7 +331,7 @@
     {
         const std::string body = stand_in_fleet::plainBody(m_path);
         if (m_isTruncated) {
-            m_channel->write(http1::formatResponse({ 200, "OK", responseFields() }, body, true).substr(0, 60));
+            m_connection->write(http1::formatResponse({ 200, "OK", responseFields() }, body, true).substr(0, 60));
             reset();
             return;
         }
@@ -357,19 +357,19 @@
             }
             if (m_nextEventId > m_eventCount) {
                 m_fleet.runs[m_runIndex].isComplete = true;
-                m_channel->write(http1::lastChunk);
-                m_channel->closeAfterWrite();
+                m_connection->write(http1::lastChunk);
+                m_connection->closeAfterWrite();
                 finish();
                 return;
             }
             const std::string event = stand_in_fleet::eventBytes(m_path, m_nextEventId);
             if (m_isTruncated && m_nextEventId * 2 > m_eventCount) {
-                m_channel->write(http1::formatChunk(event.substr(0, event.size() / 2)));
+                m_connection->write(http1::formatChunk(event.substr(0, event.size() / 2)));
                 reset();
                 return;
             }
             ++m_nextEventId;
-            m_channel->write(http1::formatChunk(event));
+            m_connection->write(http1::formatChunk(event));
             scheduleEvent();
         });
     }
@@ -391,8 +391,8 @@
     void respond(int status, const std::string& body, std::vector<http1::field> fields)
     {
         addPushback(fields);
-        m_channel->write(http1::formatResponse({ status, "Status", std::move(fields) }, body, true));
-        m_channel->closeAfterWrite();
+        m_connection->write(http1::formatResponse({ status, "Status", std::move(fields) }, body, true));
+        m_connection->closeAfterWrite();
         finish();
     }
 
@@ -413,7 +413,7 @@
 
     fleet& m_fleet;
     fleet::target& m_target;
-    net::channel_pointer m_channel;
+    net::connection_pointer m_connection;
     http1::request_parser m_parser;
     net::loop_timer m_timer;
     bool m_hasRequest = false;
