--- a/src/app/shared/replicated_log.cpp
+++ b/src/app/shared/replicated_log.cpp
@@ -22,7 +22,7 @@
 constexpr milliseconds droppableAfter { 8000 };
 constexpr std::size_t maxPendingJoins = 16;
 /// Stands for the link to the leader when this member leads.
-constexpr link::link_number ownChannel = ~link::link_number { 0 };
+constexpr link::link_number ownLink = ~link::link_number { 0 };
 /// Members send a hello every 200 ms.
 constexpr milliseconds helloLifetime { 2000 };
 
@@ -133,7 +133,7 @@
     scheduleFlush();
 }
 
-bool replicated_log::onMessage(link::link_number channel, const link::message& message)
+bool replicated_log::onMessage(link::link_number linkNumber, const link::message& message)
 {
     if (const auto* peer = std::get_if<agreement::peer_message>(&message)) {
         m_replica->receive(*peer, steadyNow());
@@ -142,7 +142,7 @@
     } else if (const auto* join = std::get_if<link::join_request>(&message)) {
         recordJoinRequest(join->member, join->address);
     } else if (const auto* hello = std::get_if<link::controller_hello>(&message)) {
-        m_acceptedLinks[channel] = hello->member;
+        m_acceptedLinks[linkNumber] = hello->member;
         m_hellos[hello->member]
             = { { hello->address, hello->controlAddress, hello->failureDomain }, steadyNow() + helloLifetime };
         m_peers[hello->address].initialized = hello->initialized;
@@ -316,19 +316,19 @@
 
 void replicated_log::forward(pending_command& command, steady_time now)
 {
-    const link::link_number channel = isLeader() ? ownChannel : leaderChannel();
-    const bool isInFlight = command.forwardedChannel == channel && command.forwardedTerm == m_replica->term();
-    if (channel == 0 || isInFlight)
+    const link::link_number linkNumber = isLeader() ? ownLink : leaderLink();
+    const bool isInFlight = command.forwardedLink == linkNumber && command.forwardedTerm == m_replica->term();
+    if (linkNumber == 0 || isInFlight)
         return;
     const bool isSent = isLeader() ? m_replica->propose(command.bytes).has_value()
-                                   : m_hub.send(channel, link::encode(link::forward_command { command.bytes }));
+                                   : m_hub.send(linkNumber, link::encode(link::forward_command { command.bytes }));
     if (!isSent)
         return;
-    if (command.forwardedChannel != 0)
+    if (command.forwardedLink != 0)
         telemetry::logEvent(event_code::CommandForwardedAgain,
             { { "leader", leaderAddress() }, { "bytes", std::to_string(command.bytes.size()) },
                 { "after_ms", std::to_string(between(command.forwardedAt, now).count()) } });
-    command.forwardedChannel = channel;
+    command.forwardedLink = linkNumber;
     command.forwardedTerm = m_replica->term();
     command.forwardedAt = now;
 }
--- a/src/app/shared/replicated_log.hpp
+++ b/src/app/shared/replicated_log.hpp
@@ -75,13 +75,13 @@
     void confirm(std::function<void(bool)> callback, milliseconds timeout);
 
     /// @return whether the event concerned the log
-    bool onOpened(link::link_number channel);
+    bool onOpened(link::link_number linkNumber);
     /// @brief Logs why a link to a peer is closing. onClosed() follows.
-    void onEnding(link::link_number channel, const link::link_end& end) const;
-    bool onClosed(link::link_number channel);
-    bool onMessage(link::link_number channel, const link::message& message);
-    /// @brief Part of a long message was received over a channel, or acknowledged by the other end.
-    void onProgress(link::link_number channel);
+    void onEnding(link::link_number linkNumber, const link::link_end& end) const;
+    bool onClosed(link::link_number linkNumber);
+    bool onMessage(link::link_number linkNumber, const link::message& message);
+    /// @brief Part of a long message was received over a link, or acknowledged by the other end.
+    void onProgress(link::link_number linkNumber);
     /// @brief Sends a message to the leader.
     /// @return false when no leader is known, there is no open link to it, or this member leads
     bool sendToLeader(const link::message& message);
@@ -94,7 +94,7 @@
     /// @return link address of the leader; empty: unknown
     [[nodiscard]] std::string leaderAddress() const;
     /// @brief Whether this member leads, or has an open link to the known leader.
-    [[nodiscard]] bool reachesLeader() const { return isLeader() || leaderChannel() != 0; }
+    [[nodiscard]] bool reachesLeader() const { return isLeader() || leaderLink() != 0; }
     /// @return the addresses of all members; only the link address for one that sent no hello lately
     [[nodiscard]] std::vector<link::controller_endpoint> endpoints() const;
     /// @brief Whether another controller has reported that it has a log.
@@ -111,7 +111,7 @@
         steady_time deadline {};
         /// Link that the command was forwarded over; 0: not forwarded yet. It isn't sent again while the link is open
         /// and the term lasts: the link delivers it, and a second copy would only queue behind the first.
-        link::link_number forwardedChannel = 0;
+        link::link_number forwardedLink = 0;
         agreement::term_number forwardedTerm = 0;
         steady_time forwardedAt {};
     };
@@ -121,10 +121,10 @@
         agreement::log_index index = 0; ///< to be applied before the callback; 0: not confirmed yet
     };
     struct peer_link {
-        link::link_number channel = 0;
+        link::link_number linkNumber = 0;
         bool open = false;
         bool initialized = false; ///< the peer has reported that it has a log
-        bool isDialledAfterHello = false; ///< it was known to be up when `channel` was dialled
+        bool isDialledAfterHello = false; ///< it was known to be up when `linkNumber` was dialled
         steady_time nextDialAt {}; ///< a failed dial is retried then
     };
     /// A replica that has asked to become a member.
@@ -164,7 +164,7 @@
     void forwardCommands();
     void forward(pending_command& command, steady_time now);
     /// @return the open link to the leader; 0: none
-    [[nodiscard]] link::link_number leaderChannel() const;
+    [[nodiscard]] link::link_number leaderLink() const;
     /// @brief At the leader: proposes a membership change if one is due.
     void updateMembers();
     /// @brief Records a request to join, and forwards it to the leader.
--- a/src/app/shared/replicated_log_links.cpp
+++ b/src/app/shared/replicated_log_links.cpp
@@ -12,10 +12,10 @@
 
 } // namespace
 
-bool replicated_log::onOpened(link::link_number channel)
+bool replicated_log::onOpened(link::link_number linkNumber)
 {
     for (auto& [address, peer] : m_peers) {
-        if (peer.channel != channel)
+        if (peer.linkNumber != linkNumber)
             continue;
         peer.open = true;
         telemetry::logEvent(event_code::LinkOpened, { { "peer", address } });
@@ -25,10 +25,10 @@
     return false;
 }
 
-void replicated_log::onEnding(link::link_number channel, const link::link_end& end) const
+void replicated_log::onEnding(link::link_number linkNumber, const link::link_end& end) const
 {
     for (const auto& [address, peer] : m_peers) {
-        if (peer.channel != channel || !peer.open)
+        if (peer.linkNumber != linkNumber || !peer.open)
             continue;
         telemetry::logEvent(event_code::LinkClosed,
             { { "peer", address }, { "cause", link::nameOf(end.cause) },
@@ -37,13 +37,13 @@
     }
 }
 
-bool replicated_log::onClosed(link::link_number channel)
+bool replicated_log::onClosed(link::link_number linkNumber)
 {
-    m_acceptedLinks.erase(channel);
+    m_acceptedLinks.erase(linkNumber);
     for (auto& [address, peer] : m_peers) {
-        if (peer.channel != channel)
+        if (peer.linkNumber != linkNumber)
             continue;
-        peer.channel = 0;
+        peer.linkNumber = 0;
         peer.nextDialAt = peer.open ? steady_time {} : steadyNow() + dialBackoff;
         peer.open = false;
         peer.isDialledAfterHello = false;
@@ -52,29 +52,29 @@
     return false;
 }
 
-void replicated_log::onProgress(link::link_number channel)
+void replicated_log::onProgress(link::link_number linkNumber)
 {
-    if (const auto accepted = m_acceptedLinks.find(channel); accepted != m_acceptedLinks.end()) {
+    if (const auto accepted = m_acceptedLinks.find(linkNumber); accepted != m_acceptedLinks.end()) {
         m_replica->recordContact(accepted->second, steadyNow());
         return;
     }
     for (const auto& member : m_replica->members()) {
         const auto peer = m_peers.find(member.address);
-        if (peer != m_peers.end() && peer->second.channel == channel)
+        if (peer != m_peers.end() && peer->second.linkNumber == linkNumber)
             m_replica->recordContact(member.id, steadyNow());
     }
 }
 
 bool replicated_log::sendToLeader(const link::message& message)
 {
-    const link::link_number channel = leaderChannel();
-    return channel != 0 && m_hub.send(channel, link::encode(message));
+    const link::link_number linkNumber = leaderLink();
+    return linkNumber != 0 && m_hub.send(linkNumber, link::encode(message));
 }
 
-link::link_number replicated_log::leaderChannel() const
+link::link_number replicated_log::leaderLink() const
 {
     const auto found = m_peers.find(leaderAddress());
-    return found == m_peers.end() || !found->second.open ? 0 : found->second.channel;
+    return found == m_peers.end() || !found->second.open ? 0 : found->second.linkNumber;
 }
 
 std::string replicated_log::leaderAddress() const
@@ -115,11 +115,11 @@
     }
     std::erase_if(m_hellos, [now](const auto& item) { return now >= item.second.deadline; });
     std::erase_if(
-        m_peers, [this](const auto& item) { return item.second.channel == 0 && !isKnownAddress(item.first); });
+        m_peers, [this](const auto& item) { return item.second.linkNumber == 0 && !isKnownAddress(item.first); });
     const bool isBlank = members.empty();
     for (auto& [address, peer] : m_peers) {
-        if (peer.channel == 0 && now >= peer.nextDialAt)
-            peer.channel = m_hub.dial(address);
+        if (peer.linkNumber == 0 && now >= peer.nextDialAt)
+            peer.linkNumber = m_hub.dial(address);
         sendToPeer(address,
             link::controller_hello {
                 m_replica->self(), m_options.ownAddress, !isBlank, m_options.controlAddress, m_options.failureDomain });
@@ -133,17 +133,17 @@
     auto& peer = m_peers[address];
     if (peer.open || peer.isDialledAfterHello)
         return;
-    if (peer.channel != 0)
-        m_hub.close(peer.channel); // the peer was down when it was dialled, so it may hang until its timeout
+    if (peer.linkNumber != 0)
+        m_hub.close(peer.linkNumber); // the peer was down when it was dialled, so it may hang until its timeout
     peer.isDialledAfterHello = true;
-    peer.channel = m_hub.dial(address);
+    peer.linkNumber = m_hub.dial(address);
 }
 
 void replicated_log::sendToPeer(const std::string& address, const link::message& message)
 {
     const auto found = m_peers.find(address);
     if (found != m_peers.end() && found->second.open)
-        m_hub.send(found->second.channel, link::encode(message));
+        m_hub.send(found->second.linkNumber, link::encode(message));
 }
 
 void replicated_log::deliver(const agreement::peer_message& message)
--- a/src/app/shared/role_runner.cpp
+++ b/src/app/shared/role_runner.cpp
@@ -4,14 +4,15 @@
 
 namespace buckthornrail::app {
 
-std::optional<link::message> decodeOrClose(link::link_hub& hub, link::link_number channel, const std::string& bytes)
+std::optional<link::message> decodeOrClose(link::link_hub& hub, link::link_number linkNumber, const std::string& bytes)
 {
     auto message = link::decode(bytes);
     if (message)
         return std::move(*message);
     telemetry::logEvent(event_code::MessageRejected,
-        { { "channel", std::to_string(channel) }, { "reason", message.error().reason } }, telemetry::severity::Warning);
-    hub.close(channel);
+        { { "channel", std::to_string(linkNumber) }, { "reason", message.error().reason } },
+        telemetry::severity::Warning);
+    hub.close(linkNumber);
     return std::nullopt;
 }
 
--- a/src/app/shared/role_runner.hpp
+++ b/src/app/shared/role_runner.hpp
@@ -14,7 +14,7 @@
 
 /// @brief Decodes a message. A malformed one is logged, and its link is closed.
 /// @return nothing for a malformed message
-std::optional<link::message> decodeOrClose(link::link_hub& hub, link::link_number channel, const std::string& bytes);
+std::optional<link::message> decodeOrClose(link::link_hub& hub, link::link_number linkNumber, const std::string& bytes);
 
 /// @brief Logs and counts named work that blocks the loop for longer than its limit.
 void reportSlowTasks(link::event_loop& loop, telemetry::metrics& metrics);
--- a/src/app/shared/session_client.cpp
+++ b/src/app/shared/session_client.cpp
@@ -24,9 +24,9 @@
     loop.post([this] { connect(); });
 }
 
-bool session_client::onOpened(link::link_number channel)
+bool session_client::onOpened(link::link_number linkNumber)
 {
-    if (channel != m_channel)
+    if (linkNumber != m_linkNumber)
         return false;
     m_open = true;
     m_sentAt.clear();
@@ -38,19 +38,19 @@
     return true;
 }
 
-bool session_client::onClosed(link::link_number channel)
+bool session_client::onClosed(link::link_number linkNumber)
 {
-    if (channel != m_channel)
+    if (linkNumber != m_linkNumber)
         return false;
     m_open = false;
-    m_channel = 0;
+    m_linkNumber = 0;
     m_controllerIndex = (m_controllerIndex + 1) % m_settings.controllers.size();
     return true;
 }
 
-bool session_client::onMessage(link::link_number channel, const link::message& message)
+bool session_client::onMessage(link::link_number linkNumber, const link::message& message)
 {
-    if (channel != m_channel)
+    if (linkNumber != m_linkNumber)
         return false;
     if (const auto* ack = std::get_if<link::session_ack>(&message))
         onAck(*ack);
@@ -63,10 +63,10 @@
     return true;
 }
 
-void session_client::onProgress(link::link_number channel)
+void session_client::onProgress(link::link_number linkNumber)
 {
     // Part of a long message counts as a sign of life: on a new link it would be sent again from its first byte.
-    if (channel == m_channel)
+    if (linkNumber == m_linkNumber)
         m_answerDeadline = steadyNow() + milliseconds(m_settings.leaseMs / 2);
 }
 
@@ -92,13 +92,13 @@
 
 bool session_client::send(const link::message& message)
 {
-    return m_open && m_hub.send(m_channel, link::encode(message));
+    return m_open && m_hub.send(m_linkNumber, link::encode(message));
 }
 
 void session_client::connect()
 {
-    if (m_channel == 0)
-        m_channel = m_hub.dial(m_settings.controllers[m_controllerIndex]);
+    if (m_linkNumber == 0)
+        m_linkNumber = m_hub.dial(m_settings.controllers[m_controllerIndex]);
 }
 
 void session_client::announce()
@@ -114,14 +114,14 @@
         m_leaseExpiryLogged = true;
         telemetry::logEvent(event_code::LeaseExpired, { { "instance", m_record.id } }, telemetry::severity::Warning);
     }
-    if (m_channel == 0) {
+    if (m_linkNumber == 0) {
         connect();
         return;
     }
     if (!m_open)
         return;
     if (now >= m_answerDeadline) {
-        m_hub.close(m_channel); // it is unreachable or without a quorum: try the next one
+        m_hub.close(m_linkNumber); // it is unreachable or without a quorum: try the next one
         return;
     }
     ++m_sequence;
@@ -179,7 +179,7 @@
             { { "version", std::to_string(page.to) }, { "reason", applied.error().reason } },
             telemetry::severity::Error);
         m_needsSnapshot = true;
-        m_hub.close(m_channel); // the next session starts with the complete document
+        m_hub.close(m_linkNumber); // the next session starts with the complete document
         return;
     }
     m_needsSnapshot = false;
@@ -195,7 +195,7 @@
     if (m_membership.apply(delta))
         m_callbacks.membershipChanged(delta);
     else
-        m_hub.close(m_channel);
+        m_hub.close(m_linkNumber);
 }
 
 } // namespace buckthornrail::app
--- a/src/app/shared/session_client.hpp
+++ b/src/app/shared/session_client.hpp
@@ -29,12 +29,12 @@
     session_client(link::event_loop& loop, link::link_hub& hub, const settings::settings& settings,
         membership::instance_record record, bool wantsState, session_callbacks callbacks);
 
-    /// @return whether the channel belongs to the session
-    bool onOpened(link::link_number channel);
-    bool onClosed(link::link_number channel);
-    bool onMessage(link::link_number channel, const link::message& message);
-    /// @brief Part of a long message was received over a channel, or acknowledged by the other end.
-    void onProgress(link::link_number channel);
+    /// @return whether the link belongs to the session
+    bool onOpened(link::link_number linkNumber);
+    bool onClosed(link::link_number linkNumber);
+    bool onMessage(link::link_number linkNumber, const link::message& message);
+    /// @brief Part of a long message was received over a link, or acknowledged by the other end.
+    void onProgress(link::link_number linkNumber);
 
     /// @brief Announces a change of this instance's state.
     void setState(membership::instance_state state);
@@ -63,7 +63,7 @@
     membership::instance_record m_record;
     bool m_wantsState;
     session_callbacks m_callbacks;
-    link::link_number m_channel = 0;
+    link::link_number m_linkNumber = 0;
     bool m_open = false;
     std::size_t m_controllerIndex = 0; ///< in the settings' list
     std::uint64_t m_sequence = 0; ///< of the last heartbeat
