--- a/include/buckthornrail/http1/event_stream.hpp
+++ b/include/buckthornrail/http1/event_stream.hpp
@@ -22,7 +22,7 @@
 public:
     /// @brief Appends received bytes.
     /// @return the events that are complete now, in order
-    std::vector<stream_event> put(std::string_view bytes);
+    std::vector<stream_event> parse(std::string_view bytes);
     /// @return true when part of an event is buffered
     [[nodiscard]] bool hasPartialEvent() const { return !m_pending.empty(); }
 
--- a/include/buckthornrail/http1/message_parser.hpp
+++ b/include/buckthornrail/http1/message_parser.hpp
@@ -36,11 +36,11 @@
     ~message_parser();
 
     /// @brief Appends received bytes and parses them. @return the new state
-    parse_state put(std::string_view bytes);
+    parse_state parse(std::string_view bytes);
     /// @brief Signals that the peer has closed the connection in order, which ends a body without a length. Not to be
     /// called after a reset, as a truncated body would then count as complete.
     /// @return the new state
-    parse_state putEof();
+    parse_state finish();
     /// @brief Starts the next message with the remaining bytes. @return the new state
     parse_state next();
 
--- a/src/app/gateway/caller_connection.cpp
+++ b/src/app/gateway/caller_connection.cpp
@@ -61,7 +61,7 @@
                 self->refuse(result_code::SlowSender);
         });
     }
-    m_parser.put(bytes);
+    m_parser.parse(bytes);
     if (m_call) {
         if (m_parser.unparsedBytes() > maxPipelinedBytes)
             m_connection->setReading(false);
--- a/src/app/gateway/gateway_call.cpp
+++ b/src/app/gateway/gateway_call.cpp
@@ -276,7 +276,7 @@
 
 void gateway_call::onBytes(std::string_view bytes)
 {
-    m_parser->put(bytes);
+    m_parser->parse(bytes);
     advance();
 }
 
@@ -284,7 +284,7 @@
 {
     const auto self = shared_from_this();
     if (end == net::connection_end::Closed) {
-        m_parser->putEof();
+        m_parser->finish();
         if (m_parser->state() == http1::parse_state::Done) {
             advance();
             return;
@@ -333,7 +333,7 @@
 void gateway_call::readStream()
 {
     const std::uint32_t attempt = m_attempt;
-    for (const auto& event : m_eventReader.put(m_parser->takeBody())) {
+    for (const auto& event : m_eventReader.parse(m_parser->takeBody())) {
         if (!m_connection || m_attempt != attempt)
             return;
         m_context.crashes.onFirstEvent(m_number, steadyNow());
--- a/src/app/shared/control_response.cpp
+++ b/src/app/shared/control_response.cpp
@@ -15,10 +15,10 @@
     return net::plainResponse(status, body + "\"}");
 }
 
-void logCall(const std::string& what, int status, const std::string& detail)
+void logCall(const std::string& operation, int status, const std::string& detail)
 {
-    telemetry::logEvent(
-        event_code::OperatorCall, { { "what", what }, { "status", std::to_string(status) }, { "detail", detail } });
+    telemetry::logEvent(event_code::OperatorCall,
+        { { "what", operation }, { "status", std::to_string(status) }, { "detail", detail } });
 }
 
 } // namespace buckthornrail::app
--- a/src/app/shared/control_response.hpp
+++ b/src/app/shared/control_response.hpp
@@ -17,8 +17,8 @@
 net::whole_response errorResponse(int status, const std::string& reason);
 
 /// @brief Logs the outcome of a call.
-/// @param what the requested operation
+/// @param operation the requested operation
 /// @param status HTTP status of the response
-void logCall(const std::string& what, int status, const std::string& detail);
+void logCall(const std::string& operation, int status, const std::string& detail);
 
 } // namespace buckthornrail::app
--- a/src/app/shared/replicated_log.cpp
+++ b/src/app/shared/replicated_log.cpp
@@ -267,15 +267,15 @@
 {
     const steady_time now = steadyNow();
     std::vector<std::pair<std::function<void(bool)>, bool>> completed;
-    for (auto at = m_confirmations.begin(); at != m_confirmations.end();) {
-        const auto& pending = at->second;
+    for (auto it = m_confirmations.begin(); it != m_confirmations.end();) {
+        const auto& pending = it->second;
         const bool current = pending.index != 0 && m_applied >= pending.index;
         if (!current && now < pending.deadline) {
-            ++at;
+            ++it;
             continue;
         }
         completed.emplace_back(pending.callback, current);
-        at = m_confirmations.erase(at);
+        it = m_confirmations.erase(it);
     }
     for (const auto& [callback, current] : completed)
         callback(current);
@@ -300,15 +300,15 @@
 {
     const steady_time now = steadyNow();
     std::vector<done_callback> expired;
-    for (auto at = m_commands.begin(); at != m_commands.end();) {
-        auto& pending = at->second;
+    for (auto it = m_commands.begin(); it != m_commands.end();) {
+        auto& pending = it->second;
         if (now >= pending.deadline) {
             expired.push_back(std::move(pending.done));
-            at = m_commands.erase(at);
+            it = m_commands.erase(it);
             continue;
         }
         forward(pending, now);
-        ++at;
+        ++it;
     }
     for (const auto& done : expired)
         done(false);
--- a/src/app/shared/role_runner.hpp
+++ b/src/app/shared/role_runner.hpp
@@ -55,7 +55,7 @@
         { { "role", std::string(nameIn(settings::processRoleNames, kind)) }, { "instance", settings.id },
             { "link", settings.linkAddress }, { "http", settings.httpAddress } });
     const periodic_task logFlush(loop, logFlushInterval, [&loop] {
-        const link::timed_task work(loop, "log");
+        const link::timed_task task(loop, "log");
         telemetry::flushLog();
     });
     reportSlowTasks(loop, metrics);
@@ -99,7 +99,7 @@
     settingsWatch = std::make_unique<settings_watch>(
         loop, settings, kind, [&role](const settings::settings& changed) { role->reload(changed); });
     const periodic_task logFlush(loop, logFlushInterval, [&loop] {
-        const link::timed_task work(loop, "log");
+        const link::timed_task task(loop, "log");
         telemetry::flushLog();
     });
     reportSlowTasks(loop, metrics);
--- a/src/app/shared/session_client.cpp
+++ b/src/app/shared/session_client.cpp
@@ -103,8 +103,8 @@
 
 void session_client::announce()
 {
-    const configuration_version heldVersion = m_needsSnapshot ? 0 : m_configuration.version();
-    send(link::session_announce { m_record, heldVersion, m_membership.revision(), m_wantsState });
+    const configuration_version currentVersion = m_needsSnapshot ? 0 : m_configuration.version();
+    send(link::session_announce { m_record, currentVersion, m_membership.revision(), m_wantsState });
 }
 
 void session_client::sendHeartbeat()
@@ -147,10 +147,10 @@
         telemetry::logEvent(
             event_code::ConfigurationApplied, { { "version", std::to_string(m_version) }, { "form", "version" } });
     }
-    const configuration_version heldVersion = m_wantsState ? m_configuration.version() : m_version;
+    const configuration_version currentVersion = m_wantsState ? m_configuration.version() : m_version;
     // The controller was current at some time after sentAt, and has sent everything that it knew by then. So the lease
     // runs from sentAt.
-    if (ack.configuration == heldVersion && heldVersion != 0) {
+    if (ack.configuration == currentVersion && currentVersion != 0) {
         m_leaseDeadline = std::max(m_leaseDeadline, sentAt + milliseconds(m_settings.leaseMs));
         m_leaseExpiryLogged = false;
         m_callbacks.leaseRenewed(ack.configuration, m_leaseDeadline);
--- a/src/app/shared/settings_watch.cpp
+++ b/src/app/shared/settings_watch.cpp
@@ -34,9 +34,9 @@
     m_text = std::move(*text);
     const auto parsed = settings::parseSettings(m_text, m_file, m_role);
     if (!parsed) {
-        for (const auto& fault : parsed.error())
+        for (const auto& error : parsed.error())
             telemetry::logEvent(
-                event_code::SettingsRejected, { { "reason", settings::toString(fault) } }, telemetry::severity::Error);
+                event_code::SettingsRejected, { { "reason", settings::toString(error) } }, telemetry::severity::Error);
         return;
     }
     telemetry::logEvent(event_code::SettingsReloaded, { { "file", m_file }, { "outcome", "taken" } });
--- a/src/buckthornrail/http1/event_stream.cpp
+++ b/src/buckthornrail/http1/event_stream.cpp
@@ -46,7 +46,7 @@
 
 } // namespace
 
-std::vector<stream_event> event_stream_reader::put(std::string_view bytes)
+std::vector<stream_event> event_stream_reader::parse(std::string_view bytes)
 {
     m_pending.append(bytes);
     std::vector<stream_event> events;
--- a/src/buckthornrail/http1/message.cpp
+++ b/src/buckthornrail/http1/message.cpp
@@ -62,18 +62,18 @@
 
 void removeHopByHopFields(std::vector<field>& fields)
 {
-    std::vector<std::string> named;
+    std::vector<std::string> listedFields;
     for (const auto& entry : fields) {
         if (!areFieldNamesEqual(entry.name, "Connection"))
             continue;
         std::string_view rest = entry.value;
         while (!rest.empty()) {
             const auto comma = rest.find(',');
-            named.emplace_back(trim(rest.substr(0, comma)));
+            listedFields.emplace_back(trim(rest.substr(0, comma)));
             rest = comma == std::string_view::npos ? std::string_view() : rest.substr(comma + 1);
         }
     }
-    for (const auto& name : named)
+    for (const auto& name : listedFields)
         removeFields(fields, name);
     for (const auto name : hopByHopFields)
         removeFields(fields, name);
--- a/src/buckthornrail/http1/message_parser.cpp
+++ b/src/buckthornrail/http1/message_parser.cpp
@@ -151,13 +151,13 @@
 
 template <typename Head> message_parser<Head>::~message_parser() = default;
 
-template <typename Head> parse_state message_parser<Head>::put(std::string_view bytes)
+template <typename Head> parse_state message_parser<Head>::parse(std::string_view bytes)
 {
     m_implementation->pending.append(bytes);
     return m_implementation->parse();
 }
 
-template <typename Head> parse_state message_parser<Head>::putEof()
+template <typename Head> parse_state message_parser<Head>::finish()
 {
     auto& impl = *m_implementation;
     if (impl.state == parse_state::Done || impl.state == parse_state::Invalid)
--- a/src/buckthornrail/http1/message_parser_test.cpp
+++ b/src/buckthornrail/http1/message_parser_test.cpp
@@ -14,12 +14,12 @@
 const std::string chunkedRequest = "POST /a/b?c=1 HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
                                    "3\r\nabc\r\n4;x=y\r\ndefg\r\n0\r\n\r\n";
 
-parse_state putAll(request_parser& parser, const std::string& bytes) { return parser.put(bytes); }
+parse_state parseAll(request_parser& parser, const std::string& bytes) { return parser.parse(bytes); }
 
 parse_error errorOf(const std::string& bytes, const parser_limits& limits = {})
 {
     request_parser parser(limits);
-    return putAll(parser, bytes) == parse_state::Invalid ? parser.error() : parse_error::None;
+    return parseAll(parser, bytes) == parse_state::Invalid ? parser.error() : parse_error::None;
 }
 
 } // namespace
@@ -27,20 +27,20 @@
 TEST_CASE("http1: pipelined requests are parsed wherever the input is split", "[http1]")
 {
     rc::prop("any split of the input", [] {
-        const std::string twice = chunkedRequest + "GET /next HTTP/1.1\r\nHost: h\r\n\r\n";
-        const auto pieces = *rc::gen::container<std::vector<std::size_t>>(rc::gen::inRange<std::size_t>(1, 40));
+        const std::string requests = chunkedRequest + "GET /next HTTP/1.1\r\nHost: h\r\n\r\n";
+        const auto sizes = *rc::gen::container<std::vector<std::size_t>>(rc::gen::inRange<std::size_t>(1, 40));
         request_parser parser;
         std::string body;
-        std::size_t at = 0;
-        const auto put = [&](std::size_t size) {
-            const std::string part = twice.substr(at, size);
-            at += part.size();
-            parser.put(part);
+        std::size_t offset = 0;
+        const auto parseNext = [&](std::size_t size) {
+            const std::string part = requests.substr(offset, size);
+            offset += part.size();
+            parser.parse(part);
             body += parser.takeBody();
         };
-        for (const auto size : pieces)
-            put(size);
-        put(twice.size());
+        for (const auto size : sizes)
+            parseNext(size);
+        parseNext(requests.size());
         RC_ASSERT(parser.state() == parse_state::Done);
         RC_ASSERT(body == "abcdefg");
         RC_ASSERT(parser.head().method == "POST");
@@ -72,25 +72,25 @@
 TEST_CASE("http1: the end of the connection completes a response without a length, but not a truncated one", "[http1]")
 {
     response_parser open;
-    open.put("HTTP/1.1 200 OK\r\n\r\nabc");
+    open.parse("HTTP/1.1 200 OK\r\n\r\nabc");
     CHECK(open.state() == parse_state::Body);
     CHECK(open.head().framing == body_framing::UntilClose);
-    CHECK(open.putEof() == parse_state::Done);
+    CHECK(open.finish() == parse_state::Done);
     CHECK(open.takeBody() == "abc");
 
-    response_parser cut;
-    cut.put("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc");
-    CHECK(cut.putEof() == parse_state::Invalid);
+    response_parser truncated;
+    truncated.parse("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc");
+    CHECK(truncated.finish() == parse_state::Invalid);
 
-    response_parser cutChunks;
-    cutChunks.put("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
-    CHECK(cutChunks.putEof() == parse_state::Invalid);
+    response_parser truncatedChunks;
+    truncatedChunks.parse("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
+    CHECK(truncatedChunks.finish() == parse_state::Invalid);
 }
 
 TEST_CASE("http1: interim responses are skipped; bytes after the message stay unparsed", "[http1]")
 {
     response_parser parser;
-    parser.put("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 500 extra");
+    parser.parse("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 500 extra");
     CHECK(parser.state() == parse_state::Done);
     CHECK(parser.head().status == 200);
     CHECK(parser.unparsedBytes() > 0);
@@ -108,21 +108,21 @@
 TEST_CASE("http1: formatted messages can be parsed", "[http1]")
 {
     response_parser whole;
-    whole.put(formatResponse({ 503, "Service Unavailable", { { "A", "b" } } }, "body", false));
+    whole.parse(formatResponse({ 503, "Service Unavailable", { { "A", "b" } } }, "body", false));
     CHECK(whole.state() == parse_state::Done);
     CHECK(whole.takeBody() == "body");
     CHECK_FALSE(whole.head().keepAlive);
 
     response_parser chunked;
-    chunked.put(formatChunkedHead({ 200, "OK", {} }, true));
-    chunked.put(formatChunk("event"));
+    chunked.parse(formatChunkedHead({ 200, "OK", {} }, true));
+    chunked.parse(formatChunk("event"));
     CHECK(chunked.state() == parse_state::Body);
-    chunked.put(lastChunk);
+    chunked.parse(lastChunk);
     CHECK(chunked.state() == parse_state::Done);
     CHECK(chunked.takeBody() == "event");
 
     request_parser request;
-    request.put(formatRequest({ "POST", "/x", { { "Host", "h" } } }, ""));
+    request.parse(formatRequest({ "POST", "/x", { { "Host", "h" } } }, ""));
     CHECK(request.state() == parse_state::Done);
 }
 
@@ -134,17 +134,17 @@
         event_stream_reader reader;
         std::vector<stream_event> events;
         std::string joined;
-        std::size_t at = 0;
-        const auto put = [&](std::size_t size) {
-            for (auto& event : reader.put(std::string_view(text).substr(at, size))) {
+        std::size_t offset = 0;
+        const auto parseNext = [&](std::size_t size) {
+            for (auto& event : reader.parse(std::string_view(text).substr(offset, size))) {
                 joined += event.bytes;
                 events.push_back(std::move(event));
             }
-            at = std::min(at + size, text.size());
+            offset = std::min(offset + size, text.size());
         };
         for (const auto size : sizes)
-            put(size);
-        put(text.size());
+            parseNext(size);
+        parseNext(text.size());
         RC_ASSERT(events.size() == 3U);
         RC_ASSERT(events[0].id == 1U);
         RC_ASSERT(events[1].id == 2U);
--- a/src/buckthornrail/net/http_service.cpp
+++ b/src/buckthornrail/net/http_service.cpp
@@ -66,7 +66,7 @@
 
     void onBytes(std::string_view bytes)
     {
-        m_parser.put(bytes);
+        m_parser.parse(bytes);
         serve();
     }
 
@@ -145,7 +145,7 @@
 private:
     void onBytes(std::string_view bytes)
     {
-        const auto state = m_parser.put(bytes);
+        const auto state = m_parser.parse(bytes);
         if (state == http1::parse_state::Done)
             finish(call_outcome::Responded);
         else if (state == http1::parse_state::Invalid)
@@ -154,7 +154,7 @@
 
     void onEnded(connection_end reason)
     {
-        if (reason == connection_end::Closed && m_parser.putEof() == http1::parse_state::Done) {
+        if (reason == connection_end::Closed && m_parser.finish() == http1::parse_state::Done) {
             finish(call_outcome::Responded);
             return;
         }
@@ -163,7 +163,7 @@
 
     void finish(call_outcome outcome)
     {
-        const auto keep = shared_from_this();
+        const auto self = shared_from_this();
         m_timer.cancel();
         m_connection->abort(false);
         const auto done = std::exchange(m_callback, nullptr);
--- a/src/buckthornrail/net/reachability.cpp
+++ b/src/buckthornrail/net/reachability.cpp
@@ -108,8 +108,8 @@
     if (known != m_probesByAddress.end() && known->second->result == reachability::Open)
         m_probesByAddress.erase(known);
     probe(address);
-    if (const auto begun = m_probesByAddress.find(address); begun != m_probesByAddress.end())
-        begun->second->reportsOpen = true;
+    if (const auto pending = m_probesByAddress.find(address); pending != m_probesByAddress.end())
+        pending->second->reportsOpen = true;
 }
 
 void reachability_prober::startProbe(const std::string& address)
@@ -160,14 +160,14 @@
     const auto known = m_probesByAddress.find(address);
     if (known == m_probesByAddress.end())
         return;
-    const auto keep = known->second;
+    const auto state = known->second;
     const steady_time now = boot_clock::now();
-    keep->result = result;
-    keep->expiresAt
+    state->result = result;
+    state->expiresAt
         = now + (result == reachability::Open ? m_options.openResultLifetime : m_options.unreachableResultLifetime);
-    keep->timer.cancel();
-    keep->closeAll();
-    if (result != reachability::Open || keep->reportsOpen)
+    state->timer.cancel();
+    state->closeAll();
+    if (result != reachability::Open || state->reportsOpen)
         m_onResult(address, result);
 }
 
--- a/src/buckthornrail/net/tcp.cpp
+++ b/src/buckthornrail/net/tcp.cpp
@@ -178,7 +178,7 @@
             awaitRead(); // discard received data: closing with unread bytes would reset the connection
             return;
         }
-        const auto keep = shared_from_this();
+        const auto self = shared_from_this();
         if (m_handlers.received)
             m_handlers.received(std::string_view(buffer.data(), count));
         awaitRead();
@@ -212,7 +212,7 @@
             shutDownSend();
             return;
         }
-        const auto keep = shared_from_this();
+        const auto self = shared_from_this();
         if (m_handlers.drained)
             m_handlers.drained();
     }
--- a/tests/support/stand_in_session.hpp
+++ b/tests/support/stand_in_session.hpp
@@ -194,7 +194,7 @@
 
     void onBytes(std::string_view bytes)
     {
-        if (m_parser.put(bytes) != http1::parse_state::Done || m_hasRequest || m_target.isUnresponsive)
+        if (m_parser.parse(bytes) != http1::parse_state::Done || m_hasRequest || m_target.isUnresponsive)
             return;
         m_hasRequest = true;
         const auto& head = m_parser.head();
