--- a/include/buckthornrail/net/reachability.hpp
+++ b/include/buckthornrail/net/reachability.hpp
@@ -13,7 +13,7 @@
 enum class reachability : std::uint8_t {
     Open,
     Refused, ///< the machine is up, but nothing listens on the port
-    Silent, ///< no response: the machine is down or cut off
+    Silent, ///< no response: the machine is down or unreachable
 };
 
 struct reachability_options {
--- a/include/buckthornrail/net/tcp.hpp
+++ b/include/buckthornrail/net/tcp.hpp
@@ -1,6 +1,5 @@
 /// @file
-/// @brief Asynchronous TCP connections on the event loop, with callbacks. Restricted to C++17, see
-/// event_loop.hpp.
+/// @brief Asynchronous TCP connections on the event loop, with callbacks. Restricted to C++17, see event_loop.hpp.
 #pragma once
 
 #include "buckthornrail/link/event_loop.hpp"
--- a/src/app/shared/control_response.hpp
+++ b/src/app/shared/control_response.hpp
@@ -7,7 +7,7 @@
 
 namespace buckthornrail::app {
 
-/// Time limit for committing or confirming what a call asks for. Operators' clients go to another controller after one
+/// Time limit for committing or confirming the requested operation. Operators' clients try another controller after one
 /// second without a response.
 inline constexpr milliseconds controlCallTimeout { 900 };
 
--- a/src/app/shared/replicated_log.cpp
+++ b/src/app/shared/replicated_log.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Passes events to the replica and carries out its effects.
+/// @brief Passes events to the replica and applies its effects.
 #include "app/shared/replicated_log.hpp"
 
 #include "buckthornrail/agreement/admission.hpp"
@@ -12,7 +12,7 @@
 constexpr milliseconds tickPeriod { 20 };
 constexpr milliseconds slowTickPeriod { 200 };
 constexpr milliseconds joinRequestLifetime { 2000 };
-/// Interval between attempts to reopen a failed disk, which may have been full or unresponsive only for a moment.
+/// Interval between attempts to reopen a failed disk, which may have been full or unresponsive only briefly.
 constexpr milliseconds recoveryInterval { 500 };
 /// Unreachable time after which a voter may be removed once a promoted learner has made the number of voters even.
 /// Longer than a restart takes.
@@ -21,7 +21,7 @@
 /// is ready to replace it.
 constexpr milliseconds droppableAfter { 8000 };
 constexpr std::size_t maxPendingJoins = 16;
-/// Stands for the link to the leader when this member leads.
+/// Used instead of the number of the link to the leader when this member leads.
 constexpr link::link_number ownLink = ~link::link_number { 0 };
 /// Members send a hello every 200 ms.
 constexpr milliseconds helloLifetime { 2000 };
@@ -109,7 +109,7 @@
     for (const auto& [address, peer] : m_peers) {
         if (peer.initialized) {
             return tl::make_unexpected(
-                failure { result_code::AlreadyInitialized, "controller " + address + " holds a log" });
+                failure { result_code::AlreadyInitialized, "controller " + address + " already has a log" });
         }
     }
     auto done = m_replica->initialize(m_options.ownAddress, steadyNow());
--- a/src/app/shared/replicated_log.hpp
+++ b/src/app/shared/replicated_log.hpp
@@ -42,7 +42,7 @@
     bool dropsDeadMembers = false; ///< removes unreachable members; see agreement::withoutDeadMember()
 };
 
-/// @brief Passes timer ticks and messages to a replica, and carries out its effects in order. Used on the loop thread
+/// @brief Passes timer ticks and messages to a replica, and applies its effects in order. Used on the loop thread
 /// only. The owner's hub handlers forward link events to it.
 class replicated_log {
 public:
@@ -86,7 +86,7 @@
     /// @return false when no leader is known, there is no open link to it, or this member leads
     bool sendToLeader(const link::message& message);
 
-    /// @brief Schedules the replica's effects to be carried out on the loop.
+    /// @brief Schedules the replica's effects to be applied on the loop thread.
     void scheduleFlush();
 
     [[nodiscard]] const agreement::replica& replica() const { return *m_replica; }
@@ -95,7 +95,7 @@
     [[nodiscard]] std::string leaderAddress() const;
     /// @brief Whether this member leads, or has an open link to the known leader.
     [[nodiscard]] bool reachesLeader() const { return isLeader() || leaderLink() != 0; }
-    /// @return the addresses of all members; only the link address for one that sent no hello lately
+    /// @return the addresses of all members; only the link address for a member without a recent hello
     [[nodiscard]] std::vector<link::controller_endpoint> endpoints() const;
     /// @brief Whether another controller has reported that it has a log.
     [[nodiscard]] bool knowsOtherLog() const;
@@ -127,40 +127,39 @@
         bool isDialledAfterHello = false; ///< it was known to be up when `linkNumber` was dialled
         steady_time nextDialAt {}; ///< a failed dial is retried then
     };
-    /// A replica that has asked to become a member.
+    /// A replica that has requested to become a member.
     struct pending_join {
         std::string address;
-        steady_time deadline {}; ///< dropped then, unless it asks again
+        steady_time deadline {}; ///< removed then, unless the request is sent again
     };
     /// The last hello of a controller, which need not be a known member.
     struct received_hello {
         link::controller_endpoint endpoint;
-        steady_time deadline {}; ///< dropped then, unless another one arrives
+        steady_time deadline {}; ///< removed then, unless another hello is received
     };
 
     tl::expected<void, failure> openStore();
     /// @brief Dials peers without a link, and sends a hello, and a join request if this replica is blank, over open
     /// links.
     void dialPeers();
-    /// @brief Dials a peer that has sent a hello. An attempt from before, which may have met a peer that was down, is
-    /// given up.
+    /// @brief Dials a peer that has sent a hello. An earlier attempt is closed, as the peer may have been down then.
     void redial(const std::string& address);
     void sendToPeer(const std::string& address, const link::message& message);
     void tick();
     /// @brief Runs tasks that need no exact timing: recovery, dialling, membership and retries.
     void slowTick();
-    /// @brief Carries out the replica's effects until there are none.
+    /// @brief Applies the replica's effects until there are none.
     void flush();
     void deliver(const agreement::peer_message& message);
-    /// @brief Whether an address belongs to a seed, a member or a controller that sent a hello lately.
+    /// @brief Whether an address belongs to a seed, a member or a controller with a recent hello.
     [[nodiscard]] bool isKnownAddress(const std::string& address) const;
     /// @return false when writing, or restoring an installed snapshot, failed
     bool persist(const agreement::effects& effects);
     void applyCommitted(const std::vector<agreement::log_entry>& entries);
-    /// @brief Calls back for confirmations whose index is applied or whose timeout has passed.
+    /// @brief Calls the callbacks of confirmations whose index is applied or whose deadline has passed.
     void completeConfirmations();
     void saveSnapshotIfDue();
-    /// @brief Forwards pending commands that the current leader lacks, and fails those whose timeout has passed.
+    /// @brief Forwards pending commands that the current leader lacks, and fails those whose deadline has passed.
     void forwardCommands();
     void forward(pending_command& command, steady_time now);
     /// @return the open link to the leader; 0: none
@@ -169,7 +168,7 @@
     void updateMembers();
     /// @brief Records a request to join, and forwards it to the leader.
     void recordJoinRequest(agreement::member_id id, const std::string& address);
-    /// @brief Reports when this member has gained or lost the leadership.
+    /// @brief Logs and reports when this member has gained or lost the leadership.
     void checkLeadership();
     /// @brief Takes the replica out of the protocol until tryRecover() succeeds.
     void markFaulted(const failure& error);
--- a/src/app/shared/replicated_log_links.cpp
+++ b/src/app/shared/replicated_log_links.cpp
@@ -7,7 +7,7 @@
 namespace buckthornrail::app {
 namespace {
 
-/// Time before a peer is dialled again after a failed attempt.
+/// Delay before a peer is dialled again after a failed attempt.
 constexpr milliseconds dialBackoff { 300 };
 
 } // namespace
@@ -19,7 +19,7 @@
             continue;
         peer.open = true;
         telemetry::logEvent(event_code::LinkOpened, { { "peer", address } });
-        dialPeers(); // sends a hello at once
+        dialPeers(); // sends a hello immediately
         return true;
     }
     return false;
@@ -134,7 +134,8 @@
     if (peer.open || peer.isDialledAfterHello)
         return;
     if (peer.linkNumber != 0)
-        m_hub.close(peer.linkNumber); // the peer was down when it was dialled, so it may hang until its timeout
+        m_hub.close(peer.linkNumber); // the peer may have been down when it was dialled, so this attempt may last until
+                                      // its timeout
     peer.isDialledAfterHello = true;
     peer.linkNumber = m_hub.dial(address);
 }
--- a/src/app/shared/role_runner.cpp
+++ b/src/app/shared/role_runner.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Decoding of received messages, and reporting of slow work on the loop.
+/// @brief Decoding of received messages, and reporting of slow tasks on the loop.
 #include "app/shared/role_runner.hpp"
 
 namespace buckthornrail::app {
--- a/src/app/shared/role_runner.hpp
+++ b/src/app/shared/role_runner.hpp
@@ -9,14 +9,14 @@
 
 namespace buckthornrail::app {
 
-/// Log lines are collected for this long, so that many take one wake-up and one write.
+/// Log lines are collected for this long, so that many lines need only one wake-up and one write.
 inline constexpr milliseconds logFlushInterval { 100 };
 
 /// @brief Decodes a message. A malformed one is logged, and its link is closed.
 /// @return nothing for a malformed message
 std::optional<link::message> decodeOrClose(link::link_hub& hub, link::link_number linkNumber, const std::string& bytes);
 
-/// @brief Logs and counts named work that blocks the loop for longer than its limit.
+/// @brief Logs and counts named tasks that block the loop for longer than the limit.
 void reportSlowTasks(link::event_loop& loop, telemetry::metrics& metrics);
 
 /// @brief Runs a role and its HTTP server until the role has stopped after SIGTERM or SIGINT.
--- a/src/app/shared/session_client.cpp
+++ b/src/app/shared/session_client.cpp
@@ -65,7 +65,7 @@
 
 void session_client::onProgress(link::link_number linkNumber)
 {
-    // Part of a long message counts as a sign of life: on a new link it would be sent again from its first byte.
+    // Part of a long message counts as activity: on a new link it would be sent again from its first byte.
     if (linkNumber == m_linkNumber)
         m_responseDeadline = steadyNow() + milliseconds(m_settings.leaseMs / 2);
 }
@@ -121,7 +121,7 @@
     if (!m_open)
         return;
     if (now >= m_responseDeadline) {
-        m_hub.close(m_linkNumber); // it is unreachable or without a quorum: try the next one
+        m_hub.close(m_linkNumber); // the controller is unreachable or without a quorum: try the next one
         return;
     }
     ++m_sequence;
--- a/src/app/shared/session_client.hpp
+++ b/src/app/shared/session_client.hpp
@@ -20,8 +20,8 @@
     std::function<void(const dispatch::target_order&)> orderReceived;
 };
 
-/// @brief Keeps a session open, and moves to the next controller when one is lost. Used on the loop thread only. The
-/// owner's hub handlers forward link events to it.
+/// @brief Maintains a session, and connects to the next controller when the link is lost. Used on the loop thread only.
+/// The owner's hub handlers forward link events to it.
 class session_client {
 public:
     /// @param record of this instance, as announced
@@ -71,7 +71,7 @@
     std::uint64_t m_stateSequence = 0; ///< heartbeat whose ack confirms the last state set
     std::map<std::uint64_t, steady_time> m_sentAt; ///< heartbeats without an ack
     steady_time m_leaseDeadline {};
-    steady_time m_responseDeadline {}; ///< another controller is tried after it, unless this one answers
+    steady_time m_responseDeadline {}; ///< another controller is tried after it, unless this one responds
     bool m_leaseExpiryLogged = true;
     configuration_version m_version = 0; ///< last acknowledged by a controller; used without m_wantsState
     configuration::configuration_view m_configuration;
