--- a/include/buckthornrail/net/reachability.hpp
+++ b/include/buckthornrail/net/reachability.hpp
@@ -13,7 +13,7 @@
 enum class reachability : std::uint8_t {
     Open,
     Refused, ///< the machine is up, but nothing listens on the port
-    Silent, ///< no response: the machine is down or cut off
+    Silent, ///< no response: the machine is down or unreachable
 };
 
 struct reachability_options {
@@ -62,7 +62,7 @@
 private:
     struct probe_state;
     struct watched_address {
-        channel_pointer channel;
+        connection_pointer connection;
         steady_time expiresAt {};
         steady_time reconnectAt {};
     };
--- a/src/app/gateway/gateway_call.cpp
+++ b/src/app/gateway/gateway_call.cpp
@@ -190,7 +190,7 @@
             },
             [ifCurrent](std::string_view bytes) { ifCurrent([bytes](gateway_call& self) { self.onBytes(bytes); }); },
             nullptr,
-            [ifCurrent](net::channel_end end) { ifCurrent([end](gateway_call& self) { self.onEnded(end); }); },
+            [ifCurrent](net::connection_end end) { ifCurrent([end](gateway_call& self) { self.onEnded(end); }); },
         });
     if (selected.parts.size() > 1) {
         for (const auto& part : selected.parts)
@@ -230,7 +230,7 @@
             if (!self || self->m_attempt != attempt)
                 return;
             self->m_reportCall = nullptr;
-            const bool hasResponse = outcome == net::call_outcome::Answered;
+            const bool hasResponse = outcome == net::call_outcome::Responded;
             constexpr int misdirected = 421; // the address belongs to another target
             if (hasResponse && response.head.status != misdirected)
                 self->m_exchange->onPushback(
@@ -276,15 +276,15 @@
 
 void gateway_call::onBytes(std::string_view bytes)
 {
-    m_parser->put(bytes);
+    m_parser->parse(bytes);
     advance();
 }
 
-void gateway_call::onEnded(net::channel_end end)
+void gateway_call::onEnded(net::connection_end end)
 {
     const auto self = shared_from_this();
-    if (end == net::channel_end::Closed) {
-        m_parser->putEof();
+    if (end == net::connection_end::Closed) {
+        m_parser->finish();
         if (m_parser->state() == http1::parse_state::Done) {
             advance();
             return;
@@ -333,7 +333,7 @@
 void gateway_call::readStream()
 {
     const std::uint32_t attempt = m_attempt;
-    for (const auto& event : m_eventReader.put(m_parser->takeBody())) {
+    for (const auto& event : m_eventReader.parse(m_parser->takeBody())) {
         if (!m_connection || m_attempt != attempt)
             return;
         m_context.crashes.onFirstEvent(m_number, steadyNow());
--- a/src/app/shared/replicated_log.cpp
+++ b/src/app/shared/replicated_log.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Passes events to the replica and carries out its effects.
+/// @brief Passes events to the replica and applies its effects.
 #include "app/shared/replicated_log.hpp"
 
 #include "buckthornrail/agreement/admission.hpp"
@@ -12,7 +12,7 @@
 constexpr milliseconds tickPeriod { 20 };
 constexpr milliseconds slowTickPeriod { 200 };
 constexpr milliseconds joinRequestLifetime { 2000 };
-/// Interval between attempts to reopen a failed disk, which may have been full or unresponsive only for a moment.
+/// Interval between attempts to reopen a failed disk, which may have been full or unresponsive only briefly.
 constexpr milliseconds recoveryInterval { 500 };
 /// Unreachable time after which a voter may be removed once a promoted learner has made the number of voters even.
 /// Longer than a restart takes.
@@ -21,8 +21,8 @@
 /// is ready to replace it.
 constexpr milliseconds droppableAfter { 8000 };
 constexpr std::size_t maxPendingJoins = 16;
-/// Stands for the link to the leader when this member leads.
-constexpr link::link_number ownChannel = ~link::link_number { 0 };
+/// Used instead of the number of the link to the leader when this member leads.
+constexpr link::link_number ownLink = ~link::link_number { 0 };
 /// Members send a hello every 200 ms.
 constexpr milliseconds helloLifetime { 2000 };
 
@@ -109,7 +109,7 @@
     for (const auto& [address, peer] : m_peers) {
         if (peer.initialized) {
             return tl::make_unexpected(
-                failure { result_code::AlreadyInitialized, "controller " + address + " holds a log" });
+                failure { result_code::AlreadyInitialized, "controller " + address + " already has a log" });
         }
     }
     auto done = m_replica->initialize(m_options.ownAddress, steadyNow());
@@ -133,7 +133,7 @@
     scheduleFlush();
 }
 
-bool replicated_log::onMessage(link::link_number channel, const link::message& message)
+bool replicated_log::onMessage(link::link_number linkNumber, const link::message& message)
 {
     if (const auto* peer = std::get_if<agreement::peer_message>(&message)) {
         m_replica->receive(*peer, steadyNow());
@@ -142,7 +142,7 @@
     } else if (const auto* join = std::get_if<link::join_request>(&message)) {
         recordJoinRequest(join->member, join->address);
     } else if (const auto* hello = std::get_if<link::controller_hello>(&message)) {
-        m_acceptedLinks[channel] = hello->member;
+        m_acceptedLinks[linkNumber] = hello->member;
         m_hellos[hello->member]
             = { { hello->address, hello->controlAddress, hello->failureDomain }, steadyNow() + helloLifetime };
         m_peers[hello->address].initialized = hello->initialized;
@@ -266,18 +266,18 @@
 void replicated_log::completeConfirmations()
 {
     const steady_time now = steadyNow();
-    std::vector<std::pair<std::function<void(bool)>, bool>> answered;
-    for (auto at = m_confirmations.begin(); at != m_confirmations.end();) {
-        const auto& pending = at->second;
+    std::vector<std::pair<std::function<void(bool)>, bool>> completed;
+    for (auto it = m_confirmations.begin(); it != m_confirmations.end();) {
+        const auto& pending = it->second;
         const bool current = pending.index != 0 && m_applied >= pending.index;
         if (!current && now < pending.deadline) {
-            ++at;
+            ++it;
             continue;
         }
-        answered.emplace_back(pending.callback, current);
-        at = m_confirmations.erase(at);
+        completed.emplace_back(pending.callback, current);
+        it = m_confirmations.erase(it);
     }
-    for (const auto& [callback, current] : answered)
+    for (const auto& [callback, current] : completed)
         callback(current);
 }
 
@@ -300,15 +300,15 @@
 {
     const steady_time now = steadyNow();
     std::vector<done_callback> expired;
-    for (auto at = m_commands.begin(); at != m_commands.end();) {
-        auto& pending = at->second;
+    for (auto it = m_commands.begin(); it != m_commands.end();) {
+        auto& pending = it->second;
         if (now >= pending.deadline) {
             expired.push_back(std::move(pending.done));
-            at = m_commands.erase(at);
+            it = m_commands.erase(it);
             continue;
         }
         forward(pending, now);
-        ++at;
+        ++it;
     }
     for (const auto& done : expired)
         done(false);
@@ -316,19 +316,19 @@
 
 void replicated_log::forward(pending_command& command, steady_time now)
 {
-    const link::link_number channel = isLeader() ? ownChannel : leaderChannel();
-    const bool isInFlight = command.forwardedChannel == channel && command.forwardedTerm == m_replica->term();
-    if (channel == 0 || isInFlight)
+    const link::link_number linkNumber = isLeader() ? ownLink : leaderLink();
+    const bool isInFlight = command.forwardedLink == linkNumber && command.forwardedTerm == m_replica->term();
+    if (linkNumber == 0 || isInFlight)
         return;
     const bool isSent = isLeader() ? m_replica->propose(command.bytes).has_value()
-                                   : m_hub.send(channel, link::encode(link::forward_command { command.bytes }));
+                                   : m_hub.send(linkNumber, link::encode(link::forward_command { command.bytes }));
     if (!isSent)
         return;
-    if (command.forwardedChannel != 0)
+    if (command.forwardedLink != 0)
         telemetry::logEvent(event_code::CommandForwardedAgain,
             { { "leader", leaderAddress() }, { "bytes", std::to_string(command.bytes.size()) },
                 { "after_ms", std::to_string(between(command.forwardedAt, now).count()) } });
-    command.forwardedChannel = channel;
+    command.forwardedLink = linkNumber;
     command.forwardedTerm = m_replica->term();
     command.forwardedAt = now;
 }
--- a/src/app/shared/role_runner.hpp
+++ b/src/app/shared/role_runner.hpp
@@ -9,14 +9,14 @@
 
 namespace buckthornrail::app {
 
-/// Log lines are collected for this long, so that many take one wake-up and one write.
+/// Log lines are collected for this long, so that many lines need only one wake-up and one write.
 inline constexpr milliseconds logFlushInterval { 100 };
 
 /// @brief Decodes a message. A malformed one is logged, and its link is closed.
 /// @return nothing for a malformed message
-std::optional<link::message> decodeOrClose(link::link_hub& hub, link::link_number channel, const std::string& bytes);
+std::optional<link::message> decodeOrClose(link::link_hub& hub, link::link_number linkNumber, const std::string& bytes);
 
-/// @brief Logs and counts named work that blocks the loop for longer than its limit.
+/// @brief Logs and counts named tasks that block the loop for longer than the limit.
 void reportSlowTasks(link::event_loop& loop, telemetry::metrics& metrics);
 
 /// @brief Runs a role and its HTTP server until the role has stopped after SIGTERM or SIGINT.
@@ -55,7 +55,7 @@
         { { "role", std::string(nameIn(settings::processRoleNames, kind)) }, { "instance", settings.id },
             { "link", settings.linkAddress }, { "http", settings.httpAddress } });
     const periodic_task logFlush(loop, logFlushInterval, [&loop] {
-        const link::timed_task work(loop, "log");
+        const link::timed_task task(loop, "log");
         telemetry::flushLog();
     });
     reportSlowTasks(loop, metrics);
@@ -99,7 +99,7 @@
     settingsWatch = std::make_unique<settings_watch>(
         loop, settings, kind, [&role](const settings::settings& changed) { role->reload(changed); });
     const periodic_task logFlush(loop, logFlushInterval, [&loop] {
-        const link::timed_task work(loop, "log");
+        const link::timed_task task(loop, "log");
         telemetry::flushLog();
     });
     reportSlowTasks(loop, metrics);
--- a/src/app/shared/session_client.cpp
+++ b/src/app/shared/session_client.cpp
@@ -24,13 +24,13 @@
     loop.post([this] { connect(); });
 }
 
-bool session_client::onOpened(link::link_number channel)
+bool session_client::onOpened(link::link_number linkNumber)
 {
-    if (channel != m_channel)
+    if (linkNumber != m_linkNumber)
         return false;
     m_open = true;
     m_sentAt.clear();
-    m_answerDeadline = steadyNow() + milliseconds(m_settings.leaseMs / 2);
+    m_responseDeadline = steadyNow() + milliseconds(m_settings.leaseMs / 2);
     m_pageBytes.clear();
     m_nextPage = 0;
     announce();
@@ -38,19 +38,19 @@
     return true;
 }
 
-bool session_client::onClosed(link::link_number channel)
+bool session_client::onClosed(link::link_number linkNumber)
 {
-    if (channel != m_channel)
+    if (linkNumber != m_linkNumber)
         return false;
     m_open = false;
-    m_channel = 0;
+    m_linkNumber = 0;
     m_controllerIndex = (m_controllerIndex + 1) % m_settings.controllers.size();
     return true;
 }
 
-bool session_client::onMessage(link::link_number channel, const link::message& message)
+bool session_client::onMessage(link::link_number linkNumber, const link::message& message)
 {
-    if (channel != m_channel)
+    if (linkNumber != m_linkNumber)
         return false;
     if (const auto* ack = std::get_if<link::session_ack>(&message))
         onAck(*ack);
@@ -59,15 +59,15 @@
     else if (const auto* delta = std::get_if<membership::membership_delta>(&message))
         onMembership(*delta);
     else if (const auto* reply = std::get_if<link::claim_reply>(&message))
-        m_callbacks.claimAnswered(*reply);
+        m_callbacks.claimReplyReceived(*reply);
     return true;
 }
 
-void session_client::onProgress(link::link_number channel)
+void session_client::onProgress(link::link_number linkNumber)
 {
-    // Part of a long message counts as a sign of life: on a new link it would be sent again from its first byte.
-    if (channel == m_channel)
-        m_answerDeadline = steadyNow() + milliseconds(m_settings.leaseMs / 2);
+    // Part of a long message counts as activity: on a new link it would be sent again from its first byte.
+    if (linkNumber == m_linkNumber)
+        m_responseDeadline = steadyNow() + milliseconds(m_settings.leaseMs / 2);
 }
 
 void session_client::setState(membership::instance_state state)
@@ -92,19 +92,19 @@
 
 bool session_client::send(const link::message& message)
 {
-    return m_open && m_hub.send(m_channel, link::encode(message));
+    return m_open && m_hub.send(m_linkNumber, link::encode(message));
 }
 
 void session_client::connect()
 {
-    if (m_channel == 0)
-        m_channel = m_hub.dial(m_settings.controllers[m_controllerIndex]);
+    if (m_linkNumber == 0)
+        m_linkNumber = m_hub.dial(m_settings.controllers[m_controllerIndex]);
 }
 
 void session_client::announce()
 {
-    const configuration_version heldVersion = m_needsSnapshot ? 0 : m_configuration.version();
-    send(link::session_announce { m_record, heldVersion, m_membership.revision(), m_wantsState });
+    const configuration_version currentVersion = m_needsSnapshot ? 0 : m_configuration.version();
+    send(link::session_announce { m_record, currentVersion, m_membership.revision(), m_wantsState });
 }
 
 void session_client::sendHeartbeat()
@@ -114,14 +114,14 @@
         m_leaseExpiryLogged = true;
         telemetry::logEvent(event_code::LeaseExpired, { { "instance", m_record.id } }, telemetry::severity::Warning);
     }
-    if (m_channel == 0) {
+    if (m_linkNumber == 0) {
         connect();
         return;
     }
     if (!m_open)
         return;
-    if (now >= m_answerDeadline) {
-        m_hub.close(m_channel); // it is unreachable or without a quorum: try the next one
+    if (now >= m_responseDeadline) {
+        m_hub.close(m_linkNumber); // the controller is unreachable or without a quorum: try the next one
         return;
     }
     ++m_sequence;
@@ -139,7 +139,7 @@
     const steady_time sentAt = sent->second;
     m_sentAt.erase(m_sentAt.begin(), std::next(sent));
     m_ackedSequence = std::max(m_ackedSequence, ack.sequence);
-    m_answerDeadline = steadyNow() + milliseconds(m_settings.leaseMs / 2);
+    m_responseDeadline = steadyNow() + milliseconds(m_settings.leaseMs / 2);
     if (!ack.known)
         announce();
     if (!m_wantsState && ack.configuration > m_version) {
@@ -147,10 +147,10 @@
         telemetry::logEvent(
             event_code::ConfigurationApplied, { { "version", std::to_string(m_version) }, { "form", "version" } });
     }
-    const configuration_version heldVersion = m_wantsState ? m_configuration.version() : m_version;
+    const configuration_version currentVersion = m_wantsState ? m_configuration.version() : m_version;
     // The controller was current at some time after sentAt, and has sent everything that it knew by then. So the lease
     // runs from sentAt.
-    if (ack.configuration == heldVersion && heldVersion != 0) {
+    if (ack.configuration == currentVersion && currentVersion != 0) {
         m_leaseDeadline = std::max(m_leaseDeadline, sentAt + milliseconds(m_settings.leaseMs));
         m_leaseExpiryLogged = false;
         m_callbacks.leaseRenewed(ack.configuration, m_leaseDeadline);
@@ -179,7 +179,7 @@
             { { "version", std::to_string(page.to) }, { "reason", applied.error().reason } },
             telemetry::severity::Error);
         m_needsSnapshot = true;
-        m_hub.close(m_channel); // the next session starts with the complete document
+        m_hub.close(m_linkNumber); // the next session starts with the complete document
         return;
     }
     m_needsSnapshot = false;
@@ -195,7 +195,7 @@
     if (m_membership.apply(delta))
         m_callbacks.membershipChanged(delta);
     else
-        m_hub.close(m_channel);
+        m_hub.close(m_linkNumber);
 }
 
 } // namespace buckthornrail::app
--- a/src/app/shared/session_client.hpp
+++ b/src/app/shared/session_client.hpp
@@ -16,12 +16,12 @@
     std::function<void(const configuration::document&, configuration_version)> configurationApplied;
     std::function<void(const membership::membership_delta&)> membershipChanged;
     std::function<void(bool drain)> drainRequested;
-    std::function<void(const link::claim_reply&)> claimAnswered;
+    std::function<void(const link::claim_reply&)> claimReplyReceived;
     std::function<void(const dispatch::target_order&)> orderReceived;
 };
 
-/// @brief Keeps a session open, and moves to the next controller when one is lost. Used on the loop thread only. The
-/// owner's hub handlers forward link events to it.
+/// @brief Maintains a session, and connects to the next controller when the link is lost. Used on the loop thread only.
+/// The owner's hub handlers forward link events to it.
 class session_client {
 public:
     /// @param record of this instance, as announced
@@ -29,12 +29,12 @@
     session_client(link::event_loop& loop, link::link_hub& hub, const settings::settings& settings,
         membership::instance_record record, bool wantsState, session_callbacks callbacks);
 
-    /// @return whether the channel belongs to the session
-    bool onOpened(link::link_number channel);
-    bool onClosed(link::link_number channel);
-    bool onMessage(link::link_number channel, const link::message& message);
-    /// @brief Part of a long message was received over a channel, or acknowledged by the other end.
-    void onProgress(link::link_number channel);
+    /// @return whether the link belongs to the session
+    bool onOpened(link::link_number linkNumber);
+    bool onClosed(link::link_number linkNumber);
+    bool onMessage(link::link_number linkNumber, const link::message& message);
+    /// @brief Part of a long message was received over a link, or acknowledged by the other end.
+    void onProgress(link::link_number linkNumber);
 
     /// @brief Announces a change of this instance's state.
     void setState(membership::instance_state state);
@@ -63,7 +63,7 @@
     membership::instance_record m_record;
     bool m_wantsState;
     session_callbacks m_callbacks;
-    link::link_number m_channel = 0;
+    link::link_number m_linkNumber = 0;
     bool m_open = false;
     std::size_t m_controllerIndex = 0; ///< in the settings' list
     std::uint64_t m_sequence = 0; ///< of the last heartbeat
@@ -71,7 +71,7 @@
     std::uint64_t m_stateSequence = 0; ///< heartbeat whose ack confirms the last state set
     std::map<std::uint64_t, steady_time> m_sentAt; ///< heartbeats without an ack
     steady_time m_leaseDeadline {};
-    steady_time m_answerDeadline {}; ///< another controller is tried after it, unless this one answers
+    steady_time m_responseDeadline {}; ///< another controller is tried after it, unless this one responds
     bool m_leaseExpiryLogged = true;
     configuration_version m_version = 0; ///< last acknowledged by a controller; used without m_wantsState
     configuration::configuration_view m_configuration;
--- a/tests/support/stand_in_fleet.cpp
+++ b/tests/support/stand_in_fleet.cpp
@@ -22,8 +22,8 @@
     standIn.heartbeatSequence = standIn.revision = standIn.fencingToken = 0;
     standIn.isUp = true;
     standIn.isUnresponsive = standIn.isDraining = standIn.isDrainAcknowledged = standIn.isLoading = false;
-    standIn.listener = std::make_unique<net::tcp_listener>(loop, [this, &standIn](net::channel_pointer channel) {
-        auto session = std::make_shared<target_session>(*this, standIn, std::move(channel));
+    standIn.listener = std::make_unique<net::tcp_listener>(loop, [this, &standIn](net::connection_pointer connection) {
+        auto session = std::make_shared<target_session>(*this, standIn, std::move(connection));
         standIn.sessions.insert(session);
         session->begin();
     });
@@ -96,7 +96,7 @@
         [this, index = standIn.index, incarnation = standIn.incarnation, wasDraining = standIn.isDraining](
             net::call_outcome outcome, const net::whole_response& response) {
             auto& sender = *targets[index];
-            const bool isAcknowledged = outcome == net::call_outcome::Answered && response.head.status == 200;
+            const bool isAcknowledged = outcome == net::call_outcome::Responded && response.head.status == 200;
             if (sender.incarnation == incarnation && wasDraining && isAcknowledged)
                 sender.isDrainAcknowledged = true;
         });
