--- a/include/buckthornrail/gateway/dialect.hpp
+++ b/include/buckthornrail/gateway/dialect.hpp
@@ -116,7 +116,7 @@
     [[nodiscard]] virtual std::string writeAnnounceResponse(const std::string& address) const = 0;
     [[nodiscard]] virtual http1::request_head writeReportRequest(const std::string& targetId) const = 0;
     [[nodiscard]] virtual tl::expected<target_report, failure> readReport(const std::string& body) const = 0;
-    /// @return backoff that a target which refuses requests asks for; empty: not stated
+    /// @return backoff time that a target which refuses requests asks for; empty: not stated
     [[nodiscard]] virtual std::optional<milliseconds> readRetryAfter(const http1::response_head& head) const = 0;
     /// @brief Head and body of an order.
     [[nodiscard]] virtual std::pair<http1::request_head, std::string> writeOrder(const layer_order& order) const = 0;
--- a/include/buckthornrail/gateway/document_assembly.hpp
+++ b/include/buckthornrail/gateway/document_assembly.hpp
@@ -38,7 +38,7 @@
     std::vector<completed_change> m_completed;
     completed_change m_partial; ///< slices are missing
     std::uint32_t m_next = 0; ///< number of the next slice
-    bool m_isSkipped = false; ///< an entry of the open change couldn't be decoded
+    bool m_isSkipped = false; ///< an entry of the partial change couldn't be decoded
 };
 
 } // namespace buckthornrail::gateway
--- a/include/buckthornrail/gateway/exchange.hpp
+++ b/include/buckthornrail/gateway/exchange.hpp
@@ -70,7 +70,7 @@
         = 0;
     /// @brief Cancels the open attempt. No event of it may be delivered afterwards.
     virtual void cancelAttempt() = 0;
-    /// @brief Requests a report from the first target of the open attempt on which member of the path stalls it;
+    /// @brief Requests a report from the first target of the open attempt: which member of the path stalls the attempt.
     /// onReport() follows.
     virtual void requestReport() = 0;
     /// @brief Probes the members of the open attempt's path; onUnreachable() follows for each one that refuses
--- a/src/buckthornrail/registry/gateway_sessions.cpp
+++ b/src/buckthornrail/registry/gateway_sessions.cpp
@@ -91,7 +91,7 @@
         if (!std::exchange(entry.isUnreported, false) && wasCounted)
             continue;
         report.lives.push_back(entry.activity.usage);
-        // Reports may be lost, so each one includes the usage until the leader responds to the latest one.
+        // Reports may be lost, so each one includes the usage until the leader responds to the latest that contains it.
         if (!wasCounted)
             entry.reportedIn = report.sequence;
     }
@@ -128,7 +128,7 @@
 void gateway_sessions::applyLeaderResponse(const fleet_report& response, const target_table& table)
 {
     if (m_isLeader || response.reportSequence <= m_acknowledgedSequence || response.reportSequence > m_reportSequence)
-        return; // from an earlier leader, or older than entry already applied
+        return; // from an earlier leader, or older than one already applied
     m_acknowledgedSequence = response.reportSequence;
     m_otherControllers = response.others;
     m_budgetSharers = response.budgetSharers;
--- a/src/buckthornrail/registry/target_record.cpp
+++ b/src/buckthornrail/registry/target_record.cpp
@@ -9,7 +9,7 @@
 namespace buckthornrail::registry {
 namespace {
 
-/// Records of gone and lost targets are stored so that a stale announcement doesn't restore them. At most dozens of
+/// Records of gone and lost targets are retained so that a stale announcement doesn't restore them. At most dozens of
 /// targets are replaced at once, so this covers several replacements.
 constexpr std::size_t maxGoneRecords = 128;
 
--- a/tests/support/exchange_bench.hpp
+++ b/tests/support/exchange_bench.hpp
@@ -56,7 +56,7 @@
 
     dispatch_verdict verdict = dispatch_verdict::Go;
     std::map<std::string, dispatch_verdict> verdicts; ///< by first target; `verdict` applies to any other
-    std::vector<std::string> dispatchRequests; ///< first targets
+    std::vector<std::string> dispatchRequests; ///< first target of each
     bool mustCancelAttempt = false;
     bool isOpen = false;
     bool streamStarted = false;
