--- a/include/buckthornrail/gateway/quarantine_gate.hpp
+++ b/include/buckthornrail/gateway/quarantine_gate.hpp
@@ -117,8 +117,8 @@
         steady_time expiresAt {};
     };
     std::map<request_fingerprint, local_report> m_reported;
-    std::deque<std::pair<steady_time, request_fingerprint>>
-        m_reportExpiries; ///< each with the time of its expiry check
+    /// Reported fingerprints, each with the time of its expiry check.
+    std::deque<std::pair<steady_time, request_fingerprint>> m_reportExpiries;
     std::map<call_number, local_trial> m_trials;
     registry::quarantine_change m_unsentChanges; ///< not sent yet
     std::uint64_t m_lastBatchNumber = 0;
