--- a/include/buckthornrail/agreement/replica.hpp
+++ b/include/buckthornrail/agreement/replica.hpp
@@ -131,7 +131,8 @@
     /// @return number of entries that a member lacks; nothing when this replica isn't the leader, or the member's log
     /// isn't known yet
     [[nodiscard]] std::optional<log_index> lagOf(member_id id) const;
-    /// @brief At the leader: whether the member was in contact within the longest election timeout. True for itself.
+    /// @brief At the leader: whether a message of the member, or a part of one, was received within the longest
+    /// election timeout. True for itself, and for that long after the election or the member's addition.
     [[nodiscard]] bool isReachable(member_id id, steady_time now) const;
 
 private:
--- a/include/buckthornrail/dispatch/request_run.hpp
+++ b/include/buckthornrail/dispatch/request_run.hpp
@@ -191,7 +191,7 @@
     std::set<instance_id> m_excluded;
     std::optional<response_assembler> m_assembler;
     std::vector<response_frame> m_bufferedFrames; ///< not a stream: delivered once the response is complete
-    std::vector<std::string> m_tokensDelivered; ///< their texts, of all attempts
+    std::vector<std::string> m_tokensDelivered; ///< texts of the delivered tokens, of all attempts
     bool m_hasDelivered = false; ///< a stream: frames were delivered
     std::deque<run_effect> m_effects;
 };
--- a/include/buckthornrail/dispatch/sidecar_core.hpp
+++ b/include/buckthornrail/dispatch/sidecar_core.hpp
@@ -37,7 +37,7 @@
     result_code code = result_code::Ok;
     std::string reason;
     std::string finishReason; ///< "stop" or "length" for completions
-    bool notStarted = false; ///< the work was not begun: it was refused, or it never reached the target
+    bool notStarted = false; ///< the target never received the work, so it was not begun
 };
 
 /// @brief The owner passes events in and applies the effects that nextEffect() returns.
--- a/include/buckthornrail/execution/chain_run.hpp
+++ b/include/buckthornrail/execution/chain_run.hpp
@@ -136,7 +136,7 @@
     std::set<instance_id> m_pendingInstances; ///< Opening: stage is not open; Fencing: fence is not confirmed
     std::set<instance_id> m_excluded;
     std::uint32_t m_nextToken = 0; ///< expected next, counted within the generation
-    std::uint32_t m_tokensDelivered = 0; ///< number of them, in all generations
+    std::uint32_t m_tokensDelivered = 0; ///< number of delivered tokens, in all generations
     std::string m_text; ///< the prompt and the tokens delivered
     bool m_hasSentStep = false; ///< in any generation: targets may have run the request
     failure m_lastFailure;
--- a/include/buckthornrail/link/link_hub.hpp
+++ b/include/buckthornrail/link/link_hub.hpp
@@ -51,17 +51,17 @@
     std::size_t maxMessageBytes = 32U << 20U; ///< of a received message; a link with a longer one is closed
     std::size_t maxBufferedBytes = 64U << 20U; ///< unsent; a link whose peer reads too slowly for it is closed
     milliseconds keepAlivePeriod { 2000 }; ///< between pings; a link without activity for three of them is closed
-    /// Only complete chunks count as activity, so one that takes longer than the shortest election timeout (0.3 s)
-    /// starts an election. 4 KB arrive in that time at 14 KB/s or more. With 16 KB, a member with 80 KB/s may lose its
-    /// leader while ten other processes keep its machine busy.
+    /// Only a complete chunk counts as contact with the sender, so a chunk that takes longer than the shortest election
+    /// timeout (0.3 s) starts an election. In that time a link of 14 KB/s transfers one of 4 KB. One of 16 KB takes
+    /// 0.2 s at 80 KB/s: a member with such a link may lose its leader while ten other processes keep its machine busy.
     std::size_t maxChunkBytes = 4U << 10U;
     /// Unacknowledged chunks of long messages on a link. Bounds the data queued in the network ahead of a short message
     /// on another link of this process: 25 links with 128 KB each delay it by 150 ms at 170 Mbit/s. 128 KB per round
     /// trip allow 3 MB/s between regions with a round trip of 40 ms.
     std::size_t maxChunksInFlight = 32;
-    /// A dialled link that isn't open by then is closed. Where machines come and go it should be well below a second,
-    /// after which the operating system retransmits an unacknowledged SYN: a new dial then reaches a peer as soon as
-    /// it is up.
+    /// A dialled link that isn't open by then is closed. Where machines are often replaced it should be well below a
+    /// second, after which the operating system retransmits an unacknowledged SYN: a new dial then reaches a peer as
+    /// soon as it is up.
     milliseconds openTimeout { 2000 };
 };
 
--- a/src/buckthornrail/dispatch/request_run.cpp
+++ b/src/buckthornrail/dispatch/request_run.cpp
@@ -86,7 +86,7 @@
     if (!isCurrent(refusal.attempt) || !isOpen() || hasFrames())
         return;
     m_mayHaveStarted = false;
-    m_hasStarted = false; // the sidecar refuses it after a start if its target never received it
+    m_hasStarted = false; // a sidecar also refuses a started attempt whose work was not begun
     if (refusal.code == result_code::StaleConfiguration) {
         m_lastFailure = { refusal.code, refusal.reason };
         m_effects.emplace_back(await_configuration {});
--- a/src/buckthornrail/link/message_test.cpp
+++ b/src/buckthornrail/link/message_test.cpp
@@ -195,7 +195,7 @@
     SECTION("a column is missing") { wrong["records"][0].erase(0); }
     SECTION("an unknown state") { wrong["records"][0][7] = 200; }
     SECTION("a row is not an array") { wrong["records"][0] = "i-1"; }
-    SECTION("a string in position of a number") { wrong["records"][0][6] = "four"; }
+    SECTION("a string in place of a number") { wrong["records"][0][6] = "four"; }
     SECTION("the rows are missing") { wrong.erase("records"); }
     std::string bytes;
     json::to_cbor(wrong, bytes);
--- a/src/buckthornrail/membership/membership_table_test.cpp
+++ b/src/buckthornrail/membership/membership_table_test.cpp
@@ -36,7 +36,7 @@
     CHECK_FALSE(table.apply({ recordOf("a", 1, instance_state::Lost), true })); // of the previous incarnation
     CHECK(table.find("a")->state == instance_state::Joined);
     CHECK(table.apply({ recordOf("a", 2, instance_state::Lost), true }));
-    CHECK(table.apply({ recordOf("a", 2, instance_state::Ready), false })); // its process was only stopped
+    CHECK(table.apply({ recordOf("a", 2, instance_state::Ready), false })); // its process was suspended and has resumed
 }
 
 TEST_CASE("membership: a drain request is kept when the instance announces itself again", "[membership]")
