--- a/src/app/controller/session_table.cpp
+++ b/src/app/controller/session_table.cpp
@@ -96,7 +96,8 @@
 {
     std::vector<membership::transition> missing;
     for (const auto& [linkNumber, session] : m_sessions) {
-        // A stopped process keeps its link open: its earlier announcement must not undo its loss.
+        // A paused process, for example after SIGSTOP, keeps its link open: its earlier announcement must not undo its
+        // loss.
         if (now >= session.leaseDeadline)
             continue;
         const auto* known = state.membership().find(session.record.id);
--- a/src/app/controller/session_table_test.cpp
+++ b/src/app/controller/session_table_test.cpp
@@ -67,7 +67,7 @@
     CHECK(std::get<link::session_ack>(sent[0]).configuration == 1);
 }
 
-TEST_CASE("sessions: the earlier announcement of a stopped process does not undo its loss", "[sessions]")
+TEST_CASE("sessions: the earlier announcement of a paused process does not undo its loss", "[sessions]")
 {
     session_table table([](auto, const auto&) {}, lease);
     controller_state state = configured();
--- a/src/app/gateway/gateway_session_test.cpp
+++ b/src/app/gateway/gateway_session_test.cpp
@@ -97,7 +97,7 @@
     loop.run();
     CHECK(nearHeartbeats > 8);
     CHECK(farHeartbeats == 0);
-    CHECK(far.heartbeats() > 11); // of 15; an attempt at the closed one would cost the session and two heartbeats
+    CHECK(far.heartbeats() > 11); // of 15; an attempt at the stopped one would cost the session and two heartbeats
     CHECK(far.sessions() == 1);
 }
 
--- a/src/app/registry/document_feed.hpp
+++ b/src/app/registry/document_feed.hpp
@@ -21,7 +21,8 @@
     {
     }
 
-    /// @brief Computes the change to the committed document; does nothing when that is the newest version already.
+    /// @brief Makes the committed document the newest version, and encodes the change to it. Does nothing if it is the
+    /// newest version already; logs a document that can't be split and ignores it.
     void update(const versioned_text& committed);
     /// @brief Encoded messages that bring a gateway to the newest version, in order.
     /// @param held version that the gateway has
--- a/src/app/registry/registry_targets.cpp
+++ b/src/app/registry/registry_targets.cpp
@@ -95,7 +95,7 @@
     }
     if (record.startedMs < known->startedMs) {
         // Either late, or from a target whose clock was set back. The target is probed if the known incarnation is
-        // over.
+        // gone or lost.
         if (registry::isGoneOrLost(*known))
             m_watch.verifyEarlierStart(record, [this](const registry::target_record& alive) { submitOnce(alive); });
         return;
--- a/src/app/registry/target_watch.hpp
+++ b/src/app/registry/target_watch.hpp
@@ -34,14 +34,14 @@
     /// @brief Probes a target at once that a gateway reports as unreachable, if the incarnation is the known one.
     void probeUnreachable(const registry::target_incarnation& target);
     /// @brief Probes a target that announces an earlier start than that of the known incarnation, which is gone or
-    /// lost.
+    /// lost. The announcement may be late, or the target may be alive and its clock have been set back.
     /// @param onAlive called with the record when the target responds
     void verifyEarlierStart(
         const registry::target_record& record, std::function<void(const registry::target_record&)> onAlive);
     /// @brief Probes targets whose leases have expired.
     void probeExpired(steady_time now);
     /// @brief Drops all leases, so that every target gets a full new one. For a change of leader, or after this process
-    /// was stalled.
+    /// has stalled.
     void resetLeases();
 
 private:
--- a/tools/load.cpp
+++ b/tools/load.cpp
@@ -1,9 +1,9 @@
 /// @file
 /// @brief Open-loop load generator with a seeded schedule; verifies the text of every complete response.
 ///
-/// Arrivals follow a Poisson process. Each request is sent when it is due, whether or not earlier ones have got their
-/// response; `sent_late` counts requests sent over 100 ms late because all threads were busy. Latencies are kept in
-/// histograms with a fixed number of buckets, so their memory doesn't grow with the run.
+/// Arrivals follow a Poisson process. Each request is sent when it is due, whether or not earlier ones have
+/// received their response; `sent_late` counts requests sent over 100 ms late because all threads were busy. Latencies
+/// are kept in histograms with a fixed number of buckets, so their memory doesn't grow with the run.
 #include "stand_in_model.hpp"
 
 #include "buckthornrail/http/http_client.hpp"
