--- a/tests/incident_named_limit_test.cpp
+++ b/tests/incident_named_limit_test.cpp
@@ -1,8 +1,8 @@
 /// @file
-/// @brief Incident: targets that named a rate limit in their answers got more requests than the limit allows.
+/// @brief Incident: targets that named a rate limit in their responses got more requests than the limit allows.
 ///
 /// Targets with limits of 1.7 and 11.5 requests per second got 17 and 103 requests within 4 s; 15 and 74 are allowed.
-/// Gateways ignored the limits in the answers of targets, and no limit was shared by all gateways.
+/// Gateways ignored the limits in the responses of targets, and no limit was shared by all gateways.
 #include "support/continuous_callers.hpp"
 #include "support/rate_limit_bounds.hpp"
 
@@ -22,12 +22,13 @@
 
 /// Limit that a target names and then withdraws, in requests per second.
 constexpr int withdrawnLimit = 2;
-/// Gateways send nothing to a limited target while others cost less, until the limit was unconfirmed for this time.
+/// While other targets cost less, a gateway sends nothing to a limited target until the limit has not been
+/// confirmed for this long.
 constexpr milliseconds limitFreshness { 5000 };
 /// A gateway may send one request per interval, and the second consecutive response without a limit clears it.
 constexpr milliseconds limitedInterval { 1000 * gatewayCount / withdrawnLimit };
-/// The other gateways learn of it through the registries: two heartbeats of gateways (200 ms each), two reports of
-/// registries (100 ms each) and a confirmation (100 ms).
+/// The other gateways learn through the registries that the limit was cleared, which takes at most two heartbeats of
+/// gateways (200 ms each), two reports of registries (100 ms each) and a confirmation (100 ms).
 constexpr milliseconds limitSpread { 700 };
 /// A withdrawn limit is cleared at all gateways this time after it was last named, at the latest.
 constexpr milliseconds withdrawalTime = limitFreshness + limitedInterval + limitSpread;
--- a/tests/soak/caller_pool.hpp
+++ b/tests/soak/caller_pool.hpp
@@ -35,7 +35,7 @@
     caller_pool& operator=(const caller_pool&) = delete;
     ~caller_pool() { stop(); }
 
-    /// @return all calls so far
+    /// @brief Waits for the calls in flight and ends the threads. @return all calls
     std::vector<call_record> stop()
     {
         m_stopping = true;
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -81,7 +81,7 @@
 private:
     using fault_action = void (soak_run::*)();
 
-    /// @brief Records periods in which too few registries run for a quorum.
+    /// @brief Records periods in which too few registries run without a fault of their own for a quorum.
     void recordQuorumOutage()
     {
         const auto& all = m_cluster.registries();
@@ -180,7 +180,8 @@
         m_cluster.signal(name, SIGTERM);
         const auto deadline = clock_type::now() + shutdownTimeout;
         beginFault("stopping " + name, shutdownTimeout, [this, name, deadline] {
-            // The end of the soak test also ends this fault, possibly before the shutdown timeout.
+            // The end of the soak test also ends this fault, possibly early: the process still has the rest of its
+            // timeout.
             const auto remaining = std::max<clock_type::duration>(deadline - clock_type::now(), milliseconds(0));
             const int status
                 = m_cluster.waitForExit(name, std::chrono::duration_cast<milliseconds>(remaining) + milliseconds(500));
@@ -205,7 +206,7 @@
         });
     }
 
-    /// Restarts a target several times in quick succession; with even seeds, targets keep their ids.
+    /// Restarts a target one to three times in quick succession. With even seeds, targets keep their ids.
     void restartTarget()
     {
         const std::size_t target = randomTarget();
@@ -467,7 +468,7 @@
     gateway_cluster m_cluster;
     violation_log m_violations;
     std::vector<active_fault> m_activeFaults;
-    std::set<std::string> m_reserved; ///< processes, targets and links with an active fault
+    std::set<std::string> m_reserved; ///< processes, targets, links and pushbacks with an active fault
     clock_type::time_point m_nextDiskLoss {};
     std::uint64_t m_version = 1;
     /// Periods without a quorum of registries, each extended by the recovery time.
--- a/tests/support/continuous_callers.hpp
+++ b/tests/support/continuous_callers.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Callers that send requests to all gateways without interruption.
+/// @brief Callers that keep sending requests to all gateways until they are stopped.
 #pragma once
 
 #include "support/gateway_cluster.hpp"
--- a/tests/support/failing_device.hpp
+++ b/tests/support/failing_device.hpp
@@ -49,7 +49,7 @@
         return write(name, "", bytes);
     }
 
-    /// @brief Clears the fault and makes the stored data available again, as after a restart of the machine.
+    /// @brief Clears the fault, so that writes succeed again, as after a restart of the machine. Stored data is kept.
     void restart()
     {
         isCrashed = false;
--- a/tests/support/request_simulation.hpp
+++ b/tests/support/request_simulation.hpp
@@ -30,7 +30,7 @@
     Tombstones, ///< a revocation gets the reply "not started" without being sent to the sidecar
     Claims, ///< every claim is granted
     Incarnations, ///< sidecars accept messages for an earlier incarnation
-    Ownership, ///< an entry also adds each frame to a request that it doesn't belong to
+    Ownership, ///< an entry also adds each frame to its first open request, even if it belongs to another
     Digests, ///< each end message is replaced by that of a complete, empty response
 };
 
--- a/tests/support/simulated_cluster.cpp
+++ b/tests/support/simulated_cluster.cpp
@@ -13,7 +13,7 @@
 constexpr int maxEffectRounds = 50; ///< calls of takeEffects() after one event
 constexpr std::uint64_t delayBoundMs = 10; ///< exclusive, of a message
 constexpr std::uint64_t lossyDelayBoundMs = 200; ///< exclusive, of a message in a lossy network
-constexpr std::uint64_t duplicateInterval = 10; ///< a lossy network duplicates one of so many messages
+constexpr std::uint64_t duplicateInterval = 10; ///< a lossy network duplicates one in this many messages, on average
 
 std::string join(const std::vector<std::string>& lines)
 {
--- a/tests/support/stand_in_fleet.hpp
+++ b/tests/support/stand_in_fleet.hpp
@@ -96,7 +96,7 @@
     [[nodiscard]] std::vector<std::chrono::steady_clock::time_point> controlCallsAt(std::size_t target) const;
     /// @return when a target first refused something after the last call of setRetryAfter(); empty: it hasn't yet
     [[nodiscard]] std::optional<std::chrono::steady_clock::time_point> firstRefusalAt(std::size_t target) const;
-    /// @brief Whether the running engines of a failure domain hold all layers together.
+    /// @brief Whether the running engines of a failure domain together hold all layers, without a gap.
     [[nodiscard]] bool hasChain(const std::string& domain) const;
     /// @brief Whether a controller has acknowledged an announcement of a target as draining.
     [[nodiscard]] bool isDrainAcknowledged(std::size_t target) const;
--- a/tests/suspended_machine_test.cpp
+++ b/tests/suspended_machine_test.cpp
@@ -19,8 +19,9 @@
 /// Timeouts that expired during the suspension are handled within this time after the machine wakes.
 constexpr milliseconds maxWakeDelay { 500 };
 /// The caller of a request whose deadline passes waits this much longer than the deadline that it states. The gateway
-/// counts the deadline from the request's arrival, so its response comes after the caller's own deadline. Past the
-/// last response that the test accepts, so that a late one is seen as late.
+/// counts the deadline from the request's arrival, so its response comes after the caller's own deadline. The wait
+/// ends after the latest time at which the test accepts a response, so that a late response is still received and
+/// fails the check of its time.
 constexpr milliseconds waitPastDeadline { 2000 };
 
 /// Calls like gateway_cluster::call, but waits longer for the response than the deadline that it states.
