--- a/src/buckthornrail/gateway/exchange.cpp
+++ b/src/buckthornrail/gateway/exchange.cpp
@@ -9,8 +9,7 @@
 namespace buckthornrail::gateway {
 namespace {
 
-/// Statuses that imply that a request was not executed. They alone don't prove it: the target must state it, see
-/// target_response::notRun.
+/// Statuses that imply that a request was not executed if the target also states it, see target_response::notRun.
 constexpr std::array notExecutedStatuses { 408, 421, 429, 503 };
 constexpr int firstServerErrorStatus = 500;
 constexpr int firstNonSuccessStatus = 300;
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -180,8 +180,7 @@
         m_cluster.signal(name, SIGTERM);
         const auto deadline = clock_type::now() + shutdownTimeout;
         beginFault("stopping " + name, shutdownTimeout, [this, name, deadline] {
-            // The end of the soak test also ends this fault, possibly early: the process still has the rest of its
-            // timeout.
+            // The end of the soak test may end this fault early: the process still has the rest of its timeout.
             const auto remaining = std::max<clock_type::duration>(deadline - clock_type::now(), milliseconds(0));
             const int status
                 = m_cluster.waitForExit(name, std::chrono::duration_cast<milliseconds>(remaining) + milliseconds(500));
@@ -349,8 +348,7 @@
         std::cout << "! reset the links of " << name << std::endl;
     }
 
-    /// Loses one disk at a time, and the next one only after the other members have had time to restore the copy:
-    /// data is guaranteed to survive the loss of one disk only.
+    /// One disk at a time, with time for the other members to restore the copy: data survives the loss of one only.
     void loseDisk()
     {
         const std::string name = m_cluster.registries()[m_random() % m_cluster.registries().size()];
